--- a/src/policy/admission.cc
+++ b/src/policy/admission.cc
@@ -1,4 +1,5 @@
-/** @file admission.cc Queue order, owners' shares, retry budgets. */
+/** @file admission.cc Implements queue order, queue admission, retry budgets
+ * and the order of load bids. */
 #include <algorithm>
 #include <cmath>
 #include <numeric>
@@ -12,7 +13,7 @@
 
 constexpr double kSmallestShare = 1e-6;
 
-/** Use and share of the owners that run or wait right now. */
+/** Usage and share of the owners with running or queued requests. */
 struct ActiveOwners {
   std::map<core::OwnerId, OwnerUse> use;
   double running = 0;
@@ -38,7 +39,7 @@
   return active;
 }
 
-/** @return True if one more request takes the owner over its share. */
+/** @return True if one more request would put the owner above its share. */
 bool IsOverShare(const OwnerUse& use, const ActiveOwners& active) {
   const double fair = (active.running + 1) * ShareOf(use) / active.shares;
   return use.running + 1 > std::ceil(fair);
--- a/src/policy/admission_func.h
+++ b/src/policy/admission_func.h
@@ -1,4 +1,5 @@
-/** @file admission_func.h Queue order, owners' shares, retry budgets. */
+/** @file admission_func.h Orders and admits queued requests by owner share,
+ * limits retries, and orders load bids. */
 #ifndef SAPPHIRE_POLICY_ADMISSION_FUNC_H_
 #define SAPPHIRE_POLICY_ADMISSION_FUNC_H_
 
@@ -26,50 +27,51 @@
   core::SteadyTime arrived;
 };
 
-/** Work in progress and decided share of each owner. */
+/** Running requests and configured share of one owner. */
 struct OwnerUse {
   int running = 0;
   double share = 1.0;
 };
 
 /**
- * @return The index of the request to serve next: owners within their share
- *   before those over it, then highest priority, then the owner furthest below
- *   its share, then earliest deadline. Shares are counted among the owners that
- *   run or wait, so unused capacity is lent; priority never lets one owner
- *   starve another.
+ * @return The index of the request to serve next. Owners within their share
+ *   come before those above it; then the highest priority, the owner furthest
+ *   below its share and the earliest deadline decide. Shares are relative to
+ *   the owners with running or queued requests, so unused capacity is lent to
+ *   others; priority never lets one owner starve another.
  * @pre `queue` is not empty.
  */
 std::size_t PickNext(std::span<const QueuedRequest> queue,
                      const std::map<core::OwnerId, OwnerUse>& owners);
 
-/** Requests that wait for one model, and how many may. */
+/** Requests queued for one model, by owner, and the size of the queue. */
 struct QueueUse {
   int max_queue = 512;
   std::map<core::OwnerId, int> waiting;
 };
 
 /**
- * Decides whether one more request of `owner` may wait. Up to half of the queue
- * is open to all; in the other half each owner has a place for its share.
- * @return Why it is refused, or nothing.
+ * Decides whether one more request of `owner` may be queued. The first half of
+ * the queue is open to all owners; the second half is divided among the owners
+ * by share.
+ * @return The reason for refusing the request, or nothing if it is admitted.
  */
 std::optional<core::ErrorCode> RefuseAtQueue(
     const QueueUse& use, const core::OwnerId& owner,
     const std::map<core::OwnerId, OwnerUse>& owners);
 
-/** Retries allowed as a fraction of first tries, so that a failing fleet is
- * not buried under its own retries. */
+/** Limits retries to a fraction of first tries, so that retries don't add to
+ * the overload of a failing fleet. */
 struct RetryBudget {
   double tokens = 10;
   double max_tokens = 10;
-  /** Tokens each first try adds. */
+  /** Tokens added by each first try. */
   double ratio = 0.1;
 };
 
 void RecordFirstTry(RetryBudget& budget);
 
-/** @return True, and takes a token, if a retry is allowed. */
+/** @return True if a retry is allowed; it uses up one token. */
 bool TakeRetry(RetryBudget& budget);
 
 /** A model load that waits for the weight store. */
@@ -77,7 +79,8 @@
   core::VmId vm;
   core::ModelId model;
   core::SteadyTime deadline;
-  /** False: prewarming, which waits behind every caller. */
+  /** False for prewarming, which comes after every load that a caller waits
+   * for. */
   bool caller_waits = true;
 };
 
--- a/src/policy/admission_test.cc
+++ b/src/policy/admission_test.cc
@@ -1,4 +1,5 @@
-/** @file admission_test.cc Shares, queue places, retries, order of bids. */
+/** @file admission_test.cc Tests owner shares, queue admission, retry budgets
+ * and the order of load bids. */
 #define BOOST_TEST_MODULE admission
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -31,7 +32,7 @@
   return queue;
 }
 
-/** With one owner the order is a plain sort. */
+/** With one owner, requests are sorted by priority and then by deadline. */
 BOOST_AUTO_TEST_CASE(OneOwnerGoesByPriorityThenDeadline) {
   for (std::uint64_t seed = 1; seed <= 500; ++seed) {
     std::mt19937_64 random(seed);
@@ -46,9 +47,9 @@
   }
 }
 
-// One ad house sends a flood at the highest priority while two others send a
-// few plain requests. By priority alone the others would wait until the flood
-// is over and their manifests would be late.
+// One owner sends many requests at the highest priority while two others send a
+// few at normal priority. By priority alone, the others would wait until the
+// first owner's requests are done, and their answers would be late.
 BOOST_AUTO_TEST_CASE(PriorityStarvesNoOwner) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     std::mt19937_64 random(seed);
--- a/src/policy/cold_wait.cc
+++ b/src/policy/cold_wait.cc
@@ -1,13 +1,14 @@
-/** @file cold_wait.cc Whether a request waits for a model that is loading. */
+/** @file cold_wait.cc Decides whether a request should wait for a model that is
+ * loading. */
 #include "policy/cold_wait_func.h"
 
 namespace sapphire::policy {
 
 namespace {
 
-/** Part by which loads may be late. */
+/** Fraction by which a load may take longer than expected. */
 constexpr double kLoadTimeError = 0.15;
-/** An engine needs about this to begin an answer. */
+/** Time that an engine needs to start an answer. */
 constexpr std::chrono::milliseconds kBeginning{30};
 
 }  // namespace
--- a/src/policy/cold_wait_func.h
+++ b/src/policy/cold_wait_func.h
@@ -1,5 +1,5 @@
-/** @file cold_wait_func.h Whether a request waits for a model that is loading.
- */
+/** @file cold_wait_func.h Decides whether a request should wait for a model
+ * that is loading. */
 #ifndef SAPPHIRE_POLICY_COLD_WAIT_FUNC_H_
 #define SAPPHIRE_POLICY_COLD_WAIT_FUNC_H_
 
@@ -8,11 +8,11 @@
 namespace sapphire::policy {
 
 /**
- * Loads take longer than expected in company. A caller who waits for one that
- * comes too late gets nothing; one who is refused at once comes back when the
- * model is there.
- * @param ready_in Expected time until the model serves.
- * @param left What the caller bears.
+ * Loads take longer than expected while other loads are in progress. A caller
+ * that waits for a load which ends too late gets no answer; a caller that is
+ * refused at once can retry when the model is loaded.
+ * @param ready_in Expected time until the model can serve requests.
+ * @param left Time that the caller is still willing to wait.
  */
 bool IsWorthWaiting(std::chrono::milliseconds ready_in,
                     std::chrono::milliseconds left);
--- a/src/policy/cold_wait_test.cc
+++ b/src/policy/cold_wait_test.cc
@@ -1,6 +1,6 @@
-/** @file cold_wait_test.cc Tests of waits for models that are loading. Pattern:
- * rare models that no engine has near, asked for by callers who bear little
- * more than one load from the weight store. */
+/** @file cold_wait_test.cc Tests when a request waits for a model that is
+ * loading. In these cases, callers of rare models without a local copy can wait
+ * little longer than one load from the weight store takes. */
 #define BOOST_TEST_MODULE cold_wait
 #include <boost/test/unit_test.hpp>
 
@@ -10,14 +10,15 @@
 
 using std::chrono::milliseconds;
 
-/** Guards against callers who are held to their end and then refused. */
+/** Guards against callers that wait until their deadline and are then
+ * refused. */
 BOOST_AUTO_TEST_CASE(ALoadThatMayComeTooLateIsNotWaitedFor) {
   BOOST_TEST(!IsWorthWaiting(milliseconds(15'300), milliseconds(16'000)));
   BOOST_TEST(IsWorthWaiting(milliseconds(13'800), milliseconds(16'000)));
   BOOST_TEST(!IsWorthWaiting(milliseconds(0), milliseconds(29)));
 }
 
-/** Loads from near copies are waited for. */
+/** Loads from local copies are short enough to wait for. */
 BOOST_AUTO_TEST_CASE(ANearCopyIsWaitedFor) {
   BOOST_TEST(IsWorthWaiting(milliseconds(2000), milliseconds(4000)));
   BOOST_TEST(IsWorthWaiting(milliseconds(30), milliseconds(100)));
--- a/src/policy/crash.cc
+++ b/src/policy/crash.cc
@@ -1,4 +1,4 @@
-/** @file crash.cc Which request crashes engines: told from its fellows. */
+/** @file crash.cc Finds the requests that crash engines. */
 #include <algorithm>
 
 #include "policy/crash_func.h"
@@ -53,8 +53,8 @@
   if (it == tracker.records.end()) return;
   CrashRecord& record = it->second;
   if (record.running.erase(attempt) == 0) return;
-  // A quarantined fingerprint stays so: a copy may have ended just before the
-  // part of the work that crashes.
+  // A quarantined fingerprint stays quarantined: a copy may have completed
+  // without reaching the operation that crashes the engine.
   if (completed && record.crashes < kCrashesToQuarantine) record.crashes = 0;
   DropIfBlank(tracker, fingerprint);
 }
--- a/src/policy/crash_func.h
+++ b/src/policy/crash_func.h
@@ -1,4 +1,4 @@
-/** @file crash_func.h Which request crashes engines: told from its fellows. */
+/** @file crash_func.h Finds the requests that crash engines. */
 #ifndef SAPPHIRE_POLICY_CRASH_FUNC_H_
 #define SAPPHIRE_POLICY_CRASH_FUNC_H_
 
@@ -12,71 +12,75 @@
 
 namespace sapphire::policy {
 
-/** Crashes after which a fingerprint is refused. */
+/** Number of crashes after which requests with a fingerprint are refused. */
 inline constexpr int kCrashesToQuarantine = 2;
 
-/** What is known of one request fingerprint. */
+/** Crash history and running copies of one request fingerprint. */
 struct CrashRecord {
-  /** Engine crashes in which it was running, since it last completed. */
+  /** Engine crashes while a copy was running, since a copy last completed. */
   int crashes = 0;
   core::SteadyTime last_crash;
-  /** Copies in progress. A crash takes all copies at its endpoint at once. */
+  /** Endpoint of each running copy. An engine crash ends all copies at its
+   * endpoint. */
   std::map<core::AttemptId, core::EndpointId> running;
 };
 
-/** Fingerprints that run now or were running in a crash. */
+/** Fingerprints that are running or were running during a crash. */
 struct CrashTracker {
   std::map<std::int64_t, CrashRecord> records;
 };
 
 enum class DispatchVerdict {
   kRun,
-  kRunAlone,       ///< A suspect: only on an engine where nothing else runs.
-  kWaitForCopies,  ///< Only on an engine that runs a copy, and a suspect not
-                   ///< even there; else wait.
-  kQuarantined,    ///< Refused: it may not reach a third engine.
+  kRunAlone,       ///< Suspect: runs only on an engine without other requests.
+  kWaitForCopies,  ///< Runs only on the engine of the running copies, or waits
+                   ///< for them to end; a suspect always waits.
+  kQuarantined,    ///< Refused, so that it can't crash a third engine.
 };
 
 /**
- * Judges a request before it is dispatched.
+ * Decides how a request may be dispatched.
  *
- * The failure guarded against: one request crashes each engine that runs it,
- * and its caller sends it again. Copies of one request run on one engine at a
- * time (where its prefix is cached anyway), so copies sent in parallel can't
- * take several engines down before the first crash is known. Requests that
- * merely ran beside it are suspects too, with one crash each; a suspect is
- * retried alone, so a second crash can't be another request's doing, and an
- * innocent one completes, which clears it.
+ * This guards against a request that crashes every engine it runs on and is
+ * resent by its caller. All copies of a request run on one engine at a time
+ * (where its prefix is cached anyway), so that copies sent in parallel can't
+ * crash several engines before the first crash is known. All requests that were
+ * running during a crash become suspects with one crash each. A suspect is
+ * retried alone on an engine, so that a second crash can't be caused by another
+ * request, and a harmless suspect completes, which resets its count.
  */
 DispatchVerdict JudgeDispatch(const CrashTracker& tracker,
                               std::int64_t fingerprint);
 
-/** @return Engines that run a copy right now. */
+/** @return The endpoints that are running a copy of the request. */
 std::set<core::EndpointId> EnginesWithCopies(const CrashTracker& tracker,
                                              std::int64_t fingerprint);
 
-/** Notes a dispatch; `attempt` is new for each. */
+/** Records a dispatch. Each dispatch has a new `attempt` id. */
 void RecordDispatch(CrashTracker& tracker, std::int64_t fingerprint,
                     const core::AttemptId& attempt,
                     const core::EndpointId& endpoint);
 
-/** Notes that an attempt ended without a crash; clears it if it completed. */
+/** Records that an attempt ended without a crash. If it completed, the crash
+ * count of a fingerprint that is not quarantined is reset. */
 void RecordEnd(CrashTracker& tracker, std::int64_t fingerprint,
                const core::AttemptId& attempt, bool completed);
 
 /**
- * Notes that the engine crashed under an attempt. Reports of further copies on
- * the same engine count as the same crash.
- * @return True if the fingerprint is quarantined by it.
+ * Records that the engine crashed during an attempt. Reports for other copies
+ * on the same engine count as the same crash.
+ * @return True if the fingerprint is now quarantined.
  */
 bool RecordCrash(CrashTracker& tracker, std::int64_t fingerprint,
                  const core::AttemptId& attempt, core::SteadyTime now);
 
-/** Takes over a count kept elsewhere, as after a change of the home. */
+/** Raises the crash count to `crashes`, as counted elsewhere, for example after
+ * the home of a model has changed. */
 void AdoptCrashes(CrashTracker& tracker, std::int64_t fingerprint, int crashes,
                   core::SteadyTime now);
 
-/** Forgets fingerprints whose last crash is longer ago than `keep`. */
+/** Removes fingerprints without running copies whose last crash is longer ago
+ * than `keep`. */
 void ForgetCrashes(CrashTracker& tracker, core::SteadyTime now,
                    std::chrono::milliseconds keep);
 
--- a/src/policy/crash_test.cc
+++ b/src/policy/crash_test.cc
@@ -1,4 +1,5 @@
-/** @file crash_test.cc Harmful requests are stopped, innocent ones are not. */
+/** @file crash_test.cc Tests that requests that crash engines are stopped and
+ * harmless ones are not. */
 #define BOOST_TEST_MODULE crash
 #include <boost/test/unit_test.hpp>
 #include <random>
@@ -19,9 +20,9 @@
   return core::EndpointId("engine-" + std::to_string(n));
 }
 
-// A guest's request crashes the engine that runs it. Its caller's library sends
-// it again at once, and again. Without a memory of it every engine of the
-// deployment would go down in turn; here the third try is refused.
+// A request crashes the engine that runs it, and its client library resends it
+// at once, repeatedly. Without a crash count, it would crash every engine of
+// the deployment in turn; the third try has to be refused.
 BOOST_AUTO_TEST_CASE(ResentRequestIsRefusedBeforeAThirdEngine) {
   CrashTracker tracker;
   RecordDispatch(tracker, 7, Attempt(1), Engine(1));
@@ -32,8 +33,8 @@
   BOOST_TEST((JudgeDispatch(tracker, 7) == DispatchVerdict::kQuarantined));
 }
 
-// A caller sends the same harmful request five times at once. All copies are
-// judged before the first crash is known, so a count of crashes alone would let
+// A caller sends the same harmful request five times in parallel. All copies
+// are checked before the first crash is known, so a crash count alone would let
 // them reach five engines.
 BOOST_AUTO_TEST_CASE(CopiesInParallelReachOneEngineAtATime) {
   CrashTracker tracker;
@@ -48,9 +49,9 @@
   BOOST_TEST((JudgeDispatch(tracker, 7) == DispatchVerdict::kQuarantined));
 }
 
-// Two guests send the same innocent words; both copies are on the engine that
-// another request takes down. Counting each copy's report would quarantine the
-// words after this one crash.
+// Two callers send the same harmless request, and both copies run on an engine
+// that another request crashes. If each copy's report counted as a crash, the
+// request would be quarantined after this one crash.
 BOOST_AUTO_TEST_CASE(CopiesOnOneEngineCountOneCrash) {
   CrashTracker tracker;
   RecordDispatch(tracker, 7, Attempt(1), Engine(1));
@@ -69,13 +70,13 @@
   BOOST_TEST((JudgeDispatch(tracker, 1) == DispatchVerdict::kRun));
 }
 
-/** Engines that run requests of which some crash them, all resent on failure.
- */
+/** Engines that run random requests, some of which crash them; requests are
+ * resent after a failure. */
 class Fleet {
  public:
   explicit Fleet(std::uint64_t seed) : random_(seed), engines_(6) {}
 
-  /** One request comes, and one engine ends what it runs. */
+  /** Dispatches one request and ends the oldest request of one engine. */
   void Step() {
     Dispatch(static_cast<std::int64_t>(random_() % 40));
     EndOne(random_() % engines_.size());
--- a/src/policy/eviction.cc
+++ b/src/policy/eviction.cc
@@ -1,4 +1,4 @@
-/** @file eviction.cc Which idle replicas make room for a load. */
+/** @file eviction.cc Chooses the idle replicas to unload for a load. */
 #include <algorithm>
 #include <limits>
 #include <span>
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Subsets of this many are tried one by one: 1,024 at most. */
+/** Up to this many idle replicas, all subsets are tried: at most 1,024. */
 constexpr std::size_t kExactLimit = 10;
 
 using Candidates = std::vector<const ReplicaView*>;
@@ -29,7 +29,7 @@
   return need.service.empty() || replica.service == need.service;
 }
 
-/** @return True if unloading these meets the need. */
+/** @return True if unloading the chosen replicas meets the need. */
 bool Suffices(std::span<const ReplicaView* const> chosen, std::int64_t missing,
               const EvictionNeed& need) {
   std::int64_t freed = 0;
@@ -72,8 +72,8 @@
   return best;
 }
 
-/** Takes the cheapest per byte until it suffices, then gives back what the
- * later ones have made needless. */
+/** Adds replicas in order of cost per byte until the need is met, then removes
+ * those that are no longer needed. */
 Candidates GreedySubset(Candidates idle, std::int64_t missing,
                         const EvictionNeed& need) {
   const auto per_byte = [&](const ReplicaView* replica) {
--- a/src/policy/eviction_func.h
+++ b/src/policy/eviction_func.h
@@ -1,4 +1,4 @@
-/** @file eviction_func.h Which idle replicas make room for a load. */
+/** @file eviction_func.h Chooses the idle replicas to unload for a load. */
 #ifndef SAPPHIRE_POLICY_EVICTION_FUNC_H_
 #define SAPPHIRE_POLICY_EVICTION_FUNC_H_
 
@@ -9,12 +9,13 @@
 
 namespace sapphire::policy {
 
-/** What has to be freed at one endpoint. */
+/** What the evictions at one endpoint have to free. */
 struct EvictionNeed {
   std::int64_t free_bytes = 0;
-  /** Not empty: the evictions have to free a place of this service. */
+  /** If not empty, a replica of this service has to be evicted, because the
+   * service is at its replica limit. */
   core::ServiceId service;
-  /** Never evicted: the base of an adapter that is to be loaded. */
+  /** Model that is not evicted: the base of the adapter to be loaded. */
   core::ModelId keep;
 };
 
@@ -24,12 +25,13 @@
   double cost = 0;
 };
 
-/** @return What unloading this idle replica is expected to cost. */
+/** @return The expected cost of unloading an idle replica: `reload_cost` if
+ * set, otherwise a value that falls with its idle time. */
 double EvictionCost(const ReplicaView& replica);
 
 /**
- * Chooses the idle replicas whose loss costs least. Exact up to 10 idle
- * replicas, by value for bytes above.
+ * Chooses the idle replicas with the lowest total cost. The choice is exact for
+ * up to 10 idle replicas and greedy by cost per byte for more.
  * @return Nothing if unloading all idle replicas is not enough.
  */
 std::optional<Evictions> ChooseEvictions(const EndpointView& endpoint,
--- a/src/policy/eviction_test.cc
+++ b/src/policy/eviction_test.cc
@@ -1,4 +1,4 @@
-/** @file eviction_test.cc Evictions against every subset there is. */
+/** @file eviction_test.cc Tests evictions against a search of all subsets. */
 #define BOOST_TEST_MODULE eviction
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -33,7 +33,7 @@
   return endpoint;
 }
 
-/** The least cost by trying each replica both ways, one after the other. */
+/** @return The lowest cost, found by trying each replica both ways in turn. */
 double NaiveCost(const EndpointView& endpoint, const EvictionNeed& need,
                  std::size_t next, std::int64_t free, bool place) {
   if (free >= need.free_bytes && place) return 0;
--- a/src/policy/keep_alive.cc
+++ b/src/policy/keep_alive.cc
@@ -1,4 +1,4 @@
-/** @file keep_alive.cc How long an idle replica stays loaded. */
+/** @file keep_alive.cc Decides how long an idle replica stays loaded. */
 #include <algorithm>
 #include <cmath>
 
@@ -12,15 +12,17 @@
 
 /** Upper bound of bucket 0, in seconds. */
 constexpr double kFirstBound = 1.0 / 16;
-/** Arrivals this close to the first of a group would have waited with it. */
+/** Arrivals within this time of the first one of a group would have waited for
+ * the same cold start. */
 constexpr Seconds kGroupSpan{8.0};
-/** What a gap still counts after the next one. */
+/** Factor by which the weight of earlier gaps falls with each new gap. */
 constexpr double kDecay = 0.97;
-/** The prior stands for this many gaps of unknown length, ... */
+/** Number of gaps that the prior counts as. */
 constexpr double kPriorGaps = 3.0;
-/** ... spread evenly over the buckets from this one (2 s) up. */
+/** First bucket of the prior (2 s), which is spread evenly over the buckets
+ * from here up. */
 constexpr std::size_t kPriorFirstBucket = 5;
-/** Mean position of a gap within its bucket, as part of the upper bound. */
+/** Mean length of a gap as a fraction of its bucket's upper bound. */
 constexpr double kMeanInBucket = 0.75;
 
 double UpperBound(std::size_t bucket) {
@@ -41,7 +43,7 @@
   return kPriorGaps / (ArrivalHistory::kBuckets - kPriorFirstBucket);
 }
 
-/** Counts of gaps and of callers after them, prior included. */
+/** Weighted number of gaps in the bucket, prior included. */
 double GapsIn(const ArrivalHistory& history, std::size_t bucket) {
   return history.gaps[bucket] + PriorGapsIn(bucket);
 }
@@ -67,7 +69,8 @@
   if (!last.has_value()) return;
   const bool in_group = now - history.group_start.value_or(*last) < kGroupSpan;
   if (!in_group) StartGroup(history, now - *last, now);
-  // Arrivals of the very first group have no gap before them to count for.
+  // The first group has no gap before it that its arrivals could be counted
+  // for.
   if (history.group_start.has_value()) {
     history.callers[history.group_bucket] += 1;
   }
--- a/src/policy/keep_alive_func.h
+++ b/src/policy/keep_alive_func.h
@@ -1,4 +1,4 @@
-/** @file keep_alive_func.h How long an idle replica stays loaded. */
+/** @file keep_alive_func.h Decides how long an idle replica stays loaded. */
 #ifndef SAPPHIRE_POLICY_KEEP_ALIVE_FUNC_H_
 #define SAPPHIRE_POLICY_KEEP_ALIVE_FUNC_H_
 
@@ -17,38 +17,40 @@
 struct ArrivalHistory {
   static constexpr std::size_t kBuckets = 24;
   std::optional<core::SteadyTime> last_arrival;
-  /** Bucket i: gaps of up to 2^i seconds / 16; decayed as new ones come. */
+  /** Weighted number of gaps per bucket; bucket i holds gaps of up to 2^i / 16
+   * seconds. Weights decay with each new gap. */
   std::array<double, kBuckets> gaps{};
   double total = 0;
-  /** Callers that came with the arrival that ended a gap, per bucket: those a
-   * cold start would have kept waiting. Decayed like `gaps`. */
+  /** Weighted number of callers in the groups that ended a gap, by bucket: a
+   * cold start would have made them wait. Weights decay like those of
+   * `gaps`. */
   std::array<double, kBuckets> callers{};
-  /** Start and bucket of the latest group of callers. */
+  /** Start of the latest group of callers, and bucket of the gap before it. */
   std::optional<core::SteadyTime> group_start;
   std::size_t group_bucket = 0;
 };
 
-/** Prices of the two measures, as in contract::Weights. */
+/** Costs per second of a caller's cold-start wait and of an idle accelerator,
+ * as in contract::Weights. */
 struct CostWeights {
   double cold_start = 1.0;
   double idle = 1.0;
 };
 
-/** Notes an arrival. */
 void RecordArrival(ArrivalHistory& history, core::SteadyTime now);
 
 /**
- * Chooses the time to keep an idle replica: the least expected cost of
- * waiting callers against idle accelerator time, by this model's own gaps.
- * @param load_time What a caller waits if the model has been unloaded.
+ * Chooses the keep-alive time with the lowest expected cost of cold-start waits
+ * and idle accelerator time, from the model's own gaps.
+ * @param load_time How long a caller waits if the model has been unloaded.
  */
 std::chrono::milliseconds KeepAliveTime(const ArrivalHistory& history,
                                         const CostWeights& weights,
                                         std::chrono::milliseconds load_time);
 
 /**
- * @return The expected price of the cold starts that unloading the replica now
- *   would bring about within `horizon`.
+ * @return The expected cost of the cold starts within `horizon` if the replica
+ *   is unloaded now.
  * @param idle Time since the model's last request.
  */
 double ReloadCost(const ArrivalHistory& history, const CostWeights& weights,
@@ -56,7 +58,7 @@
                   std::chrono::milliseconds idle,
                   std::chrono::milliseconds horizon);
 
-/** A loaded replica, as the endpoint that holds it sees it. */
+/** A replica loaded at an endpoint, as seen by that endpoint. */
 struct HeldReplica {
   int running = 0;
   std::chrono::milliseconds idle{0};
@@ -65,12 +67,14 @@
 
 /**
  * @return Indexes of the replicas to unload at one accelerator now. A replica
- *   costs no idle accelerator time while another one there is in use or kept,
- *   so all are kept until the last keep-alive has run out, and leave together.
+ *   costs no idle accelerator time while another one on the same accelerator is
+ *   in use or within its keep-alive time, so all are kept until the last
+ *   keep-alive has expired and are then unloaded together.
  */
 std::vector<std::size_t> ReplicasToUnload(std::span<const HeldReplica> held);
 
-/** @return The weights for one of `replicas` that share an accelerator. */
+/** @return The weights for one of `replicas` replicas on one accelerator, which
+ * share the cost of its idle time. */
 CostWeights SharedWeights(const CostWeights& weights, std::size_t replicas);
 
 }  // namespace sapphire::policy
--- a/src/policy/keep_alive_test.cc
+++ b/src/policy/keep_alive_test.cc
@@ -1,4 +1,5 @@
-/** @file keep_alive_test.cc Keep-alive against the best choice in hindsight. */
+/** @file keep_alive_test.cc Tests keep-alive times against the best choice in
+ * hindsight. */
 #define BOOST_TEST_MODULE keep_alive
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -15,7 +16,8 @@
 constexpr CostWeights kWeights{.cold_start = 20, .idle = 1};
 constexpr milliseconds kLoad{4000};
 
-/** One model's gaps: a mix of short ones within and long ones between uses. */
+/** @return Gaps between one model's requests: short ones within a session and
+ * long ones between sessions. */
 std::vector<double> RandomGaps(std::mt19937_64& random) {
   std::exponential_distribution<double> unit(1);
   const double thinks = std::exp2(4 + static_cast<double>(random() % 4));
@@ -29,7 +31,7 @@
   return gaps;
 }
 
-/** What one keep-alive time would have cost over these gaps. */
+/** @return The cost of a fixed keep-alive time over these gaps. */
 double CostOf(const std::vector<double>& gaps, double keep) {
   double cost = 0;
   for (const double gap : gaps) {
@@ -62,8 +64,9 @@
     const double cost =
         CostOf(gaps, std::chrono::duration<double>(keep).count());
     const double best = BestCost(gaps);
-    // Keeping for the price of one cold start is never worse than twice the
-    // best choice of each gap; a history must not do worse than that.
+    // Keeping a replica until its idle cost reaches the cost of one cold start
+    // is never worse than twice the best choice for each gap; a choice by
+    // history must not do worse than that.
     BOOST_TEST(cost <= 2 * best, "seed " << seed);
     chosen_sum += cost;
     best_sum += best;
--- a/src/policy/placement.cc
+++ b/src/policy/placement.cc
@@ -1,4 +1,5 @@
-/** @file placement.cc Where a request runs, waits or loads its model. */
+/** @file placement.cc Decides where a request runs, waits or loads its
+ * model. */
 #include <algorithm>
 #include <tuple>
 
@@ -11,20 +12,20 @@
 
 namespace {
 
-/** Hint to callers when only an unload elsewhere can help. */
+/** Retry hint to callers if only an unload elsewhere can free capacity. */
 constexpr Millis kNoCapacityRetry{2000};
-/** What loading in another zone than the caller's is worth avoiding. */
+/** Penalty for loading in another zone than the caller's, in ms of waiting. */
 constexpr double kOtherZoneMillis = 2;
-/** What waking an accelerator that holds nothing is worth avoiding. */
+/** Penalty for loading on an accelerator that holds no model. */
 constexpr double kEmptyMillis = 4000;
-/** The same for one that holds models but runs nothing. */
+/** Penalty for loading on one that holds models but runs no request. */
 constexpr double kIdleMillis = 1500;
-/** What one unit of EvictionCost is worth avoiding. */
+/** Penalty for each unit of EvictionCost. */
 constexpr double kEvictionMillis = 20;
-/** A second replica has to save this part of its load time. */
+/** Another replica has to save at least this fraction of its load time. */
 constexpr double kSecondReplicaGain = 0.5;
 
-/** One reload in this many finds its checkpoint on disk only. */
+/** One reload out of this many has to read the checkpoint from disk. */
 constexpr int kReloadsFromDisk = 4;
 
 bool Usable(const EndpointView& endpoint, const PlacementRequest& request) {
@@ -58,16 +59,16 @@
          replica.running < request.max_concurrent;
 }
 
-/** A replica of the model at an endpoint that may be used. */
+/** A replica of the model at a usable endpoint. */
 struct Site {
   const EndpointView* endpoint = nullptr;
   const ReplicaView* replica = nullptr;
 };
 
-/** What one pass over the fleet finds out about the model. */
+/** Result of one pass over the fleet: the replicas of the model. */
 struct Survey {
   std::vector<Site> sites;
-  /** Replicas that count against the model's limit, usable or not. */
+  /** Replicas that count towards the model's limit, usable or not. */
   int held = 0;
   bool any_usable = false;
 };
@@ -89,7 +90,8 @@
   return survey;
 }
 
-/** Smaller is better: adapter missing, prefix missing, other zone, load. */
+/** Sort key for sites, best first: adapter loaded, prefix cached, same zone,
+ * fewest running requests. */
 auto RunRank(const Site& site, const PlacementRequest& request) {
   const bool no_prefix = request.prefix_hash != 0 &&
                          !site.replica->prefixes.contains(request.prefix_hash);
@@ -98,7 +100,8 @@
                          site.replica->running, site.endpoint->id);
 }
 
-/** @return The best site with a free slot and room for the adapter, if any. */
+/** @return The best site with a free slot and memory for the adapter, if
+ * any. */
 const Site* ChooseRun(const PlacementRequest& request, const Survey& survey) {
   const Site* best = nullptr;
   for (const Site& site : survey.sites) {
@@ -114,7 +117,7 @@
   return best;
 }
 
-/** A load and what speaks against it. */
+/** A possible load and its penalties. */
 struct LoadChoice {
   const EndpointView* endpoint = nullptr;
   std::vector<core::ModelId> evict;
@@ -131,7 +134,8 @@
          std::tie(b.too_late, b.score, b.endpoint->id);
 }
 
-/** Base loaded, but no room for the adapter beside it: evict for it. */
+/** @return The best site where the base is loaded and evictions can make room
+ * for the adapter. */
 LoadChoice ChooseAdapterLoad(const PlacementRequest& request,
                              const Survey& survey, const LoadTimes& loads) {
   LoadChoice best;
@@ -151,7 +155,8 @@
   return best;
 }
 
-/** An engine carries out one order at a time: a load there waits for others. */
+/** @return Time until the endpoint's loads in progress have ended: an engine
+ * executes one order at a time, so another load has to wait for them. */
 Millis LoadingAt(const EndpointView& endpoint) {
   Millis left{0};
   for (const ReplicaView& replica : endpoint.replicas) {
@@ -161,7 +166,7 @@
   return left;
 }
 
-/** Cost of the accelerator time that loading here brings, as if a wait. */
+/** @return The penalty for the accelerator time that a load here would use. */
 double WakeMillis(const EndpointView& endpoint) {
   if (endpoint.replicas.empty()) return kEmptyMillis;
   return RunningAt(endpoint) > 0 ? 0 : kIdleMillis;
@@ -173,7 +178,8 @@
   });
 }
 
-/** @return What has to be freed for a load, given the service's limit. */
+/** @return What has to be freed for a load; at the service's replica limit,
+ * this includes one of its replicas. */
 EvictionNeed NeedOf(const PlacementRequest& request) {
   EvictionNeed need;
   need.free_bytes = request.replica_bytes + request.adapter_bytes;
@@ -186,8 +192,8 @@
 bool MayLoad(const PlacementRequest& request, const Survey& survey) {
   if (survey.held >= request.max_replicas) return false;
   const bool place = request.service_replicas < request.service_max_replicas;
-  // At the service's limit an eviction of the same service makes the place,
-  // but only if the limit is kept now.
+  // At the service's replica limit, evicting a replica of the same service
+  // makes room for a new one, but only if the limit is not already exceeded.
   const bool exchange =
       !request.service.empty() &&
       request.service_replicas == request.service_max_replicas;
@@ -226,8 +232,8 @@
                                    const PlacementRequest& request) {
   std::vector<QueueServer> servers;
   for (const Site& site : survey.sites) {
-    // A slot is free and yet the request does not run: there is no room for its
-    // adapter, and waiting for a slot would not make any.
+    // If a slot is free, the request doesn't run because there is no memory for
+    // its adapter; waiting for a slot would not change that.
     if (HasSlot(*site.endpoint, *site.replica, request)) continue;
     servers.push_back({.ready_in = site.replica->ready_in,
                        .loading = site.replica->state == ReplicaState::kLoading,
@@ -278,7 +284,7 @@
   return decision;
 }
 
-/** @return True if another replica is worth its load. */
+/** @return True if the time saved by another replica is worth its load. */
 bool WorthLoading(const PlacementRequest& request, std::optional<Millis> queue,
                   Millis with_load, const LoadChoice& load) {
   if (!queue.has_value()) return true;
@@ -290,7 +296,8 @@
          kSecondReplicaGain * static_cast<double>(load.ready_in.count());
 }
 
-/** No slot is free: wait for one, load another replica, or refuse. */
+/** Decides whether to wait for a slot, load another replica or refuse, when no
+ * slot is free. */
 PlacementDecision WaitOrLoad(const PlacementRequest& request,
                              const Survey& survey, const LoadChoice& load) {
   auto servers = ServersOf(survey, request);
--- a/src/policy/placement_func.h
+++ b/src/policy/placement_func.h
@@ -1,4 +1,5 @@
-/** @file placement_func.h Where a request runs, waits or loads its model. */
+/** @file placement_func.h Decides where a request runs, waits or loads its
+ * model. */
 #ifndef SAPPHIRE_POLICY_PLACEMENT_FUNC_H_
 #define SAPPHIRE_POLICY_PLACEMENT_FUNC_H_
 
@@ -11,17 +12,17 @@
 namespace sapphire::policy {
 
 /**
- * Decides for one request against what is known of all endpoints.
- * Refuses at once what can't start and, by `service_time`, end in its remaining
- * time. Never more than the model's and the service's limits of replicas, never
- * more than an endpoint's memory after the evictions it names.
+ * Decides where a request runs, from the current view of all endpoints. Refuses
+ * at once a request that can't start and, given its `service_time`, end within
+ * its remaining time. Never exceeds the replica limits of the model and the
+ * service, nor an endpoint's memory after the evictions in the decision.
  * @param loads Expected load times of this model.
  */
 PlacementDecision DecidePlacement(const PlacementRequest& request,
                                   std::span<const EndpointView> endpoints,
                                   const LoadTimes& loads);
 
-/** @return The tier this endpoint would load `model` from. */
+/** @return The tier that this endpoint would load `model` from. */
 Tier TierAt(const EndpointView& endpoint, const core::ModelId& model);
 
 /** @return "memory", "disk" or "remote". */
@@ -31,15 +32,15 @@
 Millis LoadTimeFrom(const LoadTimes& loads, Tier tier);
 
 /**
- * @return What loading a model again is expected to take after it has been
- *   unloaded: its checkpoint mostly stays in the machine's memory. For
+ * @return The expected time to load a model again after it has been unloaded:
+ *   its checkpoint usually stays in the machine's memory. Used for
  *   KeepAliveTime and ReloadCost.
  */
 Millis ExpectedReloadTime(const LoadTimes& loads);
 
 /**
- * Rendezvous hashing: the candidates in order of preference for `key`.
- * Removing a candidate moves only the keys that it was first for.
+ * Orders the candidates by rendezvous hashing for `key`, most preferred first.
+ * Removing a candidate moves only the keys that had it first.
  */
 std::vector<core::VmId> RankHomes(std::string_view key,
                                   std::span<const core::VmId> candidates);
--- a/src/policy/placement_test.cc
+++ b/src/policy/placement_test.cc
@@ -1,4 +1,5 @@
-/** @file placement_test.cc Placement against all that would be possible. */
+/** @file placement_test.cc Tests placement decisions against an exhaustive
+ * search. */
 #define BOOST_TEST_MODULE placement
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -142,7 +143,7 @@
   return it == endpoint.replicas.end() ? nullptr : &*it;
 }
 
-/** What must hold of a load, whatever else would have been possible. */
+/** Checks the conditions that every load has to meet. */
 void CheckLoad(const PlacementRequest& request,
                const std::vector<EndpointView>& fleet,
                const PlacementDecision& decision) {
@@ -196,7 +197,8 @@
   }
 }
 
-/** Tries every set of idle replicas at an endpoint. */
+/** @return True if some set of idle replicas at the endpoint makes enough room
+ * for the load. */
 bool SomeEvictionFits(const PlacementRequest& request,
                       const EndpointView& endpoint) {
   const std::size_t count = endpoint.replicas.size();
@@ -219,7 +221,7 @@
   return false;
 }
 
-/** @return True if a load somewhere would serve the request in its time. */
+/** @return True if a load at some endpoint would serve the request in time. */
 bool SomeLoadInTime(const PlacementRequest& request,
                     const std::vector<EndpointView>& fleet,
                     const LoadTimes& loads) {
@@ -258,7 +260,8 @@
       BOOST_TEST(!SomeLoadInTime(request, fleet, loads));
     }
   }
-  // Both kinds of outcome have been met often enough to mean something.
+  // Checks that both outcomes occurred often enough for the test to be
+  // meaningful.
   BOOST_TEST(refused > 200);
   BOOST_TEST(loaded > 200);
 }
@@ -301,8 +304,9 @@
   }
 }
 
-// A model takes 8 s to load and its callers wait 5 s. Each of them is refused;
-// if the refusal did not start the load, every retry would be refused as well.
+// A model takes 8 s to load and its callers wait 5 s, so each of them is
+// refused. If the refusal didn't start the load, every retry would be refused
+// too.
 BOOST_AUTO_TEST_CASE(RefusalStartsTheLoadForTheRetry) {
   EndpointView endpoint;
   endpoint.id = core::EndpointId("engine-0");
@@ -319,8 +323,8 @@
   BOOST_TEST((decision.retry_after == LoadTimes{}.remote));
 }
 
-// A suspect of a crash must run where nothing else does: an innocent request
-// beside it would be a suspect next.
+// A request suspected of crashing engines has to run alone: a harmless request
+// on the same engine would become a suspect too.
 BOOST_AUTO_TEST_CASE(SuspectRunsAloneAndNothingJoinsIt) {
   EndpointView endpoint;
   endpoint.id = core::EndpointId("engine-0");
--- a/src/policy/queue_wait.cc
+++ b/src/policy/queue_wait.cc
@@ -1,4 +1,4 @@
-/** @file queue_wait.cc How long a queue takes on the replicas it has. */
+/** @file queue_wait.cc Estimates the waiting time in a queue. */
 #include <algorithm>
 
 #include "policy/queue_wait_func.h"
@@ -7,15 +7,16 @@
 
 namespace {
 
-/** A longer wait is as good as none. */
+/** Upper limit of the estimate; a longer wait counts as no service at all. */
 constexpr Millis kHorizon = std::chrono::hours(1);
 
-/** Requests one server has started `wait` from now. */
+/** @return The number of requests that a server starts within `wait` from
+ * now. */
 std::int64_t StartsBy(const QueueServer& server, Millis service_time,
                       Millis wait) {
   const std::int64_t service = std::max<std::int64_t>(1, service_time.count());
-  // Slots in use free up evenly over one service time; those of a replica that
-  // loads are all free when it is ready.
+  // Slots in use become free evenly over one service time; all slots of a
+  // loading replica become free when it is ready.
   if (!server.loading) return server.slots * wait.count() / service;
   const Millis after = wait - server.ready_in;
   if (after < Millis(0)) return 0;
--- a/src/policy/queue_wait_func.h
+++ b/src/policy/queue_wait_func.h
@@ -1,4 +1,4 @@
-/** @file queue_wait_func.h How long a queue takes on the replicas it has. */
+/** @file queue_wait_func.h Estimates the waiting time in a queue. */
 #ifndef SAPPHIRE_POLICY_QUEUE_WAIT_FUNC_H_
 #define SAPPHIRE_POLICY_QUEUE_WAIT_FUNC_H_
 
@@ -9,17 +9,18 @@
 
 namespace sapphire::policy {
 
-/** One replica that serves a queue, reduced to what the wait depends on. */
+/** A replica that serves the queue, with the values the wait depends on. */
 struct QueueServer {
-  /** Zero if it is ready and all its slots are taken. */
+  /** Time until it is ready; zero if it is ready and all its slots are in
+   * use. */
   Millis ready_in{0};
   bool loading = false;
   int slots = 1;
 };
 
 /**
- * @param ahead Requests that start before the one asked for.
- * @return Until the next one after them starts; nothing if it never does.
+ * @param ahead Number of requests that start before this one.
+ * @return Time until the request starts, or nothing if it never does.
  */
 std::optional<Millis> QueueWait(std::span<const QueueServer> servers,
                                 Millis service_time, int ahead);
--- a/src/policy/queue_wait_test.cc
+++ b/src/policy/queue_wait_test.cc
@@ -1,5 +1,5 @@
-/** @file queue_wait_test.cc Waits against a count millisecond by millisecond.
- */
+/** @file queue_wait_test.cc Tests queue waits against a simulation in steps of
+ * a millisecond. */
 #define BOOST_TEST_MODULE queue_wait
 #include <boost/test/unit_test.hpp>
 #include <random>
@@ -9,7 +9,8 @@
 namespace sapphire::policy {
 namespace {
 
-/** Lets each server start requests at its own moments until all are served. */
+/** Simulates the servers millisecond by millisecond until the request
+ * starts. */
 Millis NaiveWait(const std::vector<QueueServer>& servers, int service,
                  int ahead) {
   int started = 0;
--- a/src/policy/repeat_budget.cc
+++ b/src/policy/repeat_budget.cc
@@ -1,4 +1,4 @@
-/** @file repeat_budget.cc How often requests may be sent once more. */
+/** @file repeat_budget.cc Limits how often requests are sent again. */
 #include <algorithm>
 
 #include "policy/repeat_budget_base.h"
@@ -7,8 +7,8 @@
 
 namespace {
 
-/** Part of the limit that is used: requests may reach engines a little later
- * than they are counted here, so windows do not match exactly. */
+/** Fraction of the limit that is used: requests may reach engines a little
+ * later than they are counted here, so the windows don't match exactly. */
 constexpr double kMargin = 0.75;
 
 void DropBefore(std::deque<core::SteadyTime>& times, core::SteadyTime limit) {
--- a/src/policy/repeat_budget_base.h
+++ b/src/policy/repeat_budget_base.h
@@ -1,4 +1,4 @@
-/** @file repeat_budget_base.h How often requests may be sent once more. */
+/** @file repeat_budget_base.h Limits how often requests are sent again. */
 #ifndef SAPPHIRE_POLICY_REPEAT_BUDGET_BASE_H_
 #define SAPPHIRE_POLICY_REPEAT_BUDGET_BASE_H_
 
@@ -9,23 +9,25 @@
 
 namespace sapphire::policy {
 
-/** What all entries together may send beyond the first of each request. */
+/** Limits of the repeats (sends after the first one of each request) of all
+ * entries together. */
 struct RepeatLimits {
-  /** Repeats for each request, over the window. */
+  /** Repeats allowed per request within the window. */
   double ratio = 0.2;
-  /** Repeats on top, of all entries together. */
+  /** Additional repeats within the window, for all entries together. */
   double extra = 50;
   std::chrono::milliseconds window{10'000};
 };
 
 /**
- * One entry's part of the repeats to one service.
+ * One entry's share of the repeats to one service.
  *
- * The failure met: engines fail, each entry sends again, and the repeats bury
- * the engines that are left. All entries share one limit; asking each other
- * before a repeat would cost a call each, so every entry keeps to its own part:
- * the ratio of its own requests, and an even share of the extra. Each part
- * holds by itself, so the sum holds without a word between entries.
+ * This guards against entries that send requests again after engine failures
+ * and overload the remaining engines. All entries share one limit. Asking each
+ * other before each repeat would cost a call each, so every entry keeps to its
+ * own share: the ratio of its own requests and an even part of the extra
+ * repeats. The shares add up to the limit without any communication between
+ * entries.
  */
 class RepeatBudget {
  public:
@@ -34,14 +36,14 @@
 
   void SetLimits(const RepeatLimits& limits) { limits_ = limits; }
 
-  /** A request of a caller has come. */
+  /** Counts a request of a caller. */
   void CountRequest();
 
   /**
-   * @param entries How many entries share the extra.
-   * @param reserve Share of the budget to leave untouched, 0 to 1: for repeats
-   *   that may be done without.
-   * @return True, and counts it, if one more repeat is allowed.
+   * @param entries Number of entries that share the extra repeats.
+   * @param reserve Fraction of the budget to leave unused, 0 to 1; set for
+   *   optional repeats.
+   * @return True if one more repeat is allowed; it is then counted.
    */
   bool TakeRepeat(int entries, double reserve);
 
--- a/src/policy/repeat_budget_test.cc
+++ b/src/policy/repeat_budget_test.cc
@@ -1,4 +1,4 @@
-/** @file repeat_budget_test.cc Tests of the limit of repeats. */
+/** @file repeat_budget_test.cc Tests the limit of repeats. */
 #define BOOST_TEST_MODULE repeat_budget
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -15,10 +15,10 @@
 }  // namespace
 
 /**
- * Half of a service's engines fail each request. Without a limit every entry
- * sends each of its requests again, and the engines that are left drown.
- * Five entries, 8 requests a second each: together never over
- * 0.2 x requests + 56 repeats in any ten seconds.
+ * Half of a service's engines fail every request. Without a limit, every entry
+ * would send each of its requests again and overload the remaining engines.
+ * With five entries that receive 8 requests a second each, there must never be
+ * more than 0.2 x requests + 56 repeats in any ten seconds.
  */
 BOOST_AUTO_TEST_CASE(AllEntriesTogetherKeepTheLimitInEveryWindow) {
   constexpr int kEntries = 5;
--- a/src/policy/replica_choice.cc
+++ b/src/policy/replica_choice.cc
@@ -1,5 +1,5 @@
-/** @file replica_choice.cc Which of the engines that hold a model serves a
- * request. */
+/** @file replica_choice.cc Chooses the engine for a request among those that
+ * hold the model. */
 #include <algorithm>
 
 #include "policy/replica_choice_func.h"
@@ -10,41 +10,48 @@
 
 namespace {
 
-/** Bytes between zones cost operators money: worth a little lateness, less
- * than one full batch step more. */
+/** Penalty for another zone: traffic between zones costs operators money, which
+ * is worth a small delay, but less than one full batch step. */
 constexpr milliseconds kOtherZone{8};
-/** What each request at work adds to the first byte of the next. Origin: a
- * draft runs 2 s and its prompt of 1460 tokens is read in 73 ms, so each one at
- * work stands for 3.6 % of an engine's time spent reading, which holds up
- * everybody there. */
+/** Time that each running request adds to the first byte of the next. A draft
+ * runs for 2 s and its prompt of 1460 tokens takes 73 ms to prefill, so each
+ * running request accounts for 3.6 % of an engine's time spent on prefill,
+ * which delays all requests there. */
 constexpr milliseconds kPerRunning{4};
-/** A request behind a full engine waits for a whole other request. */
+/** Penalty for a full engine: the request waits until another one has
+ * finished. */
 constexpr milliseconds kFullEngine{1500};
-/** What a certain failure would cost: the time of a second try. */
+/** Penalty for a failure rate of 1: the time of a second try. */
 constexpr milliseconds kFailure{1200};
-/** Slower than any busy engine, better than none. */
+/** Penalty for an engine that is warming up: it is slower than any busy engine
+ * but better than none. */
 constexpr milliseconds kWarmUp{300};
-/** A first byte that takes longer than this makes an engine doubtful. */
+/** An engine is suspect if a first byte takes longer than this. */
 constexpr milliseconds kUsualSilence{600};
-/** Share of the tokens in use above which requests are pushed out. */
+/** Fraction of the KV cache in use above which the engine preempts requests. */
 constexpr double kTightMemory = 0.9;
-/** Requests at work on one engine above which another shall help. Origin: at
- * 8 drafts of 2 s each, reading their prompts takes 29 % of the engine's time,
- * and two that come together already make a pause of 150 ms for all; engines
- * with 30 and more made half of all streams late by their pauses. */
+/** Number of requests on an engine above which another replica should share the
+ * load. With 8 drafts of 2 s each, prefill takes 29 % of the engine's time, and
+ * two prompts that arrive together already pause all streams for 150 ms. On
+ * engines with 30 and more requests, such pauses made half of all streams
+ * late. */
 constexpr int kFilling = 8;
-/** From here streams pause too long: worth a load from the weight store, which
- * holds up an engine's other loads for 9 s or, in company, 18 s. */
+/** Number of requests on an engine above which streams pause for too long:
+ * another replica is then worth a load from the weight store, which blocks
+ * other loads of that engine for 9 s, or for 18 s while other loads use the
+ * store. */
 constexpr int kCrowded = 24;
-/** Engines that a model wakes on at once, at most. Origin: the busiest model of
- * the operators' sheets, 30 % of 20 drafts a second, with the two seconds of
- * its load gathers 12 to 40 requests; four engines take them at 3 to 10 each.
- */
+/** Maximum number of engines that a model is woken on at once. The busiest
+ * model of the operators' data gets 30 % of 20 drafts a second, so 12 to 40
+ * requests arrive during its load of two seconds; four engines serve them with
+ * 3 to 10 each. */
 constexpr int kMostAtOnce = 4;
-/** Requests a second below which a crowd on an engine is not a model's own:
- * rare models are asked for every half minute, 0.03 a second. */
+/** Demand in requests a second below which a high load on an engine is caused
+ * by other models: rare models are requested every half minute, 0.03 times a
+ * second. */
 constexpr double kOftenAsked = 0.4;
-/** Requests a second from which a model shall survive the loss of an engine. */
+/** Demand in requests a second above which a model needs a second replica to
+ * survive the loss of an engine. */
 constexpr double kBusyModel = 1.0;
 
 milliseconds Millis(double ms) {
@@ -63,7 +70,7 @@
   return after > kTightMemory * static_cast<double>(candidate.kv_total);
 }
 
-/** Time of the work itself and of the queue before it. */
+/** @return The time to the first byte, including the queue before it. */
 milliseconds WorkTime(const ReplicaCandidate& candidate,
                       const RequestSize& size, const EnginePace& pace) {
   if (size.service_time.count() > 0) {
@@ -72,7 +79,8 @@
   }
   const auto unread =
       std::max<std::int64_t>(size.prompt_tokens - candidate.known_tokens, 0);
-  // Each request at work makes a step longer; those that wait are read first.
+  // Each running request makes a step longer; the prompts of waiting requests
+  // are prefilled first.
   const double reading =
       static_cast<double>(unread) * (1.0 + candidate.waiting);
   const auto running = static_cast<double>(candidate.running);
@@ -92,8 +100,8 @@
   if (candidate.warming_up) cost += kWarmUp;
   cost +=
       Millis(candidate.failure_rate * static_cast<double>(kFailure.count()));
-  // The failure met: an engine that takes requests and never answers. Nothing
-  // fails for a while, but its oldest request grows older than any usual one.
+  // An engine that accepts requests but never answers causes no failures for a
+  // while; only its oldest request becomes older than usual.
   if (IsSilent(candidate)) cost += candidate.oldest_silence;
   return cost;
 }
@@ -124,8 +132,8 @@
              MemoryIsTight(it, RequestSize());
     });
   };
-  // A rare model beside a busy one sees a crowded engine, too; a replica of it
-  // would take the place of a model that somebody asks for.
+  // A rare model that shares an engine with a busy one also sees a high load,
+  // but a replica of it would displace a model that is in demand.
   if (demand_per_second < kOftenAsked) return ReplicaNeed::kNone;
   if (all_above(kCrowded)) return ReplicaNeed::kUrgent;
   if (all_above(kFilling)) return ReplicaNeed::kUseful;
--- a/src/policy/replica_choice_test.cc
+++ b/src/policy/replica_choice_test.cc
@@ -1,4 +1,5 @@
-/** @file replica_choice_test.cc Tests of the choice between replicas. */
+/** @file replica_choice_test.cc Tests the choice between replicas and the need
+ * for further ones. */
 #define BOOST_TEST_MODULE replica_choice
 #include <boost/test/unit_test.hpp>
 #include <vector>
@@ -39,7 +40,8 @@
   BOOST_TEST(*Choose({full, Idle(false)}) == 1);
 }
 
-/** A prompt of 1460 tokens takes 73 ms to read: more than another zone. */
+/** A prompt of 1460 tokens takes 73 ms to prefill, which is more than the
+ * penalty for another zone. */
 BOOST_AUTO_TEST_CASE(AnEngineThatHasReadThePromptIsWorthAnotherZone) {
   ReplicaCandidate reader = Idle(false);
   reader.known_tokens = 1200;
@@ -47,8 +49,9 @@
 }
 
 /**
- * Callers of one zone wait for good: an engine takes their requests and never
- * answers, while its health is good and it looks idle, so it is chosen again.
+ * An engine accepts requests and never answers, while its health check passes
+ * and it looks idle. Without the penalty for silence, it would be chosen again
+ * and again, and the callers of its zone would wait forever.
  */
 BOOST_AUTO_TEST_CASE(ASilentEngineIsLeftAlone) {
   ReplicaCandidate silent = Idle(true);
@@ -62,7 +65,8 @@
   BOOST_TEST(*Choose({failing, Idle(false)}) == 1);
 }
 
-/** Busy models survive the loss of an engine; rare ones do not take two. */
+/** A busy model needs a second replica to survive the loss of an engine; a rare
+ * model must not take up two engines. */
 BOOST_AUTO_TEST_CASE(OnlyABusyModelStandsOnTwoEngines) {
   const std::vector<ReplicaCandidate> one = {Idle(true)};
   BOOST_TEST((NeedForReplica(one, 0.03) == ReplicaNeed::kNone));
@@ -70,8 +74,8 @@
 }
 
 /**
- * A model that is asked for 9 times a second on two engines: each works on 30
- * to 45 drafts at once, and half of all streams pause for over 300 ms.
+ * A model with 9 requests a second has two engines. Each of them runs 30 to 45
+ * drafts at once, and half of all streams pause for more than 300 ms.
  */
 BOOST_AUTO_TEST_CASE(CrowdedEnginesCallForAnother) {
   std::vector<ReplicaCandidate> two = {Idle(true), Idle(true)};
@@ -82,13 +86,14 @@
   BOOST_TEST((NeedForReplica(two, 9.0) == ReplicaNeed::kUseful));
   two[1].running = 32;
   BOOST_TEST((NeedForReplica(two, 9.0) == ReplicaNeed::kUrgent));
-  // The crowd is another model's: a rare one gains nothing by a replica.
+  // The load is caused by another model: a rare model gains nothing from
+  // another replica.
   BOOST_TEST((NeedForReplica(two, 0.1) == ReplicaNeed::kNone));
 }
 
 /**
- * Pattern: a crowd gathers while a model loads. Seven requests are few enough
- * for one engine (as kFilling says); more are shared, by four engines at most.
+ * Requests accumulate while a model loads. One engine can serve seven of them
+ * (kFilling); more are shared by up to four engines.
  */
 BOOST_AUTO_TEST_CASE(ACrowdThatWaitsIsSharedBySeveralEngines) {
   BOOST_TEST(EnginesForWaiting(0) == 1);
--- a/src/policy/service_time.cc
+++ b/src/policy/service_time.cc
@@ -1,15 +1,15 @@
-/** @file service_time.cc How long a model's requests take, as learnt. */
+/** @file service_time.cc Estimates how long a model's requests take. */
 #include "policy/service_time_func.h"
 
 namespace sapphire::policy {
 
 namespace {
 
-/** A new value counts for one part in this many. */
+/** A new value has a weight of one part in this many. */
 constexpr int kMeanParts = 8;
 constexpr int kDeviationParts = 4;
-/** Deviations above the mean that admission counts with: more of them means
- * fewer late answers and more refusals, as measured in docs/POLICY.md. */
+/** Number of mean deviations added to the mean for admission. More of them mean
+ * fewer late answers but more refusals, as measured in docs/POLICY.md. */
 constexpr int kCautiousDeviations = 1;
 
 }  // namespace
--- a/src/policy/service_time_func.h
+++ b/src/policy/service_time_func.h
@@ -1,4 +1,4 @@
-/** @file service_time_func.h How long a model's requests take, as learnt. */
+/** @file service_time_func.h Estimates how long a model's requests take. */
 #ifndef SAPPHIRE_POLICY_SERVICE_TIME_FUNC_H_
 #define SAPPHIRE_POLICY_SERVICE_TIME_FUNC_H_
 
@@ -12,12 +12,12 @@
   std::chrono::milliseconds deviation{0};
 };
 
-/** Notes that a request ran for `duration`. */
+/** Adds the duration of one request to the running mean and deviation. */
 void RecordServiceTime(ServiceTimes& times, std::chrono::milliseconds duration);
 
 /**
- * @return A time that most requests keep to: what admission counts with, so
- *   that one admitted to the queue seldom ends late.
+ * @return A duration that most requests don't exceed. Admission uses it so that
+ *   an admitted request seldom ends late.
  */
 std::chrono::milliseconds CautiousServiceTime(const ServiceTimes& times);
 
--- a/src/policy/service_time_test.cc
+++ b/src/policy/service_time_test.cc
@@ -1,4 +1,5 @@
-/** @file service_time_test.cc The cautious time against the times that were. */
+/** @file service_time_test.cc Tests the admission estimate against random
+ * service times. */
 #define BOOST_TEST_MODULE service_time
 #include <boost/test/unit_test.hpp>
 #include <random>
--- a/src/policy/staging.cc
+++ b/src/policy/staging.cc
@@ -1,4 +1,4 @@
-/** @file staging.cc Brings checkpoints near before anyone waits for them. */
+/** @file staging.cc Chooses checkpoints to copy to local storage in advance. */
 #include <algorithm>
 #include <set>
 #include <tuple>
@@ -14,7 +14,7 @@
          !endpoint.reserved_for_suspect;
 }
 
-/** Models that an endpoint in use holds or could load by itself. */
+/** @return Models that a usable endpoint holds or has a local copy of. */
 std::set<core::ModelId> LocalModels(std::span<const EndpointView> endpoints) {
   std::set<core::ModelId> local;
   for (const EndpointView& endpoint : endpoints) {
--- a/src/policy/staging_func.h
+++ b/src/policy/staging_func.h
@@ -1,5 +1,5 @@
-/** @file staging_func.h Brings checkpoints near before anyone waits for them.
- */
+/** @file staging_func.h Chooses checkpoints to copy to local storage in
+ * advance. */
 #ifndef SAPPHIRE_POLICY_STAGING_FUNC_H_
 #define SAPPHIRE_POLICY_STAGING_FUNC_H_
 
@@ -10,12 +10,12 @@
 
 namespace sapphire::policy {
 
-/** A model that might be staged. */
+/** A model that could be staged. */
 struct StagingCandidate {
   core::ModelId model;
-  /** Weights and KV budget of one replica. */
+  /** Size of the weights and KV cache budget of one replica. */
   std::int64_t replica_bytes = 0;
-  /** Expected callers of its cold starts; only the order counts. */
+  /** Expected number of callers of its cold starts; only the order matters. */
   double demand = 0;
 };
 
@@ -25,14 +25,16 @@
 };
 
 /**
- * The longest cold starts are those that read from the weight store. While the
- * store is not wanted by a caller, a model without any copy in an endpoint's
- * memory or disk tier is loaded once, with no keep-alive, so that its next
- * load is a local one. Takes free memory only and evicts nothing; to be ordered
- * through the store's lanes as prewarming and through the ledger like any load.
- * @return The model in most demand that lacks a local copy, and where to load
- *   it: the endpoint with fewest checkpoints on disk, one in use before an idle
- *   one. Nothing if there is none, or no endpoint has the room.
+ * Chooses the next model to stage. The longest cold starts are those that read
+ * from the weight store. While no caller needs the store, a model without a
+ * copy in any endpoint's memory or disk tier is loaded once, without
+ * keep-alive, so that its next load is local. Staging uses only free memory and
+ * evicts nothing. The load has to be ordered as prewarming through the store's
+ * lanes, and through the ledger like any other load.
+ * @return The model with the highest demand and no local copy, and the endpoint
+ *   to load it at: the one with the fewest checkpoints on disk, preferring
+ *   endpoints in use to idle ones. Nothing if there is no such model or no
+ *   endpoint has enough free memory.
  */
 std::optional<StagingDecision> ChooseStaging(
     std::span<const StagingCandidate> candidates,
--- a/src/policy/staging_test.cc
+++ b/src/policy/staging_test.cc
@@ -1,4 +1,4 @@
-/** @file staging_test.cc Staging against a plain search. */
+/** @file staging_test.cc Tests staging against an exhaustive search. */
 #define BOOST_TEST_MODULE staging
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
--- a/src/policy/store_lane.cc
+++ b/src/policy/store_lane.cc
@@ -1,4 +1,5 @@
-/** @file store_lane.cc Who may load from the weight store now. */
+/** @file store_lane.cc Decides which loads may read from the weight store
+ * now. */
 #include <algorithm>
 
 #include "policy/store_lane_func.h"
@@ -9,10 +10,11 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/** @return Loads that may start now without passing the rate. */
+/** @return How many loads may start now within the rate limit. */
 int StartsLeft(const StoreLimits& limits, const StoreUse& use,
                core::SteadyTime now) {
-  // Below one load a second, one load is allowed in a longer window.
+  // Below one load a second, one load is allowed per window of more than a
+  // second.
   const double rate = limits.loads_per_second;
   if (rate <= 0) return 0;
   const int allowed = std::max(1, static_cast<int>(rate));
--- a/src/policy/store_lane_func.h
+++ b/src/policy/store_lane_func.h
@@ -1,4 +1,5 @@
-/** @file store_lane_func.h Who may load from the weight store now. */
+/** @file store_lane_func.h Decides which loads may read from the weight store
+ * now. A lane is the right to run one of its concurrent loads. */
 #ifndef SAPPHIRE_POLICY_STORE_LANE_FUNC_H_
 #define SAPPHIRE_POLICY_STORE_LANE_FUNC_H_
 
@@ -13,37 +14,40 @@
 
 namespace sapphire::policy {
 
-/** The weight store's allowance, fleet-wide. */
+/** Limits of the weight store, for the whole fleet. */
 struct StoreLimits {
   double loads_per_second = 3.0;
-  /** Loads that the store serves at full speed at once. */
+  /** Number of concurrent loads that the store serves at full speed. */
   int loads_at_once = 4;
 };
 
-/** What the fleet takes of the allowance. */
+/** Current use of the weight store by the fleet. */
 struct StoreUse {
-  /** Loads in progress: lanes held. */
+  /** Loads in progress; each holds a lane. */
   int loading = 0;
-  /** When the latest loads started; older than a second may be left out. */
+  /** Start times of the latest loads; those older than a second may be
+   * omitted. */
   std::vector<core::SteadyTime> starts;
 };
 
 /**
- * Every bidder works this out from the same bids and comes to the same answer,
- * so no leader is needed; two views that differ make a load slow, not unsafe.
+ * Grants lanes. Every bidder computes the grants from the same bids with the
+ * same result, so no leader is needed. If the views of two bidders differ,
+ * loads become slow, but nothing breaks.
  * @return Indexes of the bids that may load now, earliest deadline first.
- *   Prewarming gets a lane only while no caller waits, and never the last one:
- *   a load can't be taken back when a caller comes.
+ *   Prewarming gets a lane only if no caller waits, and never the last lane,
+ *   because a load can't be interrupted when a caller arrives.
  */
 std::vector<std::size_t> GrantLanes(std::span<const LoadBid> bids,
                                     const StoreLimits& limits,
                                     const StoreUse& use, core::SteadyTime now);
 
 /**
- * The rule while the key-value service is down and no bid can be seen: each
- * endpoint starts loads at its fixed share of the rate.
- * @param endpoints Endpoints that may load, from the VM list.
- * @param last_start The last load from the store at this endpoint.
+ * Returns the delay before the next load while the key-value service is down
+ * and bids can't be seen: each endpoint then starts loads at a fixed share of
+ * the rate.
+ * @param endpoints Number of endpoints that may load, from the VM list.
+ * @param last_start Start of this endpoint's last load from the store.
  * @return How long this endpoint has to wait before its next load.
  */
 std::chrono::milliseconds WaitForFixedShare(
--- a/src/policy/store_lane_test.cc
+++ b/src/policy/store_lane_test.cc
@@ -1,4 +1,5 @@
-/** @file store_lane_test.cc Lanes and rate against a second by second count. */
+/** @file store_lane_test.cc Tests lanes and rate limit against a simulated
+ * weight store. */
 #define BOOST_TEST_MODULE store_lane
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -17,7 +18,7 @@
   return core::SteadyTime(milliseconds(ms));
 }
 
-/** Offers bids over virtual time and keeps the store's own count. */
+/** Holds the bids and counts the loads of a weight store in virtual time. */
 struct Store {
   StoreLimits limits;
   std::vector<LoadBid> bids;
@@ -88,9 +89,9 @@
   }
 }
 
-// The key-value service is down, so no endpoint sees another's bids. Each loads
-// as soon as its own share allows; if the shares summed up to more than the
-// store's rate, every load in the fleet would slow down together.
+// The key-value service is down, so no endpoint sees another's bids, and each
+// loads as soon as its own share allows. If the shares added up to more than
+// the store's rate, all loads in the fleet would slow down.
 BOOST_AUTO_TEST_CASE(FixedSharesSumUpToTheRate) {
   const StoreLimits limits;
   std::size_t loads = 0;
--- a/src/policy/wake_up.cc
+++ b/src/policy/wake_up.cc
@@ -1,4 +1,4 @@
-/** @file wake_up.cc Which engine wakes a model that none holds. */
+/** @file wake_up.cc Chooses the engine to load a model that no engine holds. */
 #include <algorithm>
 
 #include "policy/placement_func.h"
@@ -10,30 +10,31 @@
 
 using std::chrono::milliseconds;
 
-/** How long a dropped model would have stayed useful. Origin: with 36 places
- * for 65 models and a wake-up a second, a place changes hands about this often.
- */
+/** How long an evicted model would have stayed in use. With 36 places for 65
+ * models and one wake-up a second, a place changes its model about this
+ * often. */
 constexpr double kHorizonSeconds = 15;
-/** A replica among several is missed less than the last one. */
+/** Cost factor for evicting a model that other engines hold too: it costs less
+ * than evicting the last replica. */
 constexpr double kSpareReplica = 0.1;
-/** A busy engine is slower for everybody: a tie breaker. */
+/** Penalty for each running request, as a tie-breaker: a busy engine is slower
+ * for all callers. */
 constexpr milliseconds kPerRunning{2};
 constexpr milliseconds kOtherZone{20};
-/** A load from the weight store holds an engine's one order at a time for four
- * times as long as one from disk; half of that time somebody else would wake a
- * model there. */
+/** An engine executes one order at a time, and a load from the weight store
+ * blocks it four times as long as one from disk. In half of that time, another
+ * model would be woken there. */
 constexpr double kDeskShare = 0.5;
 
-/** Requests that need an adapter which their engine does not hold yet. Origin:
- * half of the short drafts name one of 40 to 240 adapters, and an engine has
- * places for 8. */
+/** Fraction of requests whose adapter is not loaded on their engine: half of
+ * the short drafts name one of 40 to 240 adapters, and an engine holds 8. */
 constexpr double kMissingAdapter = 0.1;
 
 /**
- * @return What a load costs the callers of adapters there, in milliseconds of
- *   wait. The failure met: a rare model is fetched from the weight store for
- *   20 s by an engine that holds a busy one; meanwhile each adapter that is
- *   missing there is refused, 135 requests in one case.
+ * @return The cost of a load for callers of adapters on that engine, in
+ *   milliseconds of waiting time. An engine that loads a rare model from the
+ *   weight store for 20 s refuses all requests for adapters that are not
+ *   loaded: 135 requests in one case where the engine also held a busy model.
  */
 double BlockedAdaptersCost(const WakeUpCandidate& candidate,
                            const LoadTimes& loads) {
@@ -47,7 +48,8 @@
          static_cast<double>(loads.disk.count());
 }
 
-/** @return What dropping a model costs its callers, in milliseconds of wait. */
+/** @return The cost of evicting a model for its callers, in milliseconds of
+ * waiting time. */
 double EvictionCost(const ResidentModel& resident, const LoadTimes& loads) {
   const double last = resident.other_replicas > 0 ? kSpareReplica : 1.0;
   return last * resident.demand * kHorizonSeconds *
@@ -59,7 +61,7 @@
   double cost = 0;
 };
 
-/** @return What to drop so that `bytes` fit, cheapest first. */
+/** @return The cheapest models to evict so that `bytes` fit, or nothing. */
 std::optional<Room> MakeRoom(std::int64_t bytes, const LoadTimes& loads,
                              const WakeUpCandidate& candidate) {
   std::int64_t free = candidate.memory_bytes;
@@ -99,8 +101,9 @@
     double cost = static_cast<double>(ready_in.count()) + room->cost;
     cost += static_cast<double>((candidate.running * kPerRunning).count());
     if (candidate.tier == Tier::kRemote) {
-      // Counted for loads from disk too, it moved wake-ups away from engines
-      // with room: quiet days served 0.03 to 0.05 less.
+      // With this cost also added for loads from disk, models were woken on
+      // other engines than those with free memory, and on quiet days the
+      // fraction of requests served fell by 0.03 to 0.05.
       cost += BlockedAdaptersCost(candidate, loads);
       cost +=
           kDeskShare * static_cast<double>((loads.remote - loads.disk).count());
--- a/src/policy/wake_up_func.h
+++ b/src/policy/wake_up_func.h
@@ -1,4 +1,5 @@
-/** @file wake_up_func.h Which engine wakes a model that none holds. */
+/** @file wake_up_func.h Chooses the engine to load a model that no engine
+ * holds. */
 #ifndef SAPPHIRE_POLICY_WAKE_UP_FUNC_H_
 #define SAPPHIRE_POLICY_WAKE_UP_FUNC_H_
 
@@ -14,31 +15,32 @@
 
 namespace sapphire::policy {
 
-/** A model that was loaded for somebody, or asked for, within this is kept:
- * entries tell of requests a moment later. The process beside the engine
- * refuses to drop it, so whoever chooses has to go by the same. */
+/** A model is not evicted within this time after it was loaded or requested,
+ * because entries report requests with a short delay. The endpoint process
+ * refuses to unload it, so the choice has to follow the same rule. */
 inline constexpr std::chrono::milliseconds kKeptAfterUse{1500};
 
-/** A model that an engine holds and could drop. */
+/** A model that an engine holds and could evict. */
 struct ResidentModel {
   core::ModelId model;
   std::int64_t bytes = 0;
-  /** Requests in progress: an unload would wait for them. */
+  /** Requests in progress, which an unload would have to wait for. */
   int running = 0;
-  /** Loaded, or asked for, within kKeptAfterUse. */
+  /** Loaded or requested within kKeptAfterUse. */
   bool just_used = false;
-  /** Requests a second for it, over all engines. */
+  /** Requests a second for the model, over all engines. */
   double demand = 0;
-  /** Other engines that hold it too. */
+  /** Number of other engines that hold the model. */
   int other_replicas = 0;
-  /** Its requests may name an adapter, which is loaded when it is wanted. */
+  /** True if its requests may name adapters, which are loaded on demand. */
   bool has_adapters = false;
 };
 
 /** An engine that could load the model. */
 struct WakeUpCandidate {
   Tier tier = Tier::kRemote;
-  /** Until its one order at a time is carried out. */
+  /** Time until the engine, which executes one order at a time, has finished
+   * its current order. */
   std::chrono::milliseconds order_left{0};
   std::int64_t memory_bytes = 0;
   std::vector<ResidentModel> residents;
@@ -49,20 +51,21 @@
 struct WakeUpPlan {
   /** Index of the candidate. */
   std::size_t engine = 0;
-  /** What it drops first. */
+  /** Models to evict before the load. */
   std::vector<core::ModelId> evict;
-  /** Until the model can serve. */
+  /** Time until the model can serve requests. */
   std::chrono::milliseconds ready_in{0};
-  /** What callers of the dropped models are expected to wait for it. */
+  /** Expected waiting time of the callers of the evicted models, in total. */
   std::chrono::milliseconds eviction_cost{0};
 };
 
 /**
- * The cost of an engine is when the model is ready there, plus what dropping
- * its residents costs others: the reload times their demand over the time they
- * would likely have stayed; plus what the load itself costs the callers of its
- * residents' adapters, as an engine carries out one order at a time.
- * @param bytes Weights of the model.
+ * Chooses the engine with the lowest cost. The cost is the time until the model
+ * is ready, plus the cost of evicting residents (reload time times demand over
+ * the time they would have stayed loaded), plus the cost for callers of the
+ * residents' adapters, which can't be loaded meanwhile because an engine
+ * executes one order at a time.
+ * @param bytes Size of the model's weights.
  * @return Nothing if no engine can make room without interrupting requests.
  */
 std::optional<WakeUpPlan> ChooseWakeUp(
--- a/src/policy/wake_up_test.cc
+++ b/src/policy/wake_up_test.cc
@@ -1,9 +1,10 @@
-/** @file wake_up_test.cc Tests of the choice of the engine that wakes a model.
+/**
+ * @file wake_up_test.cc Tests the choice of the engine that loads a model.
  *
- * The load: 65 models of some 70 GB on 12 engines of 230 GB, three a engine;
- * rare models are asked for every half minute each and must be answered in
- * 4 s. Memory takes 1.1 s, disk 2.0 s, the weight store 8.6 s (the operators'
- * sheets).
+ * The scenario: 65 models of about 70 GB on 12 engines of 230 GB, three per
+ * engine. Rare models are requested every half minute each and have to be
+ * answered within 4 s. A load takes 1.1 s from memory, 2.0 s from disk and 8.6
+ * s from the weight store (the operators' figures).
  */
 #define BOOST_TEST_MODULE wake_up
 #include <boost/test/unit_test.hpp>
@@ -30,7 +31,7 @@
   return resident;
 }
 
-/** An engine with three models, asked for this often a second. */
+/** @return An engine that holds three models with these requests a second. */
 WakeUpCandidate FullEngine(Tier tier, double a, double b, double c) {
   WakeUpCandidate candidate;
   candidate.tier = tier;
@@ -61,10 +62,10 @@
 }
 
 /**
- * Wake-ups of 2 s become wake-ups of 9 to 18 s, one after the other: a copy is
- * on the disk of one engine only, its order controller is busy for seconds, and
- * a load from the weight store elsewhere makes the next controller busy for
- * longer still.
+ * The only local copy is on the disk of an engine whose controller is busy for
+ * seconds. If the model is loaded from the weight store elsewhere, that blocks
+ * the next controller for longer still, and wake-ups of 2 s become wake-ups of
+ * 9 to 18 s, one after the other.
  */
 BOOST_AUTO_TEST_CASE(ABusyDeskWithACopyIsWaitedForBeforeTheWeightStore) {
   WakeUpCandidate busy = FullEngine(Tier::kDisk, 0, 0, 0);
@@ -75,8 +76,9 @@
 }
 
 /**
- * Callers of a busy model wait seconds: it was dropped for a rare one, as its
- * engine had the rare model's copy in memory.
+ * Guards against evicting a busy model for a rare one because its engine has
+ * the rare model's checkpoint in memory: callers of the busy model would wait
+ * for seconds.
  */
 BOOST_AUTO_TEST_CASE(ABusyModelIsNotDroppedForAFasterWakeUp) {
   const auto plan = Choose({FullEngine(Tier::kMemory, 5, 5, 5),
@@ -98,9 +100,9 @@
 }
 
 /**
- * Callers of a rare model are refused beside idle engines.
- * An entry takes a model that was asked for a moment ago for one to drop; the
- * process beside the engine refuses, and the next choice is the weight store.
+ * Guards against refusals of callers of a rare model although engines are idle.
+ * If an entry chooses to evict a model that was just requested, the endpoint
+ * process refuses, and the next choice is a load from the weight store.
  */
 BOOST_AUTO_TEST_CASE(AModelAskedForAMomentAgoStays) {
   WakeUpCandidate kept = FullEngine(Tier::kMemory, 0, 0, 0);
@@ -116,10 +118,10 @@
 }
 
 /**
- * Pattern: rare models come from the weight store while a busy model with
- * adapters moves to other engines. Callers of its adapters are refused for the
- * whole load if it is done beside them. Figures: 10 requests a second, as the
- * busiest model of the sheets.
+ * Rare models are loaded from the weight store while a busy model with adapters
+ * moves to other engines. If the load is executed on an engine that holds the
+ * busy model, callers of its adapters are refused until the load ends. The
+ * busiest model of the operators' data gets 10 requests a second.
  */
 BOOST_AUTO_TEST_CASE(ALongLoadStaysAwayFromBusyAdapters) {
   WakeUpCandidate busy = FullEngine(Tier::kRemote, 10, 0, 0);
