--- a/src/organisation/directory.cc
+++ b/src/organisation/directory.cc
@@ -1,4 +1,4 @@
-/** @file directory.cc Finds the organisation that holds an API key. */
+/** @file directory.cc Looks up organisations by API key. */
 #include <utility>
 
 #include "organisation/directory_base.h"
--- a/src/organisation/directory_base.h
+++ b/src/organisation/directory_base.h
@@ -1,4 +1,4 @@
-/** @file directory_base.h Finds the organisation that holds an API key. */
+/** @file directory_base.h Looks up organisations by API key. */
 #ifndef SAPPHIRE_ORGANISATION_DIRECTORY_BASE_H_
 #define SAPPHIRE_ORGANISATION_DIRECTORY_BASE_H_
 
@@ -17,7 +17,8 @@
   /** @throws core::Error as CheckOrganisations does. */
   explicit Directory(std::vector<Organisation> organisations);
 
-  /** @return The holder of the key, or null. Valid as long as the directory. */
+  /** @return The organisation that has the key, or null. Valid as long as the
+   * directory exists. */
   [[nodiscard]] const Organisation* Find(const ApiKey& key) const;
 
   [[nodiscard]] const std::vector<Organisation>& organisations() const {
@@ -26,7 +27,7 @@
 
  private:
   std::vector<Organisation> organisations_;
-  /** Index into `organisations_` of each key. */
+  /** Index into `organisations_` for each key. */
   std::unordered_map<ApiKey, std::size_t, ApiKeyHash> by_key_;
 };
 
--- a/src/organisation/organisation.cc
+++ b/src/organisation/organisation.cc
@@ -1,4 +1,5 @@
-/** @file organisation.cc Checks of organisations, and what requests cost. */
+/** @file organisation.cc Validates organisations and computes the quota cost of
+ * requests. */
 #include <cmath>
 #include <set>
 #include <unordered_set>
--- a/src/organisation/organisation_func.h
+++ b/src/organisation/organisation_func.h
@@ -1,5 +1,5 @@
-/** @file organisation_func.h Checks of organisations, and what requests cost.
- */
+/** @file organisation_func.h Validates organisations and computes the quota
+ * cost of requests. */
 #ifndef SAPPHIRE_ORGANISATION_ORGANISATION_FUNC_H_
 #define SAPPHIRE_ORGANISATION_ORGANISATION_FUNC_H_
 
@@ -12,12 +12,12 @@
 
 /**
  * @throws core::Error kMalformedRequest for an organisation without a name, a
- *   name or key that stands twice, an empty key, or a quota below 0. The text
- *   names the organisation, never a key.
+ *   duplicate name or key, an empty key, or a quota that is negative or not
+ *   finite. The text names the organisation but never a key.
  */
 void CheckOrganisations(const std::vector<Organisation>& organisations);
 
-/** @return Units of the quota that one request uses. */
+/** @return The number of quota units that one request uses. */
 double CostOf(const Quota& quota, const std::optional<TokenCount>& tokens);
 
 }  // namespace sapphire::organisation
--- a/src/organisation/organisation_test.cc
+++ b/src/organisation/organisation_test.cc
@@ -1,4 +1,5 @@
-/** @file organisation_test.cc Tests of organisations, keys and costs. */
+/** @file organisation_test.cc Tests organisations, API keys and request
+ * costs. */
 #define BOOST_TEST_MODULE organisation
 #include <boost/test/unit_test.hpp>
 #include <limits>
@@ -28,7 +29,7 @@
   BOOST_TEST(directory.Find(ApiKey("")) == nullptr);
 }
 
-/** Guards against requests that run as another organisation. */
+/** Guards against requests that are attributed to another organisation. */
 BOOST_AUTO_TEST_CASE(AKeyOfTwoOrganisationsIsRefused) {
   BOOST_CHECK_THROW(Directory({Make("a", {"k1"}), Make("b", {"k1"})}),
                     core::Error);
@@ -48,7 +49,7 @@
   }
 }
 
-/** Guards against a key that is written to a log with the error. */
+/** Guards against API keys that are logged as part of an error. */
 BOOST_AUTO_TEST_CASE(ErrorsNameNoKey) {
   try {
     const Directory directory({Make("a", {"secret"}), Make("b", {"secret"})});
--- a/src/organisation/organisation_type.h
+++ b/src/organisation/organisation_type.h
@@ -1,4 +1,5 @@
-/** @file organisation_type.h Organisations, their API keys and quotas. */
+/** @file organisation_type.h Defines organisations, their API keys and
+ * quotas. */
 #ifndef SAPPHIRE_ORGANISATION_ORGANISATION_TYPE_H_
 #define SAPPHIRE_ORGANISATION_ORGANISATION_TYPE_H_
 
@@ -15,8 +16,8 @@
 
 namespace sapphire::organisation {
 
-/** A secret that names an organisation. Has no text form, so that it can't be
- * logged by mistake. */
+/** A secret that identifies an organisation. It has no text form, so that it
+ * can't be logged by mistake. */
 class ApiKey {
  public:
   explicit ApiKey(std::string secret) : secret_(std::move(secret)) {}
@@ -36,17 +37,17 @@
   std::size_t operator()(const ApiKey& key) const { return key.Hash(); }
 };
 
-/** What a quota counts. */
+/** Unit that a quota is counted in. */
 enum class QuotaUnit { kRequests, kTokens };
 
-/** How much an organisation may use, over all entries. */
+/** Limits the usage of an organisation, over all entries. */
 struct Quota {
   QuotaUnit unit = QuotaUnit::kRequests;
-  /** Units a second; 0: no limit. */
+  /** Units a second; 0 means no limit. */
   double per_second = 0;
-  /** Units beyond the rate that may be used at once. */
+  /** Units that may be used at once above the rate. */
   double burst = 0;
-  /** Tokens that a request counts as that states none. */
+  /** Tokens charged for a request that doesn't state its token count. */
   std::int64_t default_tokens = 0;
 
   [[nodiscard]] bool IsLimited() const { return per_second > 0; }
@@ -55,12 +56,12 @@
 struct Organisation {
   core::OrganisationId id;
   std::vector<ApiKey> keys;
-  /** Takes the place of a route's rank; 0 is the most urgent. */
+  /** If set, replaces the route's rank; 0 is the most urgent. */
   std::optional<int> rank;
   Quota quota;
 };
 
-/** Tokens that a caller states for its request. */
+/** Token counts stated by the caller of a request. */
 struct TokenCount {
   std::int64_t prompt = 0;
   std::int64_t max_output = 0;
--- a/src/policy/crash_func.h
+++ b/src/policy/crash_func.h
@@ -62,7 +62,7 @@
                     const core::EndpointId& endpoint);
 
 /** Records that an attempt ended without a crash. If it completed, the crash
- * count of a fingerprint that is not quarantined is reset. */
+ * count is reset unless the fingerprint is quarantined. */
 void RecordEnd(CrashTracker& tracker, std::int64_t fingerprint,
                const core::AttemptId& attempt, bool completed);
 
--- a/src/routing/route_type.h
+++ b/src/routing/route_type.h
@@ -1,4 +1,4 @@
-/** @file route_type.h Routes and services of the configuration in force. */
+/** @file route_type.h Defines routes, services and the configuration. */
 #ifndef SAPPHIRE_ROUTING_ROUTE_TYPE_H_
 #define SAPPHIRE_ROUTING_ROUTE_TYPE_H_
 
@@ -18,14 +18,14 @@
 
 using std::chrono::milliseconds;
 
-/** What may be done with a request again. */
+/** Whether and how a request may be sent again. */
 enum class RequestKind {
   kIdempotent,     ///< May run more than once.
-  kNonIdempotent,  ///< Runs at most once for each attempt of its caller.
-  kStream,         ///< Answered event by event; repeated only by resuming.
+  kNonIdempotent,  ///< May run at most once per attempt of its caller.
+  kStream,         ///< Answered as a stream of events; can only be resumed.
 };
 
-/** One service of a route, and its part of the requests. */
+/** A service of a route, and its weight among the route's services. */
 struct ServiceShare {
   core::ServiceId service;
   double weight = 1;
@@ -34,33 +34,34 @@
 struct Route {
   std::string name;
   std::string host;
-  /** Begins and ends with a slash. */
+  /** Path prefix; begins and ends with a slash. */
   std::string prefix;
   RequestKind kind = RequestKind::kNonIdempotent;
-  /** At least one. */
+  /** Contains at least one service. */
   std::vector<ServiceShare> services;
-  /** The longest time a caller may be kept waiting. */
+  /** Maximum time that a caller may have to wait. */
   milliseconds timeout{0};
-  /** Time to the first byte that the operator aims at. */
+  /** Target time to the first byte. */
   milliseconds objective{0};
-  /** Longest pause between two events of a stream that is still on time. */
+  /** Maximum pause between two events of a stream that counts as on time. */
   milliseconds max_pause{0};
-  /** A caller gives a stream up that has been silent for this long, also before
+  /** Callers abandon a stream that has been silent for this long, also before
    * its first event. */
   milliseconds idle_timeout{0};
-  /** Engines that one request may run on. */
+  /** Maximum number of engines that one request may run on. */
   int max_engines = 1;
-  /** 0 is the most urgent. */
+  /** Priority of the requests; 0 is the most urgent. */
   int rank = 0;
-  /** A stream that may go on at another engine after its last whole event. */
+  /** True if a stream may be resumed at another engine after its last complete
+   * event. */
   bool resumable = false;
-  /** Requests name a model and the parts of their prompt. */
+  /** True if requests name a model and the parts of their prompt. */
   bool names_model = false;
-  /** Requests need no API key. */
+  /** True if requests need no API key. */
   bool is_public = false;
 };
 
-/** A model as the operator has declared it. */
+/** A model as declared by the operator. */
 struct ModelSpec {
   core::ModelId id;
   std::int64_t bytes = 0;
@@ -69,24 +70,24 @@
   std::int64_t adapter_bytes = 0;
 };
 
-/** What the engines of a model service are and may hold. */
+/** Properties and capacity of each engine of a model service. */
 struct EngineSpec {
   int max_running = 1;
   std::int64_t kv_tokens = 0;
   std::int64_t memory_bytes = 0;
   int max_adapters = 0;
-  /** Loads from the weight store a second, over all engines. */
+  /** Loads from the weight store a second, for all engines together. */
   double loads_per_second = 0;
   std::map<core::ModelId, ModelSpec> models;
 };
 
 struct Service {
   core::ServiceId id;
-  /** Set for model services. */
+  /** Set only for model services. */
   std::optional<EngineSpec> engine;
 };
 
-/** What a caller may send, and how long it may take or stay idle. */
+/** Limits on the size and timing of callers' requests. */
 struct CallerLimits {
   std::size_t max_header_bytes = 16 * 1024;
   std::size_t max_body_bytes = 4 * 1024 * 1024;
@@ -94,13 +95,13 @@
   milliseconds idle_timeout{15000};
 };
 
-/** One version of what the operator has decided; never changed once made. */
+/** One version of the operator's configuration; immutable once in force. */
 struct Configuration {
   std::int64_t version = 0;
   std::vector<Route> routes;
   std::map<core::ServiceId, Service> services;
   CallerLimits limits;
-  /** Nothing: requests need no API key. */
+  /** If not set, requests need no API key. */
   std::optional<std::vector<organisation::Organisation>> organisations;
 };
 
--- a/src/routing/routing_table.cc
+++ b/src/routing/routing_table.cc
@@ -1,4 +1,5 @@
-/** @file routing_table.cc The configuration in force, ready for lookups. */
+/** @file routing_table.cc Implements route lookups and adopts new
+ * configurations. */
 #include <algorithm>
 #include <cctype>
 #include <utility>
@@ -10,7 +11,8 @@
 
 namespace {
 
-/** Revoked keys that are remembered, at the least. */
+/** If more revoked keys than this are remembered, they are cleared before the
+ * next ones are added. */
 constexpr std::size_t kMostRevoked = 10'000;
 
 /** @return The host in lower case, without its port. */
--- a/src/routing/routing_table_base.h
+++ b/src/routing/routing_table_base.h
@@ -1,4 +1,4 @@
-/** @file routing_table_base.h The configuration in force, ready for lookups. */
+/** @file routing_table_base.h Looks up routes in the configuration in force. */
 #ifndef SAPPHIRE_ROUTING_ROUTING_TABLE_BASE_H_
 #define SAPPHIRE_ROUTING_ROUTING_TABLE_BASE_H_
 
@@ -18,12 +18,11 @@
 
 namespace sapphire::routing {
 
-/** Routes of one configuration, indexed by host, and organisations by key. */
+/** Routes of one configuration, indexed by host, and organisations, indexed by
+ * API key. */
 class RoutingTable {
  public:
-  /** @throws core::Error kMalformedRequest for organisations that can't be
-   * used.
-   */
+  /** @throws core::Error kMalformedRequest as CheckOrganisations does. */
   explicit RoutingTable(Configuration configuration);
 
   [[nodiscard]] const Configuration& configuration() const {
@@ -31,14 +30,14 @@
   }
 
   /**
-   * @param host As the caller sent it; a port and upper case are ignored.
-   * @param path Without the query.
+   * @param host Host as sent by the caller; its port and case are ignored.
+   * @param path Path without the query.
    * @return The route of this host with the longest prefix of `path`, or null.
    */
   [[nodiscard]] const Route* Find(std::string_view host,
                                   std::string_view path) const;
 
-  /** @return True if requests need an API key, but for public routes. */
+  /** @return True if requests need an API key, except on public routes. */
   [[nodiscard]] bool HasOrganisations() const {
     return configuration_.organisations.has_value();
   }
@@ -60,32 +59,33 @@
 };
 
 /**
- * @param point From 0 to 1; the same point gives the same service.
- * @return The service that a request takes by the weights of its route.
+ * @param point Number from 0 to 1; the same point always gives the same
+ *   service.
+ * @return The service for a request, chosen by the weights of the route.
  */
 const core::ServiceId& ChooseService(const Route& route, double point);
 
 /**
- * Holds the newest configuration. Guard against going back: reads of the store
- * may be stale and watches may be repeated after an outage; a version that is
- * not above the one in force is dropped, so callers never see an older one
- * after a newer one.
+ * Holds the newest configuration. Reads of the store may be stale and watches
+ * may be repeated after an outage, so a version that is not above the one in
+ * force is ignored; callers never see an older version after a newer one.
  */
 class ConfigurationHolder {
  public:
-  /** @return True if it was newer than the one in force and took its place. */
+  /** @return True if the configuration was newer than the one in force and has
+   * replaced it. */
   bool Adopt(Configuration configuration);
 
-  /** @return The newest table, or null before the first. */
+  /** @return The newest table, or null before the first configuration. */
   [[nodiscard]] std::shared_ptr<const RoutingTable> current() const {
     return current_;
   }
 
-  /** @return Its version; 0 before the first. */
+  /** @return The version in force, or 0 before the first configuration. */
   [[nodiscard]] std::int64_t version() const;
 
-  /** @return True if an earlier configuration had the key and a later one took
-   * it away. */
+  /** @return True if an earlier configuration contained the key and a later one
+   * removed it. */
   [[nodiscard]] bool WasRevoked(const organisation::ApiKey& key) const {
     return revoked_.contains(key);
   }
@@ -97,13 +97,13 @@
   std::unordered_set<organisation::ApiKey, organisation::ApiKeyHash> revoked_;
 };
 
-/** @throws core::Error for a text that can't be used. */
+/** @throws core::Error for a text that is not a valid configuration. */
 using ReadConfiguration = std::function<Configuration(const std::string& text)>;
 
 /**
- * Adopts a document of the store if it is newer, and logs the decision. An
- * unusable document leaves the configuration in force unchanged.
- * @return True if it took the place of the one in force.
+ * Adopts a configuration document from the store if it is newer, and logs the
+ * result. An invalid document leaves the configuration in force unchanged.
+ * @return True if the document has replaced the configuration in force.
  */
 bool AdoptDocument(ConfigurationHolder& holder, const ReadConfiguration& read,
                    const external::KvEntry& document, const core::Logger& log);
--- a/src/routing/routing_table_test.cc
+++ b/src/routing/routing_table_test.cc
@@ -1,4 +1,5 @@
-/** @file routing_table_test.cc Tests of routes and the holder of versions. */
+/** @file routing_table_test.cc Tests route lookups and the order of
+ * configuration versions. */
 #define BOOST_TEST_MODULE routing_table
 #include <boost/test/unit_test.hpp>
 
@@ -48,8 +49,9 @@
 }
 
 /**
- * A caller gets an answer by the new version, then one by the old.
- * The entry reads the store again after an outage and is given a stale copy.
+ * Guards against going back to an older configuration when the entry reads the
+ * store again after an outage and gets a stale copy: a caller would be served
+ * by the new version first and then by the old one.
  */
 BOOST_AUTO_TEST_CASE(AnOlderVersionNeverTakesThePlaceOfANewerOne) {
   ConfigurationHolder holder;
--- a/src/routing/store_follower.cc
+++ b/src/routing/store_follower.cc
@@ -1,4 +1,4 @@
-/** @file store_follower.cc Follows keys of the store by one watch. */
+/** @file store_follower.cc Follows keys of the store with a single watch. */
 #include <algorithm>
 #include <exception>
 #include <iterator>
@@ -14,7 +14,8 @@
 
 namespace {
 
-/** Living engines whose entries lapsed are back this long after the store. */
+/** Live engines whose keys expired have registered again this long after the
+ * store has returned. */
 constexpr std::chrono::seconds kReturnTime{2};
 
 std::vector<external::KvEntry> UnderPrefix(
@@ -71,14 +72,15 @@
   call_began_ = clock_.Now();
   external::WatchBatch batch =
       co_await store_.Watch(options_.prefix, *revision_, options_.watch_wait);
-  // Without a change the store has answered only after the whole wait.
+  // If there is no change, the store answers only after the whole wait.
   const bool waited = !batch.gap && batch.events.empty();
   NoteAnswer(waited ? call_began_ + options_.watch_wait : call_began_);
   if (batch.gap) {
     log_.Event(LogLevel::kInfo, LogCategory::kPlatform, "watch_gap",
                {{"prefix", options_.prefix}, {"revision", *revision_}});
     revision_.reset();
-    // A store whose history is short may have a gap again at once.
+    // With a store that keeps little history, the next watch may have a gap at
+    // once.
     co_await core::SleepFor(options_.gather);
     co_return;
   }
--- a/src/routing/store_follower_base.h
+++ b/src/routing/store_follower_base.h
@@ -1,4 +1,5 @@
-/** @file store_follower_base.h Follows keys of the store by one watch. */
+/** @file store_follower_base.h Follows keys of the store with a single
+ * watch. */
 #ifndef SAPPHIRE_ROUTING_STORE_FOLLOWER_BASE_H_
 #define SAPPHIRE_ROUTING_STORE_FOLLOWER_BASE_H_
 
@@ -16,53 +17,59 @@
 namespace sapphire::routing {
 
 struct FollowOptions {
-  /** Of all keys that are followed; empty: the whole store. */
+  /** Common prefix of all keys that are followed; empty means the whole
+   * store. */
   std::string prefix;
-  /** How long one watch waits. Long: each call to the store is paid for. */
+  /** Duration of one watch call. It is long because each call to the store
+   * costs money. */
   std::chrono::milliseconds watch_wait{20'000};
-  /** Pause after a batch of changes, so that changes that come together cost
-   * one call. */
+  /** Pause after a batch of changes, so that changes at short intervals are
+   * fetched with one call. */
   std::chrono::milliseconds gather{100};
-  /** Pause before a failed call is tried again. Half a second from each VM is
-   * far below what the store takes and found again well within two seconds. */
+  /** Pause before a failed call is retried. One call every half second from
+   * each VM is far below the capacity of the store, and a store that has
+   * returned is detected well within two seconds. */
   std::chrono::milliseconds retry_pause{400};
-  /** Told of each answer: how old the view had become until it came. */
+  /** Called for each answer, with the age that the view had reached before
+   * it. */
   std::function<void(std::chrono::milliseconds age)> renewed =
       [](std::chrono::milliseconds) {};
-  /** A view that gets older than this while calls are answered is logged. */
+  /** Maximum age of the view while calls are answered; an older view is
+   * logged. */
   std::chrono::milliseconds late_after{30'000};
-  /** A store that failed for longer than this was away: entries may have
-   * lapsed meanwhile. */
+  /** If calls failed for longer than this, it counts as an outage: keys may
+   * have expired meanwhile. */
   std::chrono::milliseconds outage_after{1000};
   /**
-   * After an outage, entries that lapsed with the store are waited for until
-   * this long after the last call that failed began: the store was away at that
-   * time, so it has returned since. Counted from the first answer, which comes
-   * up to a failed call and a pause after the return, the wait outlasted what
-   * operators allow.
+   * After an outage, keys that expired with the store may still be written
+   * again until this long after the start of the last failed call: the store
+   * was unavailable at that time, so it has returned since. Counted from the
+   * first answer, which comes up to one failed call and one pause after the
+   * store's return, the grace period exceeded the operators' limit.
    */
   std::chrono::milliseconds lapse_wait{2000};
 };
 
-/** Until then entries that lapsed while the store was away may come back by
- * themselves; nothing: it was not away, and what is missing is gone. */
+/** End of the grace period after an outage: until then, keys that expired
+ * during the outage may be written again by their owners. Not set if there was
+ * no outage; a missing key then counts as deleted. */
 using LapseEnd = std::optional<core::SteadyTime>;
 
-/** What is done with what is seen of the keys under one prefix. */
+/** Callbacks for the keys under one prefix. */
 struct FollowHooks {
   std::string prefix;
-  /** A whole listing of them. */
+  /** Called with all keys after each listing. */
   std::function<void(std::vector<external::KvEntry>, LapseEnd)> listed;
-  /** One change. */
+  /** Called for each change. */
   std::function<void(external::KvEvent, LapseEnd)> changed;
 };
 
 /**
- * Lists, then watches, for as long as the process runs. Every call has a
- * time-out, and after any failure or gap everything is listed anew: a watch
- * that was cut, or whose history is gone, may have missed changes. One watch
- * serves all that a process follows: a watch a subject cost hundreds of VMs as
- * many calls again for each of them.
+ * Lists the keys and then watches them for as long as the process runs. Every
+ * call has a timeout. After a failure or a gap in the history, all keys are
+ * listed again, because changes may have been missed. One watch covers all keys
+ * that a process follows: with a watch per kind of key, hundreds of VMs would
+ * each make that many more calls.
  */
 class StoreFollower {
  public:
@@ -71,25 +78,25 @@
                 external::KeyValueStore& store, const core::Clock& clock,
                 const core::Logger& log);
 
-  /** Never returns. */
+  /** Runs forever. */
   core::Task<> Run();
 
-  /** @return When the store last answered, if it ever did. */
+  /** @return Time of the store's last answer, if any. */
   [[nodiscard]] std::optional<core::SteadyTime> last_answer() const {
     return last_answer_;
   }
 
   /**
-   * @return All changes up to this time are known, if the store ever answered:
-   *   when the call began whose answer came last, or when its wait ended
-   *   without a change.
+   * @return The time up to which all changes are known, if the store ever
+   *   answered: the start of the call that was answered last, or the end of its
+   *   wait if there was no change.
    */
   [[nodiscard]] std::optional<core::SteadyTime> current_as_of() const {
     return current_as_of_;
   }
 
-  /** @return True if the view is older than it may be though no call has
-   * failed: this process itself is too busy to follow. */
+  /** @return True if the view is older than `late_after` although no call has
+   * failed: this process is too busy to follow the store. */
   [[nodiscard]] bool IsLate() const;
 
   /** @return True from a failed call until the next answer. */
@@ -100,7 +107,7 @@
   core::Task<> WatchOnce();
   void TakeChange(external::KvEvent event);
   void NoteFailure(const std::string& what);
-  /** @param as_of The answer tells of all changes up to this time. */
+  /** @param as_of The answer includes all changes up to this time. */
   void NoteAnswer(core::SteadyTime as_of);
   void NoteRenewal(core::SteadyTime as_of);
   [[nodiscard]] LapseEnd CurrentLapseEnd() const;
@@ -110,12 +117,13 @@
   external::KeyValueStore& store_;
   const core::Clock& clock_;
   const core::Logger& log_;
-  /** Changes after this revision are still to come; nothing: list first. */
+  /** Revision up to which changes are known; if not set, the keys are listed
+   * first. */
   std::optional<std::int64_t> revision_;
   std::optional<core::SteadyTime> last_answer_;
   std::optional<core::SteadyTime> current_as_of_;
   std::optional<core::SteadyTime> failing_since_;
-  /** When the newest call began, and the newest one that failed. */
+  /** Start of the latest call, and of the latest call that failed. */
   core::SteadyTime call_began_;
   core::SteadyTime failed_call_began_;
   LapseEnd lapse_end_;
--- a/src/routing/store_follower_test.cc
+++ b/src/routing/store_follower_test.cc
@@ -1,4 +1,5 @@
-/** @file store_follower_test.cc Tests of how far a follower is behind. */
+/** @file store_follower_test.cc Tests when a follower of the store counts as
+ * late. */
 #define BOOST_TEST_MODULE store_follower
 #include <boost/asio/io_context.hpp>
 #include <boost/test/unit_test.hpp>
@@ -15,7 +16,8 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** Time passes with calls to the store, and when the test says so. */
+/** Runs a follower on an in-memory store. Each store call advances the clock by
+ * a millisecond; the test advances it further. */
 struct Rig {
   Rig()
       : log({"entry", core::VmId("vm"), core::ZoneId("z")},
@@ -46,8 +48,8 @@
 
 }  // namespace
 
-/** Guards against a process that has no time to follow the store and goes by
- * what it knew: no call has failed. */
+/** Guards against a process that is too busy to follow the store and keeps
+ * using outdated data although no call has failed. */
 BOOST_AUTO_TEST_CASE(AFollowerThatIsHeldUpIsLate) {
   Rig rig;
   BOOST_REQUIRE(
@@ -58,7 +60,8 @@
   BOOST_TEST(rig.Until([&] { return !rig.follower.IsLate(); }));
 }
 
-/** Guards against refusals while the store is away: nobody can know more. */
+/** Guards against refusals while the store is unavailable, when no entry can
+ * have newer data. */
 BOOST_AUTO_TEST_CASE(AFollowerWithoutItsStoreIsNotLate) {
   Rig rig;
   BOOST_REQUIRE(
