--- a/src/organisation/organisation.cc
+++ b/src/organisation/organisation.cc
@@ -21,9 +21,9 @@
   const auto usable = [](double units) {
     return std::isfinite(units) && units >= 0;
   };
-  if (!usable(quota.per_second)) Fail(organisation.id, "rate is not usable");
-  if (!usable(quota.burst)) Fail(organisation.id, "burst is not usable");
-  if (quota.default_tokens < 0) Fail(organisation.id, "tokens are negative");
+  if (!usable(quota.per_second)) Fail(organisation.id, "invalid quota rate");
+  if (!usable(quota.burst)) Fail(organisation.id, "invalid quota burst");
+  if (quota.default_tokens < 0) Fail(organisation.id, "default tokens < 0");
 }
 
 }  // namespace
@@ -33,10 +33,10 @@
   std::unordered_set<ApiKey, ApiKeyHash> keys;
   for (const Organisation& it : organisations) {
     if (it.id.empty()) Fail(it.id, "has no name");
-    if (!names.insert(it.id).second) Fail(it.id, "stands twice");
+    if (!names.insert(it.id).second) Fail(it.id, "duplicate name");
     for (const ApiKey& key : it.keys) {
       if (key.empty()) Fail(it.id, "has an empty key");
-      if (!keys.insert(key).second) Fail(it.id, "shares a key");
+      if (!keys.insert(key).second) Fail(it.id, "duplicate API key");
     }
     CheckQuota(it);
   }
