--- a/bench/simulation.cc
+++ b/bench/simulation.cc
@@ -174,7 +174,7 @@
   ask.remaining = caller.at + caller.limit - now_;
   // The deployment's own figure until the first request has ended.
   const auto& times = service_times_[static_cast<std::size_t>(caller.model)];
-  const Millis learnt = policy::CautiousServiceTime(times);
+  const Millis learnt = policy::ConservativeServiceTime(times);
   ask.service_time = learnt.count() > 0 ? learnt : spec.service_time;
   ask.zone = core::ZoneId(fmt::format("zone-{}", caller.zone));
   ask.waiting_ahead = ahead;
--- a/bench/simulation_load.cc
+++ b/bench/simulation_load.cc
@@ -53,7 +53,7 @@
   const std::size_t sharers = shares ? engine.times.size() : 1;
   return policy::KeepAliveTime(
       histories_[static_cast<std::size_t>(model)],
-      policy::SharedWeights(workload_.weights, sharers),
+      policy::CostWeightsPerReplica(workload_.weights, sharers),
       policy::ExpectedReloadTime(Spec(model).loads));
 }
 
@@ -61,7 +61,7 @@
   EngineState& engine = fleet_[static_cast<std::size_t>(engine_index)];
   Settle(engine, now_, result_);
   RefreshView(engine, now_);
-  std::vector<policy::HeldReplica> held;
+  std::vector<policy::LoadedReplica> held;
   std::vector<int> unload;
   for (std::size_t i = 0; i < engine.times.size(); ++i) {
     const policy::ReplicaView& replica = engine.view.replicas[i];
--- a/bench/slopes.cc
+++ b/bench/slopes.cc
@@ -114,7 +114,7 @@
   for (int i = 0; i < size; ++i) {
     entries.emplace_back(fmt::format("entry-{:03}", i));
   }
-  return [entries] { policy::RankHomes("model-0001", entries); };
+  return [entries] { policy::RankByRendezvousHash("model-0001", entries); };
 }
 
 std::function<void()> PickCall(int size) {
@@ -168,7 +168,7 @@
     policy::RecordDispatch(tracker, i, core::AttemptId(fmt::format("{}", i)),
                            core::EndpointId("engine-1"));
   }
-  return [tracker] { policy::JudgeDispatch(tracker, 1); };
+  return [tracker] { policy::DecideDispatch(tracker, 1); };
 }
 
 }  // namespace
--- a/src/crash/quarantine.cc
+++ b/src/crash/quarantine.cc
@@ -55,7 +55,7 @@
 
 Verdict Quarantine::Judge(std::int64_t fingerprint) const {
   const std::lock_guard lock(mutex_);
-  return {.dispatch = policy::JudgeDispatch(tracker_, fingerprint),
+  return {.dispatch = policy::DecideDispatch(tracker_, fingerprint),
           .crashes = CrashesOf(tracker_, fingerprint),
           .copies = policy::EnginesWithCopies(tracker_, fingerprint)};
 }
@@ -110,8 +110,8 @@
   own.model = record.model;
   own.crashes.insert(record.crashes.begin(), record.crashes.end());
   own.last_crash = std::max(own.last_crash, record.last_crash);
-  policy::AdoptCrashes(tracker_, fingerprint,
-                       static_cast<int>(own.crashes.size()), clock_.Now());
+  policy::MergeCrashCount(tracker_, fingerprint,
+                          static_cast<int>(own.crashes.size()), clock_.Now());
 }
 
 void Quarantine::Drop(std::int64_t fingerprint) {
--- a/src/crash/quarantine_base.h
+++ b/src/crash/quarantine_base.h
@@ -32,14 +32,14 @@
 
 /** How a request may be placed. */
 struct Verdict {
-  policy::DispatchVerdict dispatch = policy::DispatchVerdict::kRun;
+  policy::DispatchDecision dispatch = policy::DispatchDecision::kRun;
   int crashes = 0;
   /** Engines that run a copy of it now. */
   std::set<core::EndpointId> copies;
 
   [[nodiscard]] bool IsSuspect() const { return crashes > 0; }
   [[nodiscard]] bool IsQuarantined() const {
-    return dispatch == policy::DispatchVerdict::kQuarantined;
+    return dispatch == policy::DispatchDecision::kQuarantined;
   }
 };
 
--- a/src/endpoint/replica_keeper.cc
+++ b/src/endpoint/replica_keeper.cc
@@ -21,7 +21,7 @@
 
 /** @return The replica as the policy sees it: one on its way in counts as in
  * use, one on its way out as gone long ago. */
-policy::HeldReplica HeldAt(Replica& replica, core::SteadyTime now) {
+policy::LoadedReplica HeldAt(Replica& replica, core::SteadyTime now) {
   const std::lock_guard lock(replica.mutex);
   const ReplicaPhase phase = replica.life.phase();
   if (phase == ReplicaPhase::kReady) {
@@ -181,7 +181,7 @@
 std::set<ReplicaPtr> ReplicaKeeper::IdleToUnload(
     const std::vector<ReplicaPtr>& all) const {
   const core::SteadyTime now = parts_.clock.Now();
-  std::vector<policy::HeldReplica> held;
+  std::vector<policy::LoadedReplica> held;
   held.reserve(all.size());
   for (const ReplicaPtr& it : all) held.push_back(HeldAt(*it, now));
   std::set<ReplicaPtr> unwanted;
--- a/src/entry/home.cc
+++ b/src/entry/home.cc
@@ -215,7 +215,7 @@
 
 void Home::State::CheckRoom(const ModelQueue& queue,
                             const core::OwnerId& owner) {
-  const auto refusal = policy::RefuseAtQueue(
+  const auto refusal = policy::CheckQueueAdmission(
       WaitingOf(queue, options.max_queue), owner, UseOf(queue, clock.Now()));
   if (refusal) throw core::Error(*refusal, "", kRetryAfter);
 }
--- a/src/entry/home_decide.cc
+++ b/src/entry/home_decide.cc
@@ -262,7 +262,7 @@
                                     const core::ModelId& model,
                                     const core::EndpointId& endpoint) const {
   const contract::Weights& prices = current.intent.weights;
-  const policy::CostWeights weights = policy::SharedWeights(
+  const policy::CostWeights weights = policy::CostWeightsPerReplica(
       {.cold_start = prices.cold_start, .idle = prices.idle},
       fleet.ReplicasAt(endpoint));
   const policy::LoadTimes times = LoadTimesAt(queue.load_times, clock.Now());
@@ -290,7 +290,7 @@
   // engines run it than may die of it.
   const bool harmless =
       !verdict.IsSuspect() && queue.harmless.contains(request.fingerprint);
-  if (verdict.dispatch == policy::DispatchVerdict::kWaitForCopies &&
+  if (verdict.dispatch == policy::DispatchDecision::kWaitForCopies &&
       !harmless && !verdict.copies.contains(decision.endpoint)) {
     return Step::kHeldAlone;
   }
--- a/src/entry/ledger_cleanup.cc
+++ b/src/entry/ledger_cleanup.cc
@@ -96,7 +96,7 @@
   }
   for (const auto& [id, service] : current->intent.services) {
     if (service.kind != contract::ServiceKind::kModel) continue;
-    const auto ranked = policy::RankHomes(id.value(), entries);
+    const auto ranked = policy::RankByRendezvousHash(id.value(), entries);
     if (!ranked.empty() && ranked.front() == options_.self) own.push_back(id);
   }
   return own;
--- a/src/entry/placer.cc
+++ b/src/entry/placer.cc
@@ -78,7 +78,7 @@
   names.reserve(entries.size());
   for (const KnownEntry& entry : entries) names.push_back(entry.vm);
   std::vector<KnownEntry> ranked;
-  for (const core::VmId& name : policy::RankHomes(key, names)) {
+  for (const core::VmId& name : policy::RankByRendezvousHash(key, names)) {
     const auto it =
         std::find_if(entries.begin(), entries.end(),
                      [&](const KnownEntry& entry) { return entry.vm == name; });
--- a/src/orders/endpoint.cc
+++ b/src/orders/endpoint.cc
@@ -148,10 +148,10 @@
   routing::FollowHooks hooks;
   hooks.prefix = options_.configuration_key;
   hooks.listed = [adopt](std::vector<external::KvEntry> entries,
-                         routing::LapseEnd) {
+                         routing::LapseGraceEnd) {
     for (const external::KvEntry& it : entries) adopt(it);
   };
-  hooks.changed = [adopt](external::KvEvent event, routing::LapseEnd) {
+  hooks.changed = [adopt](external::KvEvent event, routing::LapseGraceEnd) {
     if (event.value) adopt({event.key, *event.value, event.revision});
   };
   return hooks;
--- a/src/orders/memory_plan.cc
+++ b/src/orders/memory_plan.cc
@@ -94,7 +94,7 @@
   for (const fleet::HeldModel& it : state.report->models) {
     const fleet::Usage usage = UseOf(state, {it.model, core::AdapterId()});
     if (it.model == keep) continue;
-    if (UsedWithin(usage, state.now, policy::kKeptAfterUse)) continue;
+    if (UsedWithin(usage, state.now, policy::kNoEvictionAfterUse)) continue;
     const bool requested =
         std::ranges::find(preferred, it.model) != preferred.end();
     // A load request goes before any demand.
--- a/src/policy/admission.cc
+++ b/src/policy/admission.cc
@@ -60,7 +60,7 @@
   return static_cast<std::size_t>(first - queue.begin());
 }
 
-std::optional<core::ErrorCode> RefuseAtQueue(
+std::optional<core::ErrorCode> CheckQueueAdmission(
     const QueueUse& use, const core::OwnerId& owner,
     const std::map<core::OwnerId, OwnerUse>& owners) {
   int total = 0;
--- a/src/policy/admission_func.h
+++ b/src/policy/admission_func.h
@@ -56,7 +56,7 @@
  * by share.
  * @return The reason for refusing the request, or nothing if it is admitted.
  */
-std::optional<core::ErrorCode> RefuseAtQueue(
+std::optional<core::ErrorCode> CheckQueueAdmission(
     const QueueUse& use, const core::OwnerId& owner,
     const std::map<core::OwnerId, OwnerUse>& owners);
 
--- a/src/policy/admission_test.cc
+++ b/src/policy/admission_test.cc
@@ -83,14 +83,14 @@
   const std::map<core::OwnerId, OwnerUse> owners = {{Owner(0), {}},
                                                     {Owner(1), {}}};
   QueueUse use{.max_queue = 100, .waiting = {}};
-  while (!RefuseAtQueue(use, Owner(0), owners).has_value()) {
+  while (!CheckQueueAdmission(use, Owner(0), owners).has_value()) {
     ++use.waiting[Owner(0)];
   }
   BOOST_TEST(use.waiting[Owner(0)] == 50);
-  BOOST_TEST(
-      (RefuseAtQueue(use, Owner(0), owners) == core::ErrorCode::kOverShare));
+  BOOST_TEST((CheckQueueAdmission(use, Owner(0), owners) ==
+              core::ErrorCode::kOverShare));
   int others = 0;
-  while (!RefuseAtQueue(use, Owner(1), owners).has_value()) {
+  while (!CheckQueueAdmission(use, Owner(1), owners).has_value()) {
     ++use.waiting[Owner(1)];
     ++others;
   }
--- a/src/policy/crash.cc
+++ b/src/policy/crash.cc
@@ -17,17 +17,17 @@
 
 }  // namespace
 
-DispatchVerdict JudgeDispatch(const CrashTracker& tracker,
-                              std::int64_t fingerprint) {
+DispatchDecision DecideDispatch(const CrashTracker& tracker,
+                                std::int64_t fingerprint) {
   const auto it = tracker.records.find(fingerprint);
-  if (it == tracker.records.end()) return DispatchVerdict::kRun;
+  if (it == tracker.records.end()) return DispatchDecision::kRun;
   const CrashRecord& record = it->second;
   if (record.crashes >= kCrashesToQuarantine) {
-    return DispatchVerdict::kQuarantined;
+    return DispatchDecision::kQuarantined;
   }
-  if (!record.running.empty()) return DispatchVerdict::kWaitForCopies;
-  return record.crashes > 0 ? DispatchVerdict::kRunAlone
-                            : DispatchVerdict::kRun;
+  if (!record.running.empty()) return DispatchDecision::kWaitForCopies;
+  return record.crashes > 0 ? DispatchDecision::kRunAlone
+                            : DispatchDecision::kRun;
 }
 
 std::set<core::EndpointId> EnginesWithCopies(const CrashTracker& tracker,
@@ -75,15 +75,15 @@
   return record.crashes >= kCrashesToQuarantine;
 }
 
-void AdoptCrashes(CrashTracker& tracker, std::int64_t fingerprint, int crashes,
-                  core::SteadyTime now) {
+void MergeCrashCount(CrashTracker& tracker, std::int64_t fingerprint,
+                     int crashes, core::SteadyTime now) {
   CrashRecord& record = tracker.records[fingerprint];
   record.crashes = std::max(record.crashes, crashes);
   record.last_crash = now;
 }
 
-void ForgetCrashes(CrashTracker& tracker, core::SteadyTime now,
-                   std::chrono::milliseconds keep) {
+void ExpireCrashRecords(CrashTracker& tracker, core::SteadyTime now,
+                        std::chrono::milliseconds keep) {
   std::erase_if(tracker.records, [&](const auto& entry) {
     const CrashRecord& record = entry.second;
     return record.running.empty() && now - record.last_crash > keep;
--- a/src/policy/crash_func.h
+++ b/src/policy/crash_func.h
@@ -30,7 +30,7 @@
   std::map<std::int64_t, CrashRecord> records;
 };
 
-enum class DispatchVerdict {
+enum class DispatchDecision {
   kRun,
   kRunAlone,       ///< Suspect: runs only on an engine without other requests.
   kWaitForCopies,  ///< Runs only on the engine of the running copies, or waits
@@ -49,8 +49,8 @@
  * retried alone on an engine, so that a second crash can't be caused by another
  * request, and a harmless suspect completes, which resets its count.
  */
-DispatchVerdict JudgeDispatch(const CrashTracker& tracker,
-                              std::int64_t fingerprint);
+DispatchDecision DecideDispatch(const CrashTracker& tracker,
+                                std::int64_t fingerprint);
 
 /** @return The endpoints that are running a copy of the request. */
 std::set<core::EndpointId> EnginesWithCopies(const CrashTracker& tracker,
@@ -76,13 +76,13 @@
 
 /** Raises the crash count to `crashes`, as counted elsewhere, for example after
  * the home of a model has changed. */
-void AdoptCrashes(CrashTracker& tracker, std::int64_t fingerprint, int crashes,
-                  core::SteadyTime now);
+void MergeCrashCount(CrashTracker& tracker, std::int64_t fingerprint,
+                     int crashes, core::SteadyTime now);
 
 /** Removes fingerprints without running copies whose last crash is longer ago
  * than `keep`. */
-void ForgetCrashes(CrashTracker& tracker, core::SteadyTime now,
-                   std::chrono::milliseconds keep);
+void ExpireCrashRecords(CrashTracker& tracker, core::SteadyTime now,
+                        std::chrono::milliseconds keep);
 
 }  // namespace sapphire::policy
 
--- a/src/policy/crash_test.cc
+++ b/src/policy/crash_test.cc
@@ -27,10 +27,10 @@
   CrashTracker tracker;
   RecordDispatch(tracker, 7, Attempt(1), Engine(1));
   BOOST_TEST(!RecordCrash(tracker, 7, Attempt(1), kNow));
-  BOOST_TEST((JudgeDispatch(tracker, 7) == DispatchVerdict::kRunAlone));
+  BOOST_TEST((DecideDispatch(tracker, 7) == DispatchDecision::kRunAlone));
   RecordDispatch(tracker, 7, Attempt(2), Engine(2));
   BOOST_TEST(RecordCrash(tracker, 7, Attempt(2), kNow));
-  BOOST_TEST((JudgeDispatch(tracker, 7) == DispatchVerdict::kQuarantined));
+  BOOST_TEST((DecideDispatch(tracker, 7) == DispatchDecision::kQuarantined));
 }
 
 // A caller sends the same harmful request five times in parallel. All copies
@@ -39,14 +39,14 @@
 BOOST_AUTO_TEST_CASE(CopiesInParallelReachOneEngineAtATime) {
   CrashTracker tracker;
   RecordDispatch(tracker, 7, Attempt(1), Engine(1));
-  BOOST_TEST((JudgeDispatch(tracker, 7) == DispatchVerdict::kWaitForCopies));
+  BOOST_TEST((DecideDispatch(tracker, 7) == DispatchDecision::kWaitForCopies));
   BOOST_TEST((EnginesWithCopies(tracker, 7) == std::set{Engine(1)}));
   RecordCrash(tracker, 7, Attempt(1), kNow);
-  BOOST_TEST((JudgeDispatch(tracker, 7) == DispatchVerdict::kRunAlone));
+  BOOST_TEST((DecideDispatch(tracker, 7) == DispatchDecision::kRunAlone));
   RecordDispatch(tracker, 7, Attempt(2), Engine(2));
-  BOOST_TEST((JudgeDispatch(tracker, 7) == DispatchVerdict::kWaitForCopies));
+  BOOST_TEST((DecideDispatch(tracker, 7) == DispatchDecision::kWaitForCopies));
   RecordCrash(tracker, 7, Attempt(2), kNow);
-  BOOST_TEST((JudgeDispatch(tracker, 7) == DispatchVerdict::kQuarantined));
+  BOOST_TEST((DecideDispatch(tracker, 7) == DispatchDecision::kQuarantined));
 }
 
 // Two callers send the same harmless request, and both copies run on an engine
@@ -58,16 +58,17 @@
   RecordDispatch(tracker, 7, Attempt(2), Engine(1));
   RecordCrash(tracker, 7, Attempt(1), kNow);
   BOOST_TEST(!RecordCrash(tracker, 7, Attempt(2), kNow));
-  BOOST_TEST((JudgeDispatch(tracker, 7) == DispatchVerdict::kRunAlone));
+  BOOST_TEST((DecideDispatch(tracker, 7) == DispatchDecision::kRunAlone));
 }
 
 BOOST_AUTO_TEST_CASE(ForgetsAfterAWhileButNotWhatRuns) {
   CrashTracker tracker;
-  AdoptCrashes(tracker, 1, 2, kNow);
+  MergeCrashCount(tracker, 1, 2, kNow);
   RecordDispatch(tracker, 2, Attempt(1), Engine(1));
-  ForgetCrashes(tracker, kNow + std::chrono::hours(2), std::chrono::hours(1));
+  ExpireCrashRecords(tracker, kNow + std::chrono::hours(2),
+                     std::chrono::hours(1));
   BOOST_TEST(tracker.records.size() == 1U);
-  BOOST_TEST((JudgeDispatch(tracker, 1) == DispatchVerdict::kRun));
+  BOOST_TEST((DecideDispatch(tracker, 1) == DispatchDecision::kRun));
 }
 
 /** Engines that run random requests, some of which crash them; requests are
@@ -93,11 +94,11 @@
   };
 
   void Dispatch(std::int64_t fingerprint) {
-    const auto verdict = JudgeDispatch(tracker, fingerprint);
-    const bool alone = verdict == DispatchVerdict::kRunAlone;
-    const bool beside = verdict == DispatchVerdict::kWaitForCopies &&
+    const auto verdict = DecideDispatch(tracker, fingerprint);
+    const bool alone = verdict == DispatchDecision::kRunAlone;
+    const bool beside = verdict == DispatchDecision::kWaitForCopies &&
                         tracker.records[fingerprint].crashes == 0;
-    if (verdict != DispatchVerdict::kRun && !alone && !beside) return;
+    if (verdict != DispatchDecision::kRun && !alone && !beside) return;
     const std::size_t at = random_() % engines_.size();
     const auto copies = EnginesWithCopies(tracker, fingerprint);
     if (beside && !copies.contains(Engine(at))) return;
--- a/src/policy/keep_alive.cc
+++ b/src/policy/keep_alive.cc
@@ -124,8 +124,8 @@
   return callers / open * weights.cold_start * Seconds(load_time).count();
 }
 
-std::vector<std::size_t> ReplicasToUnload(std::span<const HeldReplica> held) {
-  const bool kept = std::ranges::any_of(held, [](const HeldReplica& it) {
+std::vector<std::size_t> ReplicasToUnload(std::span<const LoadedReplica> held) {
+  const bool kept = std::ranges::any_of(held, [](const LoadedReplica& it) {
     return it.running > 0 || it.idle < it.keep_alive;
   });
   std::vector<std::size_t> unload;
@@ -133,7 +133,8 @@
   return unload;
 }
 
-CostWeights SharedWeights(const CostWeights& weights, std::size_t replicas) {
+CostWeights CostWeightsPerReplica(const CostWeights& weights,
+                                  std::size_t replicas) {
   const auto sharers = static_cast<double>(std::max<std::size_t>(replicas, 1));
   return {.cold_start = weights.cold_start, .idle = weights.idle / sharers};
 }
--- a/src/policy/keep_alive_func.h
+++ b/src/policy/keep_alive_func.h
@@ -59,7 +59,7 @@
                   std::chrono::milliseconds horizon);
 
 /** A replica loaded at an endpoint, as seen by that endpoint. */
-struct HeldReplica {
+struct LoadedReplica {
   int running = 0;
   std::chrono::milliseconds idle{0};
   std::chrono::milliseconds keep_alive{0};
@@ -71,11 +71,12 @@
  *   in use or within its keep-alive time, so all are kept until the last
  *   keep-alive has expired and are then unloaded together.
  */
-std::vector<std::size_t> ReplicasToUnload(std::span<const HeldReplica> held);
+std::vector<std::size_t> ReplicasToUnload(std::span<const LoadedReplica> held);
 
 /** @return The weights for one of `replicas` replicas on one accelerator, which
  * share the cost of its idle time. */
-CostWeights SharedWeights(const CostWeights& weights, std::size_t replicas);
+CostWeights CostWeightsPerReplica(const CostWeights& weights,
+                                  std::size_t replicas);
 
 }  // namespace sapphire::policy
 
--- a/src/policy/keep_alive_test.cc
+++ b/src/policy/keep_alive_test.cc
@@ -111,9 +111,9 @@
 BOOST_AUTO_TEST_CASE(ReplicasLeaveAnAcceleratorTogether) {
   for (std::uint64_t seed = 1; seed <= 500; ++seed) {
     std::mt19937_64 random(seed);
-    std::vector<HeldReplica> held(seed % 5);
+    std::vector<LoadedReplica> held(seed % 5);
     bool wanted = false;
-    for (HeldReplica& replica : held) {
+    for (LoadedReplica& replica : held) {
       replica.running = random() % 4 == 0 ? 1 : 0;
       replica.idle = milliseconds(random() % 100);
       replica.keep_alive = milliseconds(random() % 60);
--- a/src/policy/placement.cc
+++ b/src/policy/placement.cc
@@ -368,8 +368,8 @@
   return loads.memory + (loads.disk - loads.memory) / kReloadsFromDisk;
 }
 
-std::vector<core::VmId> RankHomes(std::string_view key,
-                                  std::span<const core::VmId> candidates) {
+std::vector<core::VmId> RankByRendezvousHash(
+    std::string_view key, std::span<const core::VmId> candidates) {
   std::vector<std::pair<std::uint64_t, const core::VmId*>> scored;
   scored.reserve(candidates.size());
   const std::uint64_t seed = core::HashOf(key);
--- a/src/policy/placement_func.h
+++ b/src/policy/placement_func.h
@@ -42,8 +42,8 @@
  * Orders the candidates by rendezvous hashing for `key`, most preferred first.
  * Removing a candidate moves only the keys that had it first.
  */
-std::vector<core::VmId> RankHomes(std::string_view key,
-                                  std::span<const core::VmId> candidates);
+std::vector<core::VmId> RankByRendezvousHash(
+    std::string_view key, std::span<const core::VmId> candidates);
 
 }  // namespace sapphire::policy
 
--- a/src/policy/placement_test.cc
+++ b/src/policy/placement_test.cc
@@ -351,14 +351,14 @@
   std::map<core::VmId, int> homes;
   for (std::uint64_t i = 0; i < 2000; ++i) {
     const auto key = Numbered("model-", i);
-    const auto ranked = RankHomes(key, entries);
+    const auto ranked = RankByRendezvousHash(key, entries);
     ++homes[ranked.front()];
     auto fewer = entries;
     std::erase(fewer, entries[i % entries.size()]);
     const auto expected = ranked.front() == entries[i % entries.size()]
                               ? ranked[1]
                               : ranked.front();
-    BOOST_TEST((RankHomes(key, fewer).front() == expected));
+    BOOST_TEST((RankByRendezvousHash(key, fewer).front() == expected));
   }
   for (const auto& [entry, count] : homes) {
     BOOST_TEST(count > 50);
--- a/src/policy/replica_choice.cc
+++ b/src/policy/replica_choice.cc
@@ -78,7 +78,7 @@
                   static_cast<double>(size.service_time.count()));
   }
   const auto unread =
-      std::max<std::int64_t>(size.prompt_tokens - candidate.known_tokens, 0);
+      std::max<std::int64_t>(size.prompt_tokens - candidate.cached_tokens, 0);
   // Each running request makes a step longer; the prompts of waiting requests
   // are prefilled first.
   const double reading =
@@ -124,8 +124,8 @@
   return best;
 }
 
-ReplicaNeed NeedForReplica(std::span<const ReplicaCandidate> candidates,
-                           double demand_per_second) {
+ReplicaNeed AssessReplicaNeed(std::span<const ReplicaCandidate> candidates,
+                              double demand_per_second) {
   const auto all_above = [candidates](int limit) {
     return std::ranges::all_of(candidates, [limit](const auto& it) {
       return it.running + it.waiting > limit ||
@@ -142,7 +142,7 @@
                                                  : ReplicaNeed::kNone;
 }
 
-int EnginesForWaiting(int waiting) {
+int EnginesToWake(int waiting) {
   return std::clamp(waiting / kFilling, 1, kMostAtOnce);
 }
 
--- a/src/policy/replica_choice_func.h
+++ b/src/policy/replica_choice_func.h
@@ -24,7 +24,7 @@
   std::int64_t kv_used = 0;
   std::int64_t kv_total = 0;
   /** Prompt tokens of this request that the engine has already prefilled. */
-  std::int64_t known_tokens = 0;
+  std::int64_t cached_tokens = 0;
   /** Fraction of this entry's latest requests that failed, 0 to 1. */
   double failure_rate = 0;
   /** How long this entry's oldest request has been waiting for its first byte,
@@ -79,8 +79,8 @@
  * wait: because the engines that hold it are nearly full, or because a busy
  * model has only one replica.
  */
-ReplicaNeed NeedForReplica(std::span<const ReplicaCandidate> candidates,
-                           double demand_per_second);
+ReplicaNeed AssessReplicaNeed(std::span<const ReplicaCandidate> candidates,
+                              double demand_per_second);
 
 /**
  * Decides on how many engines a model is woken at once. If no engine holds a
@@ -90,7 +90,7 @@
  * @param waiting Requests waiting for the model, over all entries.
  * @return At least 1.
  */
-int EnginesForWaiting(int waiting);
+int EnginesToWake(int waiting);
 
 }  // namespace sapphire::policy
 
--- a/src/policy/replica_choice_test.cc
+++ b/src/policy/replica_choice_test.cc
@@ -44,7 +44,7 @@
  * penalty for another zone. */
 BOOST_AUTO_TEST_CASE(AnEngineThatHasReadThePromptIsWorthAnotherZone) {
   ReplicaCandidate reader = Idle(false);
-  reader.known_tokens = 1200;
+  reader.cached_tokens = 1200;
   BOOST_TEST(*Choose({Idle(true), reader}) == 1);
 }
 
@@ -69,8 +69,8 @@
  * model must not take up two engines. */
 BOOST_AUTO_TEST_CASE(OnlyABusyModelStandsOnTwoEngines) {
   const std::vector<ReplicaCandidate> one = {Idle(true)};
-  BOOST_TEST((NeedForReplica(one, 0.03) == ReplicaNeed::kNone));
-  BOOST_TEST((NeedForReplica(one, 5.0) == ReplicaNeed::kUseful));
+  BOOST_TEST((AssessReplicaNeed(one, 0.03) == ReplicaNeed::kNone));
+  BOOST_TEST((AssessReplicaNeed(one, 5.0) == ReplicaNeed::kUseful));
 }
 
 /**
@@ -79,16 +79,16 @@
  */
 BOOST_AUTO_TEST_CASE(CrowdedEnginesCallForAnother) {
   std::vector<ReplicaCandidate> two = {Idle(true), Idle(true)};
-  BOOST_TEST((NeedForReplica(two, 9.0) == ReplicaNeed::kNone));
+  BOOST_TEST((AssessReplicaNeed(two, 9.0) == ReplicaNeed::kNone));
   two[0].running = 43;
-  BOOST_TEST((NeedForReplica(two, 9.0) == ReplicaNeed::kNone));
+  BOOST_TEST((AssessReplicaNeed(two, 9.0) == ReplicaNeed::kNone));
   two[1].running = 12;
-  BOOST_TEST((NeedForReplica(two, 9.0) == ReplicaNeed::kUseful));
+  BOOST_TEST((AssessReplicaNeed(two, 9.0) == ReplicaNeed::kUseful));
   two[1].running = 32;
-  BOOST_TEST((NeedForReplica(two, 9.0) == ReplicaNeed::kUrgent));
+  BOOST_TEST((AssessReplicaNeed(two, 9.0) == ReplicaNeed::kUrgent));
   // The load is caused by another model: a rare model gains nothing from
   // another replica.
-  BOOST_TEST((NeedForReplica(two, 0.1) == ReplicaNeed::kNone));
+  BOOST_TEST((AssessReplicaNeed(two, 0.1) == ReplicaNeed::kNone));
 }
 
 /**
@@ -96,10 +96,10 @@
  * (kFilling); more are shared by up to four engines.
  */
 BOOST_AUTO_TEST_CASE(ACrowdThatWaitsIsSharedBySeveralEngines) {
-  BOOST_TEST(EnginesForWaiting(0) == 1);
-  BOOST_TEST(EnginesForWaiting(7) == 1);
-  BOOST_TEST(EnginesForWaiting(20) == 2);
-  BOOST_TEST(EnginesForWaiting(200) == 4);
+  BOOST_TEST(EnginesToWake(0) == 1);
+  BOOST_TEST(EnginesToWake(7) == 1);
+  BOOST_TEST(EnginesToWake(20) == 2);
+  BOOST_TEST(EnginesToWake(200) == 4);
 }
 
 }  // namespace sapphire::policy
--- a/src/policy/service_time.cc
+++ b/src/policy/service_time.cc
@@ -27,7 +27,7 @@
       (std::chrono::abs(error) - times.deviation) / kDeviationParts;
 }
 
-std::chrono::milliseconds CautiousServiceTime(const ServiceTimes& times) {
+std::chrono::milliseconds ConservativeServiceTime(const ServiceTimes& times) {
   return times.mean + kCautiousDeviations * times.deviation;
 }
 
--- a/src/policy/service_time_func.h
+++ b/src/policy/service_time_func.h
@@ -19,7 +19,7 @@
  * @return A duration that most requests don't exceed. Admission uses it so that
  *   an admitted request seldom ends late.
  */
-std::chrono::milliseconds CautiousServiceTime(const ServiceTimes& times);
+std::chrono::milliseconds ConservativeServiceTime(const ServiceTimes& times);
 
 }  // namespace sapphire::policy
 
--- a/src/policy/service_time_test.cc
+++ b/src/policy/service_time_test.cc
@@ -21,11 +21,11 @@
     for (int i = 0; i < kRequests; ++i) {
       const auto took = std::chrono::milliseconds(
           std::max<std::int64_t>(1, static_cast<std::int64_t>(spread(random))));
-      if (took <= CautiousServiceTime(times)) ++kept;
+      if (took <= ConservativeServiceTime(times)) ++kept;
       RecordServiceTime(times, took);
     }
     BOOST_TEST(kept > kRequests * 7 / 10, "seed " << seed);
-    BOOST_TEST(CautiousServiceTime(times).count() < 4000);
+    BOOST_TEST(ConservativeServiceTime(times).count() < 4000);
   }
 }
 
--- a/src/policy/store_lane.cc
+++ b/src/policy/store_lane.cc
@@ -43,7 +43,7 @@
   return granted;
 }
 
-std::chrono::milliseconds WaitForFixedShare(
+std::chrono::milliseconds FixedShareDelay(
     const StoreLimits& limits, std::size_t endpoints,
     std::optional<core::SteadyTime> last_start, core::SteadyTime now) {
   if (!last_start.has_value() || limits.loads_per_second <= 0) {
--- a/src/policy/store_lane_func.h
+++ b/src/policy/store_lane_func.h
@@ -50,7 +50,7 @@
  * @param last_start Start of this endpoint's last load from the store.
  * @return How long this endpoint has to wait before its next load.
  */
-std::chrono::milliseconds WaitForFixedShare(
+std::chrono::milliseconds FixedShareDelay(
     const StoreLimits& limits, std::size_t endpoints,
     std::optional<core::SteadyTime> last_start, core::SteadyTime now);
 
--- a/src/policy/store_lane_test.cc
+++ b/src/policy/store_lane_test.cc
@@ -98,7 +98,7 @@
   for (std::size_t i = 0; i < kEndpoints; ++i) {
     std::optional<core::SteadyTime> last;
     for (std::int64_t ms = 0; ms < 600'000; ms += 10) {
-      if (WaitForFixedShare(limits, kEndpoints, last, At(ms)).count() > 0) {
+      if (FixedShareDelay(limits, kEndpoints, last, At(ms)).count() > 0) {
         continue;
       }
       last = At(ms);
--- a/src/policy/wake_up.cc
+++ b/src/policy/wake_up.cc
@@ -68,7 +68,7 @@
   std::vector<const ResidentModel*> idle;
   for (const ResidentModel& resident : candidate.residents) {
     free -= resident.bytes;
-    const bool is_kept = resident.running > 0 || resident.just_used;
+    const bool is_kept = resident.running > 0 || resident.recently_used;
     if (!is_kept) idle.push_back(&resident);
   }
   std::ranges::stable_sort(idle, {}, [&loads](const ResidentModel* it) {
--- a/src/policy/wake_up_func.h
+++ b/src/policy/wake_up_func.h
@@ -18,7 +18,7 @@
 /** A model is not evicted within this time after it was loaded or requested,
  * because entries report requests with a short delay. The endpoint process
  * refuses to unload it, so the choice has to follow the same rule. */
-inline constexpr std::chrono::milliseconds kKeptAfterUse{1500};
+inline constexpr std::chrono::milliseconds kNoEvictionAfterUse{1500};
 
 /** A model that an engine holds and could evict. */
 struct ResidentModel {
@@ -26,8 +26,8 @@
   std::int64_t bytes = 0;
   /** Requests in progress, which an unload would have to wait for. */
   int running = 0;
-  /** Loaded or requested within kKeptAfterUse. */
-  bool just_used = false;
+  /** Loaded or requested within kNoEvictionAfterUse. */
+  bool recently_used = false;
   /** Requests a second for the model, over all engines. */
   double demand = 0;
   /** Number of other engines that hold the model. */
--- a/src/policy/wake_up_test.cc
+++ b/src/policy/wake_up_test.cc
@@ -106,7 +106,7 @@
  */
 BOOST_AUTO_TEST_CASE(AModelAskedForAMomentAgoStays) {
   WakeUpCandidate kept = FullEngine(Tier::kMemory, 0, 0, 0);
-  for (ResidentModel& resident : kept.residents) resident.just_used = true;
+  for (ResidentModel& resident : kept.residents) resident.recently_used = true;
   const auto plan = Choose({kept, FullEngine(Tier::kDisk, 0, 0, 0)});
   BOOST_TEST(plan->engine == 1);
 }
--- a/src/routing/store_follower.cc
+++ b/src/routing/store_follower.cc
@@ -81,7 +81,7 @@
     revision_.reset();
     // With a store that keeps little history, the next watch may have a gap at
     // once.
-    co_await core::SleepFor(options_.gather);
+    co_await core::SleepFor(options_.batch_pause);
     co_return;
   }
   for (external::KvEvent& event : batch.events) {
@@ -89,7 +89,7 @@
   }
   revision_ = std::max(*revision_, batch.revision);
   if (batch.events.empty()) co_return;
-  co_await core::SleepFor(options_.gather);
+  co_await core::SleepFor(options_.batch_pause);
 }
 
 void StoreFollower::TakeChange(external::KvEvent event) {
@@ -119,7 +119,7 @@
       std::chrono::duration_cast<core::Millis>(*last_answer_ - *failing_since_);
   failing_since_.reset();
   if (away > options_.outage_after) {
-    lapse_end_ = std::min(failed_call_began_ + options_.lapse_wait,
+    lapse_end_ = std::min(failed_call_began_ + options_.lapse_grace,
                           *last_answer_ + kReturnTime);
   }
   log_.Event(LogLevel::kInfo, LogCategory::kPlatform, "store_regained",
@@ -131,7 +131,7 @@
   const core::SteadyTime before = current_as_of_.value_or(as_of);
   const auto age = std::chrono::duration_cast<core::Millis>(now - before);
   current_as_of_ = std::min(as_of, now);
-  options_.renewed(age);
+  options_.on_answer(age);
   if (failing_since_ || age < options_.late_after) return;
   const auto took = std::chrono::duration_cast<core::Millis>(now - call_began_);
   log_.Event(LogLevel::kWarning, LogCategory::kPlatform, "view_late",
@@ -143,7 +143,7 @@
          clock_.Now() - *current_as_of_ > options_.late_after;
 }
 
-LapseEnd StoreFollower::CurrentLapseEnd() const {
+LapseGraceEnd StoreFollower::CurrentLapseEnd() const {
   if (lapse_end_ && clock_.Now() < *lapse_end_) return lapse_end_;
   return std::nullopt;
 }
--- a/src/routing/store_follower_base.h
+++ b/src/routing/store_follower_base.h
@@ -25,14 +25,14 @@
   std::chrono::milliseconds watch_wait{20'000};
   /** Pause after a batch of changes, so that changes at short intervals are
    * fetched with one call. */
-  std::chrono::milliseconds gather{100};
+  std::chrono::milliseconds batch_pause{100};
   /** Pause before a failed call is retried. One call every half second from
    * each VM is far below the capacity of the store, and a store that has
    * returned is detected well within two seconds. */
   std::chrono::milliseconds retry_pause{400};
   /** Called for each answer, with the age that the view had reached before
    * it. */
-  std::function<void(std::chrono::milliseconds age)> renewed =
+  std::function<void(std::chrono::milliseconds age)> on_answer =
       [](std::chrono::milliseconds) {};
   /** Maximum age of the view while calls are answered; an older view is
    * logged. */
@@ -47,21 +47,21 @@
    * first answer, which comes up to one failed call and one pause after the
    * store's return, the grace period exceeded the operators' limit.
    */
-  std::chrono::milliseconds lapse_wait{2000};
+  std::chrono::milliseconds lapse_grace{2000};
 };
 
 /** End of the grace period after an outage: until then, keys that expired
  * during the outage may be written again by their owners. Not set if there was
  * no outage; a missing key then counts as deleted. */
-using LapseEnd = std::optional<core::SteadyTime>;
+using LapseGraceEnd = std::optional<core::SteadyTime>;
 
 /** Callbacks for the keys under one prefix. */
 struct FollowHooks {
   std::string prefix;
   /** Called with all keys after each listing. */
-  std::function<void(std::vector<external::KvEntry>, LapseEnd)> listed;
+  std::function<void(std::vector<external::KvEntry>, LapseGraceEnd)> listed;
   /** Called for each change. */
-  std::function<void(external::KvEvent, LapseEnd)> changed;
+  std::function<void(external::KvEvent, LapseGraceEnd)> changed;
 };
 
 /**
@@ -110,7 +110,7 @@
   /** @param as_of The answer includes all changes up to this time. */
   void NoteAnswer(core::SteadyTime as_of);
   void NoteRenewal(core::SteadyTime as_of);
-  [[nodiscard]] LapseEnd CurrentLapseEnd() const;
+  [[nodiscard]] LapseGraceEnd CurrentLapseEnd() const;
 
   const FollowOptions options_;
   const std::vector<FollowHooks> hooks_;
@@ -126,7 +126,7 @@
   /** Start of the latest call, and of the latest call that failed. */
   core::SteadyTime call_began_;
   core::SteadyTime failed_call_began_;
-  LapseEnd lapse_end_;
+  LapseGraceEnd lapse_end_;
 };
 
 }  // namespace sapphire::routing
--- a/src/serving/crash_watch.cc
+++ b/src/serving/crash_watch.cc
@@ -52,10 +52,10 @@
   routing::FollowHooks hooks;
   hooks.prefix = crash::kQuarantinePrefix;
   hooks.listed = [this](std::vector<external::KvEntry> entries,
-                        routing::LapseEnd) {
+                        routing::LapseGraceEnd) {
     quarantine_store_->TakeListing(entries);
   };
-  hooks.changed = [this](external::KvEvent event, routing::LapseEnd) {
+  hooks.changed = [this](external::KvEvent event, routing::LapseGraceEnd) {
     quarantine_store_->TakeEvent(event);
   };
   return hooks;
--- a/src/serving/engine_chooser.cc
+++ b/src/serving/engine_chooser.cc
@@ -199,7 +199,7 @@
   const std::vector<policy::ReplicaCandidate> views = ViewsOf(holders);
   const double demand = finder_.Demand(work.service->id, work.request.model);
   loader_.AddReplica(*work.service, work.request.model,
-                     policy::NeedForReplica(views, demand));
+                     policy::AssessReplicaNeed(views, demand));
 }
 
 std::optional<fleet::InstanceId> EngineChooser::Cheapest(
@@ -217,7 +217,7 @@
   const int here = it == waiting_->end() ? 0 : it->second;
   // One or two that come together say nothing of the other entries.
   if (here < kTellingWaiters) return;
-  const int engines = policy::EnginesForWaiting(here * peer_table_.entries());
+  const int engines = policy::EnginesToWake(here * peer_table_.entries());
   if (engines == 1) return;
   loader_.AddReplica(*work.service, work.request.model,
                      policy::ReplicaNeed::kUseful, engines);
--- a/src/serving/engine_follower.cc
+++ b/src/serving/engine_follower.cc
@@ -34,11 +34,12 @@
   routing::FollowHooks hooks;
   hooks.prefix = layout_.engine_prefix;
   hooks.listed = [this](std::vector<external::KvEntry> entries,
-                        routing::LapseEnd lapse_end) {
+                        routing::LapseGraceEnd lapse_end) {
     TakeListing(entries, lapse_end);
     changed_();
   };
-  hooks.changed = [this](external::KvEvent event, routing::LapseEnd lapse_end) {
+  hooks.changed = [this](external::KvEvent event,
+                         routing::LapseGraceEnd lapse_end) {
     TakeChange(event, lapse_end);
     changed_();
   };
@@ -46,7 +47,7 @@
 }
 
 void EngineFollower::TakeListing(const std::vector<external::KvEntry>& entries,
-                                 routing::LapseEnd lapse_end) {
+                                 routing::LapseGraceEnd lapse_end) {
   std::vector<fleet::EngineEntry> engines;
   for (const external::KvEntry& it : entries) {
     try {
@@ -59,7 +60,7 @@
 }
 
 void EngineFollower::TakeChange(const external::KvEvent& event,
-                                routing::LapseEnd lapse_end) {
+                                routing::LapseGraceEnd lapse_end) {
   if (event.value) {
     Put(event.key, *event.value);
   } else {
--- a/src/serving/engine_follower_base.h
+++ b/src/serving/engine_follower_base.h
@@ -34,8 +34,9 @@
 
  private:
   void TakeListing(const std::vector<external::KvEntry>& entries,
-                   routing::LapseEnd lapse_end);
-  void TakeChange(const external::KvEvent& event, routing::LapseEnd lapse_end);
+                   routing::LapseGraceEnd lapse_end);
+  void TakeChange(const external::KvEvent& event,
+                  routing::LapseGraceEnd lapse_end);
   void Put(const std::string& key, const std::string& value);
   void NoteUnreadable(const std::string& key, const char* why);
 
--- a/src/serving/engine_follower_test.cc
+++ b/src/serving/engine_follower_test.cc
@@ -100,7 +100,7 @@
   SteadyTime silenced_at = SteadyTime::max();
   /** Pauses of the follower between two calls. */
   milliseconds retry_pause{0};
-  milliseconds gather{0};
+  milliseconds batch_pause{0};
   SteadyTime kept_house;
   SteadyTime first_use = SteadyTime::max();
   SteadyTime last_used;
@@ -181,7 +181,7 @@
   }
 
   void PauseBeforeCall() {
-    if (std::exchange(had_events_, false)) world_.Pass(world_.gather);
+    if (std::exchange(had_events_, false)) world_.Pass(world_.batch_pause);
   }
 
   /** Takes the follower's pause too: the next call begins after it. */
@@ -231,7 +231,7 @@
     routing::FollowOptions options =
         StoreFollowOptions(Freshness{kSettled, kCallLimit});
     world.retry_pause = std::exchange(options.retry_pause, milliseconds(0));
-    world.gather = std::exchange(options.gather, milliseconds(0));
+    world.batch_pause = std::exchange(options.batch_pause, milliseconds(0));
     return options;
   }
 
--- a/src/serving/entry_follower.cc
+++ b/src/serving/entry_follower.cc
@@ -19,8 +19,8 @@
   routing::FollowHooks hooks;
   hooks.prefix = fleet::kEntryPrefix;
   hooks.listed = [this](std::vector<external::KvEntry> entries,
-                        routing::LapseEnd) { TakeListing(entries); };
-  hooks.changed = [this](external::KvEvent event, routing::LapseEnd) {
+                        routing::LapseGraceEnd) { TakeListing(entries); };
+  hooks.changed = [this](external::KvEvent event, routing::LapseGraceEnd) {
     TakeChange(event);
   };
   return hooks;
--- a/src/serving/follow.cc
+++ b/src/serving/follow.cc
@@ -31,10 +31,10 @@
  * dies without a reset, a change is seen after the gathering pause, this wait,
  * the call's timeout, the retry pause and a listing: together below the bound.
  */
-milliseconds WatchWait(const Freshness& freshness, milliseconds gather,
+milliseconds WatchWait(const Freshness& freshness, milliseconds batch_pause,
                        milliseconds retry_pause) {
-  const milliseconds left =
-      freshness.bound - gather - freshness.call_limit - retry_pause - kRest;
+  const milliseconds left = freshness.bound - batch_pause -
+                            freshness.call_limit - retry_pause - kRest;
   return std::clamp(left, kLeastWatch, kMostWatch);
 }
 
@@ -42,13 +42,13 @@
 
 routing::FollowOptions StoreFollowOptions(const Freshness& freshness) {
   routing::FollowOptions options;
-  options.gather = std::clamp(freshness.bound / kGatherShare - kLessGather,
-                              kLeastGather, kMostGather);
+  options.batch_pause = std::clamp(freshness.bound / kGatherShare - kLessGather,
+                                   kLeastGather, kMostGather);
   options.watch_wait =
-      WatchWait(freshness, options.gather, options.retry_pause);
+      WatchWait(freshness, options.batch_pause, options.retry_pause);
   // What is held is dropped at the next look, and a request chosen just before
   // is on its way for some milliseconds.
-  options.lapse_wait =
+  options.lapse_grace =
       std::max(freshness.bound - kHousekeeping - kRest, milliseconds(0));
   options.late_after = freshness.bound;
   return options;
--- a/src/serving/front.cc
+++ b/src/serving/front.cc
@@ -154,7 +154,7 @@
 routing::FollowOptions FollowOptionsOf(const Freshness& freshness,
                                        FrontMetrics& metrics) {
   routing::FollowOptions follow = StoreFollowOptions(freshness);
-  follow.renewed = [&metrics](milliseconds age) { metrics.ViewRenewed(age); };
+  follow.on_answer = [&metrics](milliseconds age) { metrics.ViewRenewed(age); };
   return follow;
 }
 
@@ -364,10 +364,10 @@
   routing::FollowHooks hooks;
   hooks.prefix = layout_.configuration_key;
   hooks.listed = [this](std::vector<external::KvEntry> entries,
-                        routing::LapseEnd) {
+                        routing::LapseGraceEnd) {
     for (const external::KvEntry& it : entries) AdoptConfiguration(it);
   };
-  hooks.changed = [this](external::KvEvent event, routing::LapseEnd) {
+  hooks.changed = [this](external::KvEvent event, routing::LapseGraceEnd) {
     if (!event.value) return;
     AdoptConfiguration({event.key, *event.value, event.revision});
   };
--- a/src/serving/holder_follower.cc
+++ b/src/serving/holder_follower.cc
@@ -28,8 +28,8 @@
   routing::FollowHooks hooks;
   hooks.prefix = fleet::kEngineLeasePrefix;
   hooks.listed = [this](std::vector<external::KvEntry> entries,
-                        routing::LapseEnd) { TakeListing(entries); };
-  hooks.changed = [this](external::KvEvent event, routing::LapseEnd) {
+                        routing::LapseGraceEnd) { TakeListing(entries); };
+  hooks.changed = [this](external::KvEvent event, routing::LapseGraceEnd) {
     TakeChange(event);
   };
   return hooks;
--- a/src/serving/replica_finder.cc
+++ b/src/serving/replica_finder.cc
@@ -125,7 +125,7 @@
   const std::size_t known =
       loads_.KnownParts(engine.instance, request.model, hashes);
   for (std::size_t i = 0; i < known; ++i) {
-    view.known_tokens += request.prompt_parts[i].tokens;
+    view.cached_tokens += request.prompt_parts[i].tokens;
   }
   return view;
 }
@@ -148,8 +148,9 @@
     const fleet::Usage usage =
         peer_table_.UseOf(engine.instance, {it.model, core::AdapterId()});
     resident.running = usage.running;
-    resident.just_used =
-        usage.last_begun && now - *usage.last_begun < policy::kKeptAfterUse;
+    resident.recently_used =
+        usage.last_begun &&
+        now - *usage.last_begun < policy::kNoEvictionAfterUse;
     resident.demand = usage.demand;
     residents.push_back(std::move(resident));
   }
