--- a/src/organisation/organisation_test.cc
+++ b/src/organisation/organisation_test.cc
@@ -12,7 +12,8 @@
 
 namespace {
 
-Organisation Make(const std::string& name, std::vector<std::string> keys) {
+Organisation MakeOrganisation(const std::string& name,
+                              std::vector<std::string> keys) {
   Organisation out;
   out.id = core::OrganisationId(name);
   for (std::string& it : keys) out.keys.emplace_back(std::move(it));
@@ -21,8 +22,9 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(EachKeyLeadsToItsHolder) {
-  const Directory directory({Make("a", {"k1", "k2"}), Make("b", {"k3"})});
+BOOST_AUTO_TEST_CASE(FindsTheOrganisationOfEachKey) {
+  const Directory directory(
+      {MakeOrganisation("a", {"k1", "k2"}), MakeOrganisation("b", {"k3"})});
   BOOST_TEST(directory.Find(ApiKey("k2"))->id.value() == "a");
   BOOST_TEST(directory.Find(ApiKey("k3"))->id.value() == "b");
   BOOST_TEST(directory.Find(ApiKey("k4")) == nullptr);
@@ -30,36 +32,40 @@
 }
 
 /** Guards against requests that are attributed to another organisation. */
-BOOST_AUTO_TEST_CASE(AKeyOfTwoOrganisationsIsRefused) {
-  BOOST_CHECK_THROW(Directory({Make("a", {"k1"}), Make("b", {"k1"})}),
-                    core::Error);
+BOOST_AUTO_TEST_CASE(KeyOfTwoOrganisationsIsRejected) {
+  BOOST_CHECK_THROW(
+      Directory({MakeOrganisation("a", {"k1"}), MakeOrganisation("b", {"k1"})}),
+      core::Error);
 }
 
-BOOST_AUTO_TEST_CASE(UnusableOrganisationsAreRefused) {
-  BOOST_CHECK_THROW(Directory({Make("", {"k"})}), core::Error);
-  BOOST_CHECK_THROW(Directory({Make("a", {""})}), core::Error);
-  BOOST_CHECK_THROW(Directory({Make("a", {}), Make("a", {})}), core::Error);
+BOOST_AUTO_TEST_CASE(InvalidOrganisationsAreRejected) {
+  BOOST_CHECK_THROW(Directory({MakeOrganisation("", {"k"})}), core::Error);
+  BOOST_CHECK_THROW(Directory({MakeOrganisation("a", {""})}), core::Error);
+  BOOST_CHECK_THROW(
+      Directory({MakeOrganisation("a", {}), MakeOrganisation("a", {})}),
+      core::Error);
   for (const double units : {-1.0, std::numeric_limits<double>::infinity()}) {
-    Organisation rate = Make("a", {"k"});
+    Organisation rate = MakeOrganisation("a", {"k"});
     rate.quota.per_second = units;
     BOOST_CHECK_THROW(Directory({rate}), core::Error);
-    Organisation burst = Make("a", {"k"});
+    Organisation burst = MakeOrganisation("a", {"k"});
     burst.quota.burst = units;
     BOOST_CHECK_THROW(Directory({burst}), core::Error);
   }
 }
 
 /** Guards against API keys that are logged as part of an error. */
-BOOST_AUTO_TEST_CASE(ErrorsNameNoKey) {
+BOOST_AUTO_TEST_CASE(ErrorsContainNoKey) {
   try {
-    const Directory directory({Make("a", {"secret"}), Make("b", {"secret"})});
+    const Directory directory(
+        {MakeOrganisation("a", {"secret"}), MakeOrganisation("b", {"secret"})});
     BOOST_FAIL("no error");
   } catch (const core::Error& e) {
     BOOST_TEST(std::string(e.what()).find("secret") == std::string::npos);
   }
 }
 
-BOOST_AUTO_TEST_CASE(RequestsCostWhatTheUnitCounts) {
+BOOST_AUTO_TEST_CASE(RequestCostFollowsTheQuotaUnit) {
   Quota quota;
   BOOST_TEST(CostOf(quota, TokenCount{1460, 80}) == 1);
   quota.unit = QuotaUnit::kTokens;
--- a/src/policy/admission.cc
+++ b/src/policy/admission.cc
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr double kSmallestShare = 1e-6;
+constexpr double kMinShare = 1e-6;
 
 /** Usage and share of the owners with running or queued requests. */
 struct ActiveOwners {
@@ -20,9 +20,7 @@
   double shares = 0;
 };
 
-double ShareOf(const OwnerUse& use) {
-  return std::max(use.share, kSmallestShare);
-}
+double ShareOf(const OwnerUse& use) { return std::max(use.share, kMinShare); }
 
 ActiveOwners ActiveAmong(std::span<const QueuedRequest> queue,
                          const std::map<core::OwnerId, OwnerUse>& owners) {
--- a/src/policy/admission_test.cc
+++ b/src/policy/admission_test.cc
@@ -33,7 +33,7 @@
 }
 
 /** With one owner, requests are sorted by priority and then by deadline. */
-BOOST_AUTO_TEST_CASE(OneOwnerGoesByPriorityThenDeadline) {
+BOOST_AUTO_TEST_CASE(OneOwnerIsServedByPriorityThenDeadline) {
   for (std::uint64_t seed = 1; seed <= 500; ++seed) {
     std::mt19937_64 random(seed);
     const auto queue = RandomQueue(random, 1 + static_cast<int>(seed % 20), 1);
@@ -50,7 +50,7 @@
 // One owner sends many requests at the highest priority while two others send a
 // few at normal priority. By priority alone, the others would wait until the
 // first owner's requests are done, and their answers would be late.
-BOOST_AUTO_TEST_CASE(PriorityStarvesNoOwner) {
+BOOST_AUTO_TEST_CASE(HighPriorityDoesNotStarveOtherOwners) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     std::mt19937_64 random(seed);
     std::map<core::OwnerId, OwnerUse> owners = {
@@ -71,7 +71,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(UnusedSharesAreLent) {
+BOOST_AUTO_TEST_CASE(UnusedSharesAreLentToOtherOwners) {
   std::map<core::OwnerId, OwnerUse> owners = {
       {Owner(0), {.running = 50, .share = 0.1}}, {Owner(1), {}}};
   std::mt19937_64 random(1);
@@ -79,7 +79,7 @@
   BOOST_TEST(PickNext(queue, owners) < queue.size());
 }
 
-BOOST_AUTO_TEST_CASE(AFloodLeavesQueuePlacesToOthers) {
+BOOST_AUTO_TEST_CASE(OneOwnerCannotFillTheQueue) {
   const std::map<core::OwnerId, OwnerUse> owners = {{Owner(0), {}},
                                                     {Owner(1), {}}};
   QueueUse use{.max_queue = 100, .waiting = {}};
@@ -116,7 +116,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(BidsAreOrderedAlikeWhateverTheirOrder) {
+BOOST_AUTO_TEST_CASE(BidOrderDoesNotDependOnInputOrder) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 random(seed);
     std::vector<LoadBid> bids(seed % 12);
--- a/src/policy/cold_wait.cc
+++ b/src/policy/cold_wait.cc
@@ -9,14 +9,14 @@
 /** Fraction by which a load may take longer than expected. */
 constexpr double kLoadTimeError = 0.15;
 /** Time that an engine needs to start an answer. */
-constexpr std::chrono::milliseconds kBeginning{30};
+constexpr std::chrono::milliseconds kAnswerStartTime{30};
 
 }  // namespace
 
 bool IsWorthWaiting(std::chrono::milliseconds ready_in,
                     std::chrono::milliseconds left) {
   const std::chrono::duration<double, std::milli> expected = ready_in;
-  return expected * (1 + kLoadTimeError) + kBeginning <= left;
+  return expected * (1 + kLoadTimeError) + kAnswerStartTime <= left;
 }
 
 }  // namespace sapphire::policy
--- a/src/policy/cold_wait_test.cc
+++ b/src/policy/cold_wait_test.cc
@@ -12,14 +12,14 @@
 
 /** Guards against callers that wait until their deadline and are then
  * refused. */
-BOOST_AUTO_TEST_CASE(ALoadThatMayComeTooLateIsNotWaitedFor) {
+BOOST_AUTO_TEST_CASE(RequestDoesNotWaitForALoadThatMayEndTooLate) {
   BOOST_TEST(!IsWorthWaiting(milliseconds(15'300), milliseconds(16'000)));
   BOOST_TEST(IsWorthWaiting(milliseconds(13'800), milliseconds(16'000)));
   BOOST_TEST(!IsWorthWaiting(milliseconds(0), milliseconds(29)));
 }
 
 /** Loads from local copies are short enough to wait for. */
-BOOST_AUTO_TEST_CASE(ANearCopyIsWaitedFor) {
+BOOST_AUTO_TEST_CASE(RequestWaitsForALoadFromALocalCopy) {
   BOOST_TEST(IsWorthWaiting(milliseconds(2000), milliseconds(4000)));
   BOOST_TEST(IsWorthWaiting(milliseconds(30), milliseconds(100)));
 }
--- a/src/policy/crash.cc
+++ b/src/policy/crash.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-void DropIfBlank(CrashTracker& tracker, std::int64_t fingerprint) {
+void EraseIfUnused(CrashTracker& tracker, std::int64_t fingerprint) {
   const auto it = tracker.records.find(fingerprint);
   if (it == tracker.records.end()) return;
   if (it->second.crashes == 0 && it->second.running.empty()) {
@@ -56,7 +56,7 @@
   // A quarantined fingerprint stays quarantined: a copy may have completed
   // without reaching the operation that crashes the engine.
   if (completed && record.crashes < kCrashesToQuarantine) record.crashes = 0;
-  DropIfBlank(tracker, fingerprint);
+  EraseIfUnused(tracker, fingerprint);
 }
 
 bool RecordCrash(CrashTracker& tracker, std::int64_t fingerprint,
--- a/src/policy/crash_test.cc
+++ b/src/policy/crash_test.cc
@@ -13,7 +13,7 @@
 constexpr core::SteadyTime kNow{};
 
 /** Fingerprints below this one crash their engine. */
-constexpr std::int64_t kHarmful = 3;
+constexpr std::int64_t kFirstHarmless = 3;
 
 core::AttemptId Attempt(int n) { return core::AttemptId(std::to_string(n)); }
 core::EndpointId Engine(std::size_t n) {
@@ -36,7 +36,7 @@
 // A caller sends the same harmful request five times in parallel. All copies
 // are checked before the first crash is known, so a crash count alone would let
 // them reach five engines.
-BOOST_AUTO_TEST_CASE(CopiesInParallelReachOneEngineAtATime) {
+BOOST_AUTO_TEST_CASE(ParallelCopiesRunOnOneEngineAtATime) {
   CrashTracker tracker;
   RecordDispatch(tracker, 7, Attempt(1), Engine(1));
   BOOST_TEST((DecideDispatch(tracker, 7) == DispatchDecision::kWaitForCopies));
@@ -52,7 +52,7 @@
 // Two callers send the same harmless request, and both copies run on an engine
 // that another request crashes. If each copy's report counted as a crash, the
 // request would be quarantined after this one crash.
-BOOST_AUTO_TEST_CASE(CopiesOnOneEngineCountOneCrash) {
+BOOST_AUTO_TEST_CASE(CrashOfSeveralCopiesCountsOnce) {
   CrashTracker tracker;
   RecordDispatch(tracker, 7, Attempt(1), Engine(1));
   RecordDispatch(tracker, 7, Attempt(2), Engine(1));
@@ -61,7 +61,7 @@
   BOOST_TEST((DecideDispatch(tracker, 7) == DispatchDecision::kRunAlone));
 }
 
-BOOST_AUTO_TEST_CASE(ForgetsAfterAWhileButNotWhatRuns) {
+BOOST_AUTO_TEST_CASE(ExpiryKeepsRunningRequests) {
   CrashTracker tracker;
   MergeCrashCount(tracker, 1, 2, kNow);
   RecordDispatch(tracker, 2, Attempt(1), Engine(1));
@@ -80,7 +80,7 @@
   /** Dispatches one request and ends the oldest request of one engine. */
   void Step() {
     Dispatch(static_cast<std::int64_t>(random_() % 40));
-    EndOne(random_() % engines_.size());
+    EndOldest(random_() % engines_.size());
   }
 
   CrashTracker tracker;
@@ -110,10 +110,10 @@
     RecordDispatch(tracker, fingerprint, attempt, Engine(at));
   }
 
-  void EndOne(std::size_t at) {
+  void EndOldest(std::size_t at) {
     auto& engine = engines_[at];
     if (engine.empty()) return;
-    if (engine.front().fingerprint < kHarmful) return Crash(engine);
+    if (engine.front().fingerprint < kFirstHarmless) return Crash(engine);
     RecordEnd(tracker, engine.front().fingerprint, engine.front().attempt,
               true);
     engine.erase(engine.begin());
@@ -132,7 +132,7 @@
   int attempts_ = 0;
 };
 
-BOOST_AUTO_TEST_CASE(OnlyTheHarmfulEndInQuarantine) {
+BOOST_AUTO_TEST_CASE(OnlyHarmfulRequestsAreQuarantined) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     Fleet fleet(seed);
     for (int i = 0; i < 2000; ++i) fleet.Step();
@@ -141,7 +141,7 @@
     }
     for (const auto& [fingerprint, record] : fleet.tracker.records) {
       const bool condemned = record.crashes >= kCrashesToQuarantine;
-      if (condemned) BOOST_TEST(fingerprint < kHarmful, "seed " << seed);
+      if (condemned) BOOST_TEST(fingerprint < kFirstHarmless, "seed " << seed);
     }
   }
 }
--- a/src/policy/eviction.cc
+++ b/src/policy/eviction.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /** Up to this many idle replicas, all subsets are tried: at most 1,024. */
-constexpr std::size_t kExactLimit = 10;
+constexpr std::size_t kMaxExhaustiveReplicas = 10;
 
 using Candidates = std::vector<const ReplicaView*>;
 
@@ -25,23 +25,23 @@
   return idle;
 }
 
-bool FreesPlace(const ReplicaView& replica, const EvictionNeed& need) {
+bool FreesServiceReplica(const ReplicaView& replica, const EvictionNeed& need) {
   return need.service.empty() || replica.service == need.service;
 }
 
 /** @return True if unloading the chosen replicas meets the need. */
-bool Suffices(std::span<const ReplicaView* const> chosen, std::int64_t missing,
-              const EvictionNeed& need) {
+bool MeetsNeed(std::span<const ReplicaView* const> chosen, std::int64_t missing,
+               const EvictionNeed& need) {
   std::int64_t freed = 0;
   bool place = need.service.empty();
   for (const ReplicaView* replica : chosen) {
     freed += replica->bytes;
-    place = place || FreesPlace(*replica, need);
+    place = place || FreesServiceReplica(*replica, need);
   }
   return freed >= missing && place;
 }
 
-Evictions ListOf(std::span<const ReplicaView* const> chosen) {
+Evictions EvictionsOf(std::span<const ReplicaView* const> chosen) {
   Evictions result;
   for (const ReplicaView* replica : chosen) {
     result.models.push_back(replica->model);
@@ -64,8 +64,8 @@
   double best_cost = std::numeric_limits<double>::infinity();
   for (std::size_t mask = 1; mask < (std::size_t{1} << idle.size()); ++mask) {
     const Candidates subset = SubsetOf(idle, mask);
-    const double cost = ListOf(subset).cost;
-    if (cost >= best_cost || !Suffices(subset, missing, need)) continue;
+    const double cost = EvictionsOf(subset).cost;
+    if (cost >= best_cost || !MeetsNeed(subset, missing, need)) continue;
     best = subset;
     best_cost = cost;
   }
@@ -85,12 +85,12 @@
   Candidates chosen;
   for (const ReplicaView* replica : idle) {
     chosen.push_back(replica);
-    if (Suffices(chosen, missing, need)) break;
+    if (MeetsNeed(chosen, missing, need)) break;
   }
   for (std::size_t i = chosen.size(); i-- > 0;) {
     Candidates fewer = chosen;
     fewer.erase(fewer.begin() + static_cast<std::ptrdiff_t>(i));
-    if (Suffices(fewer, missing, need)) chosen = std::move(fewer);
+    if (MeetsNeed(fewer, missing, need)) chosen = std::move(fewer);
   }
   return chosen;
 }
@@ -109,9 +109,10 @@
   const std::int64_t missing = need.free_bytes - free;
   if (missing <= 0 && need.service.empty()) return Evictions{};
   const Candidates idle = IdleReplicas(endpoint, need);
-  if (!Suffices(idle, missing, need)) return std::nullopt;
-  return ListOf(idle.size() <= kExactLimit ? CheapestSubset(idle, missing, need)
-                                           : GreedySubset(idle, missing, need));
+  if (!MeetsNeed(idle, missing, need)) return std::nullopt;
+  return EvictionsOf(idle.size() <= kMaxExhaustiveReplicas
+                         ? CheapestSubset(idle, missing, need)
+                         : GreedySubset(idle, missing, need));
 }
 
 }  // namespace sapphire::policy
--- a/src/policy/eviction_test.cc
+++ b/src/policy/eviction_test.cc
@@ -10,7 +10,7 @@
 namespace sapphire::policy {
 namespace {
 
-constexpr double kNone = std::numeric_limits<double>::infinity();
+constexpr double kInfeasible = std::numeric_limits<double>::infinity();
 
 EndpointView RandomEndpoint(std::mt19937_64& random, int replicas) {
   EndpointView endpoint;
@@ -37,7 +37,7 @@
 double NaiveCost(const EndpointView& endpoint, const EvictionNeed& need,
                  std::size_t next, std::int64_t free, bool place) {
   if (free >= need.free_bytes && place) return 0;
-  if (next == endpoint.replicas.size()) return kNone;
+  if (next == endpoint.replicas.size()) return kInfeasible;
   const ReplicaView& replica = endpoint.replicas[next];
   const double kept = NaiveCost(endpoint, need, next + 1, free, place);
   const bool idle = replica.state == ReplicaState::kReady &&
@@ -63,7 +63,7 @@
   return need;
 }
 
-BOOST_AUTO_TEST_CASE(CostsAsLittleAsTheBestSubset) {
+BOOST_AUTO_TEST_CASE(MatchesTheCheapestSubset) {
   for (std::uint64_t seed = 1; seed <= 2000; ++seed) {
     std::mt19937_64 random(seed);
     const auto endpoint = RandomEndpoint(random, static_cast<int>(seed % 10));
@@ -71,20 +71,20 @@
     const auto chosen = ChooseEvictions(endpoint, need);
     const double naive = NaiveCost(endpoint, need);
     BOOST_TEST_CONTEXT("seed " << seed) {
-      BOOST_TEST(chosen.has_value() == (naive < kNone));
+      BOOST_TEST(chosen.has_value() == (naive < kInfeasible));
       if (chosen.has_value()) BOOST_TEST(chosen->cost - naive < 1e-9);
     }
   }
 }
 
-BOOST_AUTO_TEST_CASE(SufficesWithManyReplicas) {
+BOOST_AUTO_TEST_CASE(MeetsTheNeedWithManyReplicas) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 random(seed);
     const auto endpoint = RandomEndpoint(random, 18);
     const auto need = RandomNeed(random);
     const auto chosen = ChooseEvictions(endpoint, need);
     const double naive = NaiveCost(endpoint, need);
-    BOOST_TEST_REQUIRE(chosen.has_value() == (naive < kNone));
+    BOOST_TEST_REQUIRE(chosen.has_value() == (naive < kInfeasible));
     if (!chosen.has_value()) continue;
     std::int64_t free = endpoint.memory_bytes - endpoint.reserved_bytes;
     for (const ReplicaView& replica : endpoint.replicas) {
--- a/src/policy/keep_alive.cc
+++ b/src/policy/keep_alive.cc
@@ -11,22 +11,22 @@
 using Seconds = std::chrono::duration<double>;
 
 /** Upper bound of bucket 0, in seconds. */
-constexpr double kFirstBound = 1.0 / 16;
+constexpr double kFirstBucketBound = 1.0 / 16;
 /** Arrivals within this time of the first one of a group would have waited for
  * the same cold start. */
 constexpr Seconds kGroupSpan{8.0};
 /** Factor by which the weight of earlier gaps falls with each new gap. */
-constexpr double kDecay = 0.97;
+constexpr double kGapDecay = 0.97;
 /** Number of gaps that the prior counts as. */
 constexpr double kPriorGaps = 3.0;
 /** First bucket of the prior (2 s), which is spread evenly over the buckets
  * from here up. */
 constexpr std::size_t kPriorFirstBucket = 5;
 /** Mean length of a gap as a fraction of its bucket's upper bound. */
-constexpr double kMeanInBucket = 0.75;
+constexpr double kMeanPositionInBucket = 0.75;
 
 double UpperBound(std::size_t bucket) {
-  return kFirstBound * std::exp2(static_cast<double>(bucket));
+  return kFirstBucketBound * std::exp2(static_cast<double>(bucket));
 }
 
 std::size_t BucketOf(Seconds gap) {
@@ -53,9 +53,9 @@
 }
 
 void StartGroup(ArrivalHistory& history, Seconds gap, core::SteadyTime now) {
-  for (double& count : history.gaps) count *= kDecay;
-  for (double& count : history.callers) count *= kDecay;
-  history.total = history.total * kDecay + 1;
+  for (double& count : history.gaps) count *= kGapDecay;
+  for (double& count : history.callers) count *= kGapDecay;
+  history.total = history.total * kGapDecay + 1;
   history.group_start = now;
   history.group_bucket = BucketOf(gap);
   history.gaps[history.group_bucket] += 1;
@@ -92,7 +92,7 @@
   for (std::size_t i = 0; i < ArrivalHistory::kBuckets; ++i) {
     later_gaps -= GapsIn(history, i);
     later_callers -= CallersIn(history, i);
-    held += GapsIn(history, i) * UpperBound(i) * kMeanInBucket;
+    held += GapsIn(history, i) * UpperBound(i) * kMeanPositionInBucket;
     const double idle = held + std::max(later_gaps, 0.0) * UpperBound(i);
     const double cost = later_callers * cold_cost + weights.idle * idle;
     if (cost >= best_cost) continue;
--- a/src/policy/keep_alive_test.cc
+++ b/src/policy/keep_alive_test.cc
@@ -47,7 +47,7 @@
   return best;
 }
 
-BOOST_AUTO_TEST_CASE(NearTheBestFixedTimeInHindsight) {
+BOOST_AUTO_TEST_CASE(IsCloseToTheBestFixedTimeInHindsight) {
   double chosen_sum = 0;
   double best_sum = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
@@ -74,7 +74,7 @@
   BOOST_TEST(chosen_sum <= 1.1 * best_sum);
 }
 
-BOOST_AUTO_TEST_CASE(CallersInAGroupMakeKeepingWorthMore) {
+BOOST_AUTO_TEST_CASE(GroupsOfCallersExtendTheKeepAlive) {
   ArrivalHistory alone;
   ArrivalHistory groups;
   for (int i = 0; i < 50; ++i) {
@@ -88,7 +88,7 @@
   BOOST_TEST(KeepAliveTime(groups, kWeights, kLoad).count() >= 200'000);
 }
 
-BOOST_AUTO_TEST_CASE(ReloadCostGrowsWithTheHorizonUpToTheWholeGroup) {
+BOOST_AUTO_TEST_CASE(ReloadCostGrowsWithTheHorizonUpToOneColdStart) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     std::mt19937_64 random(seed);
     ArrivalHistory history;
@@ -108,7 +108,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ReplicasLeaveAnAcceleratorTogether) {
+BOOST_AUTO_TEST_CASE(ReplicasOfAnAcceleratorAreUnloadedTogether) {
   for (std::uint64_t seed = 1; seed <= 500; ++seed) {
     std::mt19937_64 random(seed);
     std::vector<LoadedReplica> held(seed % 5);
--- a/src/policy/placement.cc
+++ b/src/policy/placement.cc
@@ -15,18 +15,18 @@
 /** Retry hint to callers if only an unload elsewhere can free capacity. */
 constexpr Millis kNoCapacityRetry{2000};
 /** Penalty for loading in another zone than the caller's, in ms of waiting. */
-constexpr double kOtherZoneMillis = 2;
+constexpr double kOtherZonePenaltyMs = 2;
 /** Penalty for loading on an accelerator that holds no model. */
-constexpr double kEmptyMillis = 4000;
+constexpr double kEmptyAcceleratorPenaltyMs = 4000;
 /** Penalty for loading on one that holds models but runs no request. */
-constexpr double kIdleMillis = 1500;
+constexpr double kIdleAcceleratorPenaltyMs = 1500;
 /** Penalty for each unit of EvictionCost. */
-constexpr double kEvictionMillis = 20;
+constexpr double kEvictionCostMs = 20;
 /** Another replica has to save at least this fraction of its load time. */
-constexpr double kSecondReplicaGain = 0.5;
+constexpr double kMinLoadTimeSaved = 0.5;
 
 /** One reload out of this many has to read the checkpoint from disk. */
-constexpr int kReloadsFromDisk = 4;
+constexpr int kReloadsPerDiskRead = 4;
 
 bool Usable(const EndpointView& endpoint, const PlacementRequest& request) {
   return endpoint.engine_up && !endpoint.leaving &&
@@ -92,7 +92,7 @@
 
 /** Sort key for sites, best first: adapter loaded, prefix cached, same zone,
  * fewest running requests. */
-auto RunRank(const Site& site, const PlacementRequest& request) {
+auto SitePreference(const Site& site, const PlacementRequest& request) {
   const bool no_prefix = request.prefix_hash != 0 &&
                          !site.replica->prefixes.contains(request.prefix_hash);
   return std::make_tuple(!HasAdapter(*site.replica, request), no_prefix,
@@ -110,7 +110,8 @@
         FreeBytes(*site.endpoint) < request.adapter_bytes) {
       continue;
     }
-    if (best == nullptr || RunRank(site, request) < RunRank(*best, request)) {
+    if (best == nullptr ||
+        SitePreference(site, request) < SitePreference(*best, request)) {
       best = &site;
     }
   }
@@ -157,7 +158,7 @@
 
 /** @return Time until the endpoint's loads in progress have ended: an engine
  * executes one order at a time, so another load has to wait for them. */
-Millis LoadingAt(const EndpointView& endpoint) {
+Millis RemainingLoadTime(const EndpointView& endpoint) {
   Millis left{0};
   for (const ReplicaView& replica : endpoint.replicas) {
     if (replica.state != ReplicaState::kLoading) continue;
@@ -167,9 +168,9 @@
 }
 
 /** @return The penalty for the accelerator time that a load here would use. */
-double WakeMillis(const EndpointView& endpoint) {
-  if (endpoint.replicas.empty()) return kEmptyMillis;
-  return RunningAt(endpoint) > 0 ? 0 : kIdleMillis;
+double WakeUpPenaltyMs(const EndpointView& endpoint) {
+  if (endpoint.replicas.empty()) return kEmptyAcceleratorPenaltyMs;
+  return RunningAt(endpoint) > 0 ? 0 : kIdleAcceleratorPenaltyMs;
 }
 
 bool Holds(const EndpointView& endpoint, const core::ModelId& model) {
@@ -180,7 +181,7 @@
 
 /** @return What has to be freed for a load; at the service's replica limit,
  * this includes one of its replicas. */
-EvictionNeed NeedOf(const PlacementRequest& request) {
+EvictionNeed EvictionNeedFor(const PlacementRequest& request) {
   EvictionNeed need;
   need.free_bytes = request.replica_bytes + request.adapter_bytes;
   if (request.service_replicas >= request.service_max_replicas) {
@@ -203,7 +204,7 @@
 LoadChoice ChooseLoad(const PlacementRequest& request,
                       std::span<const EndpointView> endpoints,
                       const LoadTimes& loads) {
-  const EvictionNeed need = NeedOf(request);
+  const EvictionNeed need = EvictionNeedFor(request);
   LoadChoice best;
   for (const EndpointView& endpoint : endpoints) {
     if (!Usable(endpoint, request) || Holds(endpoint, request.model)) continue;
@@ -212,24 +213,24 @@
     const Tier tier = TierAt(endpoint, request.model);
     LoadChoice choice;
     choice.endpoint = &endpoint;
-    choice.ready_in = LoadingAt(endpoint) + LoadTimeFrom(loads, tier);
+    choice.ready_in = RemainingLoadTime(endpoint) + LoadTimeFrom(loads, tier);
     choice.too_late =
         choice.ready_in + request.service_time > request.remaining;
-    choice.score =
-        static_cast<double>(choice.ready_in.count()) + WakeMillis(endpoint);
-    if (endpoint.zone != request.zone) choice.score += kOtherZoneMillis;
+    choice.score = static_cast<double>(choice.ready_in.count()) +
+                   WakeUpPenaltyMs(endpoint);
+    if (endpoint.zone != request.zone) choice.score += kOtherZonePenaltyMs;
     if (!IsBetter(choice, best)) continue;
     auto evictions = ChooseEvictions(endpoint, need);
     if (!evictions.has_value()) continue;
-    choice.score += kEvictionMillis * evictions->cost;
+    choice.score += kEvictionCostMs * evictions->cost;
     choice.evict = std::move(evictions->models);
     if (IsBetter(choice, best)) best = std::move(choice);
   }
   return best;
 }
 
-std::vector<QueueServer> ServersOf(const Survey& survey,
-                                   const PlacementRequest& request) {
+std::vector<QueueServer> QueueServersFor(const Survey& survey,
+                                         const PlacementRequest& request) {
   std::vector<QueueServer> servers;
   for (const Site& site : survey.sites) {
     // If a slot is free, the request doesn't run because there is no memory for
@@ -275,7 +276,8 @@
   return decision;
 }
 
-PlacementDecision RefuseLate(Millis wait, bool served, const LoadChoice& load) {
+PlacementDecision RefuseAsTooLate(Millis wait, bool served,
+                                  const LoadChoice& load) {
   auto decision = Refuse(core::ErrorCode::kDeadlineTooShort, wait);
   if (served || !load.exists()) return decision;
   decision.endpoint = load.endpoint->id;
@@ -285,22 +287,23 @@
 }
 
 /** @return True if the time saved by another replica is worth its load. */
-bool WorthLoading(const PlacementRequest& request, std::optional<Millis> queue,
-                  Millis with_load, const LoadChoice& load) {
+bool IsLoadWorthwhile(const PlacementRequest& request,
+                      std::optional<Millis> queue, Millis with_load,
+                      const LoadChoice& load) {
   if (!queue.has_value()) return true;
   if (*queue + request.service_time > request.remaining) {
     return with_load < *queue;
   }
   const Millis saved = *queue - with_load;
   return static_cast<double>(saved.count()) >
-         kSecondReplicaGain * static_cast<double>(load.ready_in.count());
+         kMinLoadTimeSaved * static_cast<double>(load.ready_in.count());
 }
 
 /** Decides whether to wait for a slot, load another replica or refuse, when no
  * slot is free. */
 PlacementDecision WaitOrLoad(const PlacementRequest& request,
                              const Survey& survey, const LoadChoice& load) {
-  auto servers = ServersOf(survey, request);
+  auto servers = QueueServersFor(survey, request);
   const auto queue =
       QueueWait(servers, request.service_time, request.waiting_ahead);
   std::optional<Millis> with_load;
@@ -310,8 +313,8 @@
                        .slots = request.max_concurrent});
     with_load = QueueWait(servers, request.service_time, request.waiting_ahead);
   }
-  const bool loads =
-      with_load.has_value() && WorthLoading(request, queue, *with_load, load);
+  const bool loads = with_load.has_value() &&
+                     IsLoadWorthwhile(request, queue, *with_load, load);
   const auto wait = loads ? with_load : queue;
   if (!wait.has_value()) {
     return Refuse(load.exists() || MayLoad(request, survey)
@@ -320,7 +323,7 @@
                   kNoCapacityRetry);
   }
   if (*wait + request.service_time > request.remaining) {
-    return RefuseLate(*wait, queue.has_value(), load);
+    return RefuseAsTooLate(*wait, queue.has_value(), load);
   }
   return loads ? LoadAt(load, *wait) : Wait(request, survey, *wait);
 }
@@ -365,7 +368,7 @@
 }
 
 Millis ExpectedReloadTime(const LoadTimes& loads) {
-  return loads.memory + (loads.disk - loads.memory) / kReloadsFromDisk;
+  return loads.memory + (loads.disk - loads.memory) / kReloadsPerDiskRead;
 }
 
 std::vector<core::VmId> RankByRendezvousHash(
--- a/src/policy/placement_test.cc
+++ b/src/policy/placement_test.cc
@@ -131,13 +131,13 @@
   return HasSlot(endpoint, replica, request) && adapter;
 }
 
-const EndpointView& Named(const std::vector<EndpointView>& fleet,
-                          const core::EndpointId& id) {
+const EndpointView& FindEndpoint(const std::vector<EndpointView>& fleet,
+                                 const core::EndpointId& id) {
   return *std::ranges::find(fleet, id, &EndpointView::id);
 }
 
-const ReplicaView* Held(const EndpointView& endpoint,
-                        const core::ModelId& model) {
+const ReplicaView* FindReplica(const EndpointView& endpoint,
+                               const core::ModelId& model) {
   const auto it =
       std::ranges::find(endpoint.replicas, model, &ReplicaView::model);
   return it == endpoint.replicas.end() ? nullptr : &*it;
@@ -147,18 +147,18 @@
 void CheckLoad(const PlacementRequest& request,
                const std::vector<EndpointView>& fleet,
                const PlacementDecision& decision) {
-  const EndpointView& endpoint = Named(fleet, decision.endpoint);
+  const EndpointView& endpoint = FindEndpoint(fleet, decision.endpoint);
   BOOST_TEST(Usable(endpoint, request));
   int freed_places = 0;
   for (const core::ModelId& model : decision.evict) {
-    const ReplicaView* replica = Held(endpoint, model);
+    const ReplicaView* replica = FindReplica(endpoint, model);
     BOOST_TEST_REQUIRE(replica != nullptr);
     BOOST_TEST((replica->state == ReplicaState::kReady));
     BOOST_TEST(replica->running == 0);
     if (replica->service == request.service) ++freed_places;
   }
   const std::int64_t free = FreeAfter(endpoint, decision.evict);
-  if (Held(endpoint, request.model) != nullptr) {
+  if (FindReplica(endpoint, request.model) != nullptr) {
     BOOST_TEST(free >= request.adapter_bytes);
     return;
   }
@@ -183,8 +183,9 @@
   }
   BOOST_TEST((decision.action == PlacementAction::kRun) == can_run);
   if (can_run) {
-    const EndpointView& endpoint = Named(fleet, decision.endpoint);
-    BOOST_TEST(CanRun(endpoint, *Held(endpoint, request.model), request));
+    const EndpointView& endpoint = FindEndpoint(fleet, decision.endpoint);
+    BOOST_TEST(
+        CanRun(endpoint, *FindReplica(endpoint, request.model), request));
   }
   const bool loads = decision.action == PlacementAction::kLoad;
   if (loads || decision.load_for_retry) CheckLoad(request, fleet, decision);
@@ -232,7 +233,7 @@
   if (held >= request.max_replicas) return false;
   return std::ranges::any_of(fleet, [&](const EndpointView& endpoint) {
     if (!Usable(endpoint, request)) return false;
-    if (Held(endpoint, request.model) != nullptr) return false;
+    if (FindReplica(endpoint, request.model) != nullptr) return false;
     Millis ready = LoadTimeFrom(loads, TierAt(endpoint, request.model));
     Millis busy{0};
     for (const ReplicaView& replica : endpoint.replicas) {
@@ -243,7 +244,7 @@
   });
 }
 
-BOOST_AUTO_TEST_CASE(RefusesOnlyWhatNoLoadCouldServe) {
+BOOST_AUTO_TEST_CASE(RefusesOnlyRequestsThatNoLoadCouldServe) {
   int refused = 0;
   int loaded = 0;
   for (std::uint64_t seed = 1; seed <= 8000; ++seed) {
@@ -284,7 +285,7 @@
     const auto decision = DecidePlacement(request, fleet, LoadTimes{});
     if (decision.action != PlacementAction::kRun) continue;
     const auto worth = [&](const EndpointView& endpoint) {
-      const ReplicaView& replica = *Held(endpoint, request.model);
+      const ReplicaView& replica = *FindReplica(endpoint, request.model);
       int points = 0;
       if (request.adapter.empty() ||
           replica.adapters.contains(request.adapter)) {
@@ -295,9 +296,9 @@
       if (endpoint.zone == request.zone) points += 1;
       return points;
     };
-    const int chosen = worth(Named(fleet, decision.endpoint));
+    const int chosen = worth(FindEndpoint(fleet, decision.endpoint));
     for (const EndpointView& endpoint : fleet) {
-      const ReplicaView* replica = Held(endpoint, request.model);
+      const ReplicaView* replica = FindReplica(endpoint, request.model);
       if (replica == nullptr || !CanRun(endpoint, *replica, request)) continue;
       BOOST_TEST(worth(endpoint) <= chosen, "seed " << seed);
     }
@@ -325,7 +326,7 @@
 
 // A request suspected of crashing engines has to run alone: a harmless request
 // on the same engine would become a suspect too.
-BOOST_AUTO_TEST_CASE(SuspectRunsAloneAndNothingJoinsIt) {
+BOOST_AUTO_TEST_CASE(SuspectRunsWithoutOtherRequests) {
   EndpointView endpoint;
   endpoint.id = core::EndpointId("engine-0");
   endpoint.replicas.push_back(
@@ -343,7 +344,7 @@
   BOOST_TEST((other.action == PlacementAction::kRefuse));
 }
 
-BOOST_AUTO_TEST_CASE(HomesMoveOnlyWithTheirEntry) {
+BOOST_AUTO_TEST_CASE(RemovingAnEntryMovesOnlyItsKeys) {
   std::vector<core::VmId> entries;
   for (std::uint64_t i = 0; i < 20; ++i) {
     entries.emplace_back(Numbered("entry-", i));
--- a/src/policy/queue_wait.cc
+++ b/src/policy/queue_wait.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /** Upper limit of the estimate; a longer wait counts as no service at all. */
-constexpr Millis kHorizon = std::chrono::hours(1);
+constexpr Millis kMaxWait = std::chrono::hours(1);
 
 /** @return The number of requests that a server starts within `wait` from
  * now. */
@@ -34,9 +34,9 @@
     }
     return starts > ahead;
   };
-  if (!starts_next(kHorizon)) return std::nullopt;
+  if (!starts_next(kMaxWait)) return std::nullopt;
   Millis low{0};
-  Millis high = kHorizon;
+  Millis high = kMaxWait;
   while (low < high) {
     const Millis middle = (low + high) / 2;
     if (starts_next(middle)) {
--- a/src/policy/queue_wait_test.cc
+++ b/src/policy/queue_wait_test.cc
@@ -28,7 +28,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(AgreesWithCounting) {
+BOOST_AUTO_TEST_CASE(MatchesTheSimulation) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     std::mt19937_64 random(seed);
     std::vector<QueueServer> servers(1 + seed % 4);
@@ -46,7 +46,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(NobodyServes) {
+BOOST_AUTO_TEST_CASE(NoWaitWithoutServers) {
   BOOST_TEST(!QueueWait({}, Millis(1), 0).has_value());
 }
 
--- a/src/policy/repeat_budget_base.h
+++ b/src/policy/repeat_budget_base.h
@@ -48,7 +48,7 @@
   bool TakeRepeat(int entries, double reserve);
 
  private:
-  void Forget();
+  void DropExpired();
 
   RepeatLimits limits_;
   const core::Clock& clock_;
--- a/src/policy/repeat_budget_test.cc
+++ b/src/policy/repeat_budget_test.cc
@@ -20,7 +20,7 @@
  * With five entries that receive 8 requests a second each, there must never be
  * more than 0.2 x requests + 56 repeats in any ten seconds.
  */
-BOOST_AUTO_TEST_CASE(AllEntriesTogetherKeepTheLimitInEveryWindow) {
+BOOST_AUTO_TEST_CASE(EntriesTogetherKeepTheLimitInEveryWindow) {
   constexpr int kEntries = 5;
   core::ManualClock clock;
   clock.Advance(std::chrono::seconds(100));
@@ -42,7 +42,7 @@
   BOOST_TEST(repeats.size() > 100);
 }
 
-BOOST_AUTO_TEST_CASE(RepeatsThatCanBeDoneWithoutLeaveTheReserve) {
+BOOST_AUTO_TEST_CASE(OptionalRepeatsLeaveTheReserve) {
   core::ManualClock clock;
   clock.Advance(std::chrono::seconds(100));
   RepeatBudget budget(kLimits, clock);
--- a/src/policy/replica_choice.cc
+++ b/src/policy/replica_choice.cc
@@ -12,69 +12,70 @@
 
 /** Penalty for another zone: traffic between zones costs operators money, which
  * is worth a small delay, but less than one full batch step. */
-constexpr milliseconds kOtherZone{8};
+constexpr milliseconds kOtherZonePenalty{8};
 /** Time that each running request adds to the first byte of the next. A draft
  * runs for 2 s and its prompt of 1460 tokens takes 73 ms to prefill, so each
  * running request accounts for 3.6 % of an engine's time spent on prefill,
  * which delays all requests there. */
-constexpr milliseconds kPerRunning{4};
+constexpr milliseconds kPerRunningPenalty{4};
 /** Penalty for a full engine: the request waits until another one has
  * finished. */
-constexpr milliseconds kFullEngine{1500};
+constexpr milliseconds kFullEnginePenalty{1500};
 /** Penalty for a failure rate of 1: the time of a second try. */
-constexpr milliseconds kFailure{1200};
+constexpr milliseconds kFailurePenalty{1200};
 /** Penalty for an engine that is warming up: it is slower than any busy engine
  * but better than none. */
-constexpr milliseconds kWarmUp{300};
+constexpr milliseconds kWarmUpPenalty{300};
 /** An engine is suspect if a first byte takes longer than this. */
-constexpr milliseconds kUsualSilence{600};
+constexpr milliseconds kMaxUsualSilence{600};
 /** Fraction of the KV cache in use above which the engine preempts requests. */
-constexpr double kTightMemory = 0.9;
+constexpr double kMaxKvFraction = 0.9;
 /** Number of requests on an engine above which another replica should share the
  * load. With 8 drafts of 2 s each, prefill takes 29 % of the engine's time, and
  * two prompts that arrive together already pause all streams for 150 ms. On
  * engines with 30 and more requests, such pauses made half of all streams
  * late. */
-constexpr int kFilling = 8;
+constexpr int kBusyEngineRequests = 8;
 /** Number of requests on an engine above which streams pause for too long:
  * another replica is then worth a load from the weight store, which blocks
  * other loads of that engine for 9 s, or for 18 s while other loads use the
  * store. */
-constexpr int kCrowded = 24;
+constexpr int kOverloadedEngineRequests = 24;
 /** Maximum number of engines that a model is woken on at once. The busiest
  * model of the operators' data gets 30 % of 20 drafts a second, so 12 to 40
  * requests arrive during its load of two seconds; four engines serve them with
  * 3 to 10 each. */
-constexpr int kMostAtOnce = 4;
+constexpr int kMaxEnginesAtOnce = 4;
 /** Demand in requests a second below which a high load on an engine is caused
  * by other models: rare models are requested every half minute, 0.03 times a
  * second. */
-constexpr double kOftenAsked = 0.4;
+constexpr double kMinReplicaDemand = 0.4;
 /** Demand in requests a second above which a model needs a second replica to
  * survive the loss of an engine. */
-constexpr double kBusyModel = 1.0;
+constexpr double kRedundancyDemand = 1.0;
 
 milliseconds Millis(double ms) {
   return milliseconds(static_cast<milliseconds::rep>(ms));
 }
 
-double Fullness(const ReplicaCandidate& candidate) {
+double RelativeLoad(const ReplicaCandidate& candidate) {
   const int load = candidate.running + candidate.waiting;
   return static_cast<double>(load) / std::max(candidate.max_running, 1);
 }
 
-bool MemoryIsTight(const ReplicaCandidate& candidate, const RequestSize& size) {
+bool IsKvCacheNearlyFull(const ReplicaCandidate& candidate,
+                         const RequestSize& size) {
   if (candidate.kv_total == 0) return false;
   const auto after = static_cast<double>(
       candidate.kv_used + size.prompt_tokens + size.max_output_tokens);
-  return after > kTightMemory * static_cast<double>(candidate.kv_total);
+  return after > kMaxKvFraction * static_cast<double>(candidate.kv_total);
 }
 
 /** @return The time to the first byte, including the queue before it. */
-milliseconds WorkTime(const ReplicaCandidate& candidate,
-                      const RequestSize& size, const EnginePace& pace) {
+milliseconds FirstByteTime(const ReplicaCandidate& candidate,
+                           const RequestSize& size, const EnginePace& pace) {
   if (size.service_time.count() > 0) {
-    return Millis(Fullness(candidate) *
+    return Millis(RelativeLoad(candidate) *
                   static_cast<double>(size.service_time.count()));
   }
   const auto unread =
@@ -85,7 +86,7 @@
       static_cast<double>(unread) * (1.0 + candidate.waiting);
   const auto running = static_cast<double>(candidate.running);
   return Millis(reading / pace.prompt_tokens_per_ms +
-                running * static_cast<double>(kPerRunning.count())) +
+                running * static_cast<double>(kPerRunningPenalty.count())) +
          pace.step;
 }
 
@@ -93,13 +94,13 @@
 
 milliseconds ExpectedCost(const ReplicaCandidate& candidate,
                           const RequestSize& size, const EnginePace& pace) {
-  milliseconds cost = WorkTime(candidate, size, pace);
-  if (!candidate.same_zone) cost += kOtherZone;
-  if (Fullness(candidate) >= 1.0) cost += kFullEngine;
-  if (MemoryIsTight(candidate, size)) cost += kFullEngine;
-  if (candidate.warming_up) cost += kWarmUp;
-  cost +=
-      Millis(candidate.failure_rate * static_cast<double>(kFailure.count()));
+  milliseconds cost = FirstByteTime(candidate, size, pace);
+  if (!candidate.same_zone) cost += kOtherZonePenalty;
+  if (RelativeLoad(candidate) >= 1.0) cost += kFullEnginePenalty;
+  if (IsKvCacheNearlyFull(candidate, size)) cost += kFullEnginePenalty;
+  if (candidate.warming_up) cost += kWarmUpPenalty;
+  cost += Millis(candidate.failure_rate *
+                 static_cast<double>(kFailurePenalty.count()));
   // An engine that accepts requests but never answers causes no failures for a
   // while; only its oldest request becomes older than usual.
   if (IsSilent(candidate)) cost += candidate.oldest_silence;
@@ -107,7 +108,7 @@
 }
 
 bool IsSilent(const ReplicaCandidate& candidate) {
-  return candidate.oldest_silence > kUsualSilence;
+  return candidate.oldest_silence > kMaxUsualSilence;
 }
 
 std::optional<std::size_t> ChooseReplica(
@@ -129,21 +130,21 @@
   const auto all_above = [candidates](int limit) {
     return std::ranges::all_of(candidates, [limit](const auto& it) {
       return it.running + it.waiting > limit ||
-             MemoryIsTight(it, RequestSize());
+             IsKvCacheNearlyFull(it, RequestSize());
     });
   };
   // A rare model that shares an engine with a busy one also sees a high load,
   // but a replica of it would displace a model that is in demand.
-  if (demand_per_second < kOftenAsked) return ReplicaNeed::kNone;
-  if (all_above(kCrowded)) return ReplicaNeed::kUrgent;
-  if (all_above(kFilling)) return ReplicaNeed::kUseful;
+  if (demand_per_second < kMinReplicaDemand) return ReplicaNeed::kNone;
+  if (all_above(kOverloadedEngineRequests)) return ReplicaNeed::kUrgent;
+  if (all_above(kBusyEngineRequests)) return ReplicaNeed::kUseful;
   const bool alone = candidates.size() == 1;
-  return alone && demand_per_second > kBusyModel ? ReplicaNeed::kUseful
-                                                 : ReplicaNeed::kNone;
+  return alone && demand_per_second > kRedundancyDemand ? ReplicaNeed::kUseful
+                                                        : ReplicaNeed::kNone;
 }
 
 int EnginesToWake(int waiting) {
-  return std::clamp(waiting / kFilling, 1, kMostAtOnce);
+  return std::clamp(waiting / kBusyEngineRequests, 1, kMaxEnginesAtOnce);
 }
 
 }  // namespace sapphire::policy
--- a/src/policy/service_time.cc
+++ b/src/policy/service_time.cc
@@ -6,11 +6,11 @@
 namespace {
 
 /** A new value has a weight of one part in this many. */
-constexpr int kMeanParts = 8;
-constexpr int kDeviationParts = 4;
+constexpr int kMeanDivisor = 8;
+constexpr int kDeviationDivisor = 4;
 /** Number of mean deviations added to the mean for admission. More of them mean
  * fewer late answers but more refusals, as measured in docs/POLICY.md. */
-constexpr int kCautiousDeviations = 1;
+constexpr int kAddedDeviations = 1;
 
 }  // namespace
 
@@ -22,13 +22,13 @@
     return;
   }
   const auto error = duration - times.mean;
-  times.mean += error / kMeanParts;
+  times.mean += error / kMeanDivisor;
   times.deviation +=
-      (std::chrono::abs(error) - times.deviation) / kDeviationParts;
+      (std::chrono::abs(error) - times.deviation) / kDeviationDivisor;
 }
 
 std::chrono::milliseconds ConservativeServiceTime(const ServiceTimes& times) {
-  return times.mean + kCautiousDeviations * times.deviation;
+  return times.mean + kAddedDeviations * times.deviation;
 }
 
 }  // namespace sapphire::policy
--- a/src/policy/service_time_test.cc
+++ b/src/policy/service_time_test.cc
@@ -11,7 +11,7 @@
 
 constexpr int kRequests = 2000;
 
-BOOST_AUTO_TEST_CASE(MostRequestsKeepToIt) {
+BOOST_AUTO_TEST_CASE(MostRequestsStayWithinTheEstimate) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     std::mt19937_64 random(seed);
     std::normal_distribution<double> spread(
--- a/src/policy/staging_test.cc
+++ b/src/policy/staging_test.cc
@@ -32,25 +32,25 @@
   return endpoint;
 }
 
-bool Works(const EndpointView& endpoint) {
+bool IsUsable(const EndpointView& endpoint) {
   return endpoint.engine_up && !endpoint.leaving;
 }
 
 bool HasCopy(const EndpointView& endpoint, const core::ModelId& model) {
   const bool loaded =
       std::ranges::count(endpoint.replicas, model, &ReplicaView::model) > 0;
-  return Works(endpoint) && (loaded || endpoint.disk_tier.contains(model) ||
-                             endpoint.memory_tier.contains(model));
+  return IsUsable(endpoint) && (loaded || endpoint.disk_tier.contains(model) ||
+                                endpoint.memory_tier.contains(model));
 }
 
 bool CanStage(const EndpointView& endpoint, std::int64_t bytes) {
   const auto loading = std::ranges::count(
       endpoint.replicas, ReplicaState::kLoading, &ReplicaView::state);
-  return Works(endpoint) && loading == 0 &&
+  return IsUsable(endpoint) && loading == 0 &&
          endpoint.memory_bytes - endpoint.reserved_bytes >= bytes;
 }
 
-BOOST_AUTO_TEST_CASE(StagesTheModelInMostDemandInFreeMemory) {
+BOOST_AUTO_TEST_CASE(StagesTheModelWithTheHighestDemandInFreeMemory) {
   int staged = 0;
   for (std::uint64_t seed = 1; seed <= 1000; ++seed) {
     std::mt19937_64 random(seed);
--- a/src/policy/store_lane.cc
+++ b/src/policy/store_lane.cc
@@ -11,8 +11,8 @@
 using Seconds = std::chrono::duration<double>;
 
 /** @return How many loads may start now within the rate limit. */
-int StartsLeft(const StoreLimits& limits, const StoreUse& use,
-               core::SteadyTime now) {
+int RemainingStarts(const StoreLimits& limits, const StoreUse& use,
+                    core::SteadyTime now) {
   // Below one load a second, one load is allowed per window of more than a
   // second.
   const double rate = limits.loads_per_second;
@@ -30,7 +30,7 @@
                                     const StoreLimits& limits,
                                     const StoreUse& use, core::SteadyTime now) {
   const int lanes = limits.loads_at_once - use.loading;
-  int left = std::min(lanes, StartsLeft(limits, use, now));
+  int left = std::min(lanes, RemainingStarts(limits, use, now));
   int prewarm_left = std::min(left, lanes - 1);
   std::vector<std::size_t> granted;
   for (const std::size_t index : OrderBids(bids)) {
--- a/src/policy/store_lane_test.cc
+++ b/src/policy/store_lane_test.cc
@@ -19,7 +19,7 @@
 }
 
 /** Holds the bids and counts the loads of a weight store in virtual time. */
-struct Store {
+struct SimulatedStore {
   StoreLimits limits;
   std::vector<LoadBid> bids;
   std::vector<core::SteadyTime> starts;
@@ -31,7 +31,8 @@
   }
 };
 
-void CheckGrant(Store& store, const std::vector<std::size_t>& granted) {
+void CheckGrant(SimulatedStore& store,
+                const std::vector<std::size_t>& granted) {
   core::SteadyTime latest{};
   for (const std::size_t i : granted) {
     latest = std::max(latest, store.bids[i].deadline);
@@ -49,7 +50,7 @@
   }
 }
 
-void CheckRate(const Store& store) {
+void CheckRate(const SimulatedStore& store) {
   for (const core::SteadyTime start : store.starts) {
     const auto within =
         std::ranges::count_if(store.starts, [&](core::SteadyTime other) {
@@ -60,10 +61,10 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(NeverOverLanesOrRateAndByDeadline) {
+BOOST_AUTO_TEST_CASE(GrantsStayWithinLimitsInDeadlineOrder) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     std::mt19937_64 random(seed);
-    Store store;
+    SimulatedStore store;
     store.limits.loads_per_second = static_cast<double>(1 + seed % 4);
     for (std::int64_t ms = 0; ms < 60'000; ms += 50) {
       if (random() % 8 == 0) {
@@ -92,7 +93,7 @@
 // The key-value service is down, so no endpoint sees another's bids, and each
 // loads as soon as its own share allows. If the shares added up to more than
 // the store's rate, all loads in the fleet would slow down.
-BOOST_AUTO_TEST_CASE(FixedSharesSumUpToTheRate) {
+BOOST_AUTO_TEST_CASE(FixedSharesAddUpToTheRate) {
   const StoreLimits limits;
   std::size_t loads = 0;
   for (std::size_t i = 0; i < kEndpoints; ++i) {
--- a/src/policy/wake_up.cc
+++ b/src/policy/wake_up.cc
@@ -13,22 +13,22 @@
 /** How long an evicted model would have stayed in use. With 36 places for 65
  * models and one wake-up a second, a place changes its model about this
  * often. */
-constexpr double kHorizonSeconds = 15;
+constexpr double kResidencySeconds = 15;
 /** Cost factor for evicting a model that other engines hold too: it costs less
  * than evicting the last replica. */
-constexpr double kSpareReplica = 0.1;
+constexpr double kSpareReplicaFactor = 0.1;
 /** Penalty for each running request, as a tie-breaker: a busy engine is slower
  * for all callers. */
-constexpr milliseconds kPerRunning{2};
-constexpr milliseconds kOtherZone{20};
+constexpr milliseconds kPerRunningPenalty{2};
+constexpr milliseconds kOtherZonePenalty{20};
 /** An engine executes one order at a time, and a load from the weight store
  * blocks it four times as long as one from disk. In half of that time, another
  * model would be woken there. */
-constexpr double kDeskShare = 0.5;
+constexpr double kBlockedOrderShare = 0.5;
 
 /** Fraction of requests whose adapter is not loaded on their engine: half of
  * the short drafts name one of 40 to 240 adapters, and an engine holds 8. */
-constexpr double kMissingAdapter = 0.1;
+constexpr double kMissingAdapterShare = 0.1;
 
 /**
  * @return The cost of a load for callers of adapters on that engine, in
@@ -44,26 +44,27 @@
   }
   const std::chrono::duration<double> blocked =
       LoadTimeFrom(loads, candidate.tier);
-  return demand_here * blocked.count() * kMissingAdapter *
+  return demand_here * blocked.count() * kMissingAdapterShare *
          static_cast<double>(loads.disk.count());
 }
 
 /** @return The cost of evicting a model for its callers, in milliseconds of
  * waiting time. */
 double EvictionCost(const ResidentModel& resident, const LoadTimes& loads) {
-  const double last = resident.other_replicas > 0 ? kSpareReplica : 1.0;
-  return last * resident.demand * kHorizonSeconds *
+  const double last = resident.other_replicas > 0 ? kSpareReplicaFactor : 1.0;
+  return last * resident.demand * kResidencySeconds *
          static_cast<double>(loads.disk.count());
 }
 
-struct Room {
+struct EvictionPlan {
   std::vector<core::ModelId> evict;
   double cost = 0;
 };
 
 /** @return The cheapest models to evict so that `bytes` fit, or nothing. */
-std::optional<Room> MakeRoom(std::int64_t bytes, const LoadTimes& loads,
-                             const WakeUpCandidate& candidate) {
+std::optional<EvictionPlan> PlanEvictions(std::int64_t bytes,
+                                          const LoadTimes& loads,
+                                          const WakeUpCandidate& candidate) {
   std::int64_t free = candidate.memory_bytes;
   std::vector<const ResidentModel*> idle;
   for (const ResidentModel& resident : candidate.residents) {
@@ -74,7 +75,7 @@
   std::ranges::stable_sort(idle, {}, [&loads](const ResidentModel* it) {
     return EvictionCost(*it, loads);
   });
-  Room room;
+  EvictionPlan room;
   for (const ResidentModel* it : idle) {
     if (free >= bytes) break;
     free += it->bytes;
@@ -94,21 +95,23 @@
   double best_cost = 0;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
     const WakeUpCandidate& candidate = candidates[i];
-    auto room = MakeRoom(bytes, loads, candidate);
+    auto room = PlanEvictions(bytes, loads, candidate);
     if (!room) continue;
     const milliseconds ready_in =
         candidate.order_left + LoadTimeFrom(loads, candidate.tier);
     double cost = static_cast<double>(ready_in.count()) + room->cost;
-    cost += static_cast<double>((candidate.running * kPerRunning).count());
+    cost +=
+        static_cast<double>((candidate.running * kPerRunningPenalty).count());
     if (candidate.tier == Tier::kRemote) {
       // With this cost also added for loads from disk, models were woken on
       // other engines than those with free memory, and on quiet days the
       // fraction of requests served fell by 0.03 to 0.05.
       cost += BlockedAdaptersCost(candidate, loads);
-      cost +=
-          kDeskShare * static_cast<double>((loads.remote - loads.disk).count());
+      cost += kBlockedOrderShare *
+              static_cast<double>((loads.remote - loads.disk).count());
     }
-    if (!candidate.same_zone) cost += static_cast<double>(kOtherZone.count());
+    if (!candidate.same_zone)
+      cost += static_cast<double>(kOtherZonePenalty.count());
     if (best && cost >= best_cost) continue;
     const milliseconds eviction_cost(
         static_cast<milliseconds::rep>(room->cost));
--- a/src/policy/wake_up_test.cc
+++ b/src/policy/wake_up_test.cc
@@ -46,7 +46,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(ADiskCopyIsWokenNotTheWeightStore) {
+BOOST_AUTO_TEST_CASE(DiskCopyIsPreferredToTheWeightStore) {
   const auto plan = Choose({FullEngine(Tier::kRemote, 0, 0, 0),
                             FullEngine(Tier::kDisk, 0.03, 0.03, 0.03)});
   BOOST_TEST(plan->engine == 1);
@@ -54,7 +54,7 @@
   BOOST_TEST(plan->evict.size() == 1);
 }
 
-BOOST_AUTO_TEST_CASE(ABusyOrderDeskIsWorthALoadFromDiskElsewhere) {
+BOOST_AUTO_TEST_CASE(DiskLoadElsewhereIsPreferredToABusyController) {
   WakeUpCandidate busy = FullEngine(Tier::kMemory, 0, 0, 0);
   busy.order_left = milliseconds(1800);
   const auto plan = Choose({busy, FullEngine(Tier::kDisk, 0, 0, 0)});
@@ -67,7 +67,7 @@
  * the next controller for longer still, and wake-ups of 2 s become wake-ups of
  * 9 to 18 s, one after the other.
  */
-BOOST_AUTO_TEST_CASE(ABusyDeskWithACopyIsWaitedForBeforeTheWeightStore) {
+BOOST_AUTO_TEST_CASE(BusyControllerWithACopyIsPreferredToTheWeightStore) {
   WakeUpCandidate busy = FullEngine(Tier::kDisk, 0, 0, 0);
   busy.order_left = milliseconds(8000);
   BOOST_TEST(Choose({busy, FullEngine(Tier::kRemote, 0, 0, 0)})->engine == 0);
@@ -80,20 +80,20 @@
  * the rare model's checkpoint in memory: callers of the busy model would wait
  * for seconds.
  */
-BOOST_AUTO_TEST_CASE(ABusyModelIsNotDroppedForAFasterWakeUp) {
+BOOST_AUTO_TEST_CASE(BusyModelIsNotEvictedForAFasterWakeUp) {
   const auto plan = Choose({FullEngine(Tier::kMemory, 5, 5, 5),
                             FullEngine(Tier::kDisk, 5, 0.03, 5)});
   BOOST_TEST(plan->engine == 1);
   BOOST_TEST(plan->evict.front().value() == "b");
 }
 
-BOOST_AUTO_TEST_CASE(ASpareReplicaIsDroppedBeforeTheLastOne) {
+BOOST_AUTO_TEST_CASE(SpareReplicaIsEvictedBeforeALastOne) {
   WakeUpCandidate engine = FullEngine(Tier::kDisk, 1, 1, 1);
   engine.residents[2].other_replicas = 3;
   BOOST_TEST(Choose({engine})->evict.front().value() == "c");
 }
 
-BOOST_AUTO_TEST_CASE(ModelsThatServeStay) {
+BOOST_AUTO_TEST_CASE(ServingModelsAreNotEvicted) {
   WakeUpCandidate engine = FullEngine(Tier::kDisk, 0, 0, 0);
   for (ResidentModel& resident : engine.residents) resident.running = 1;
   BOOST_TEST(!Choose({engine}).has_value());
@@ -104,14 +104,14 @@
  * If an entry chooses to evict a model that was just requested, the endpoint
  * process refuses, and the next choice is a load from the weight store.
  */
-BOOST_AUTO_TEST_CASE(AModelAskedForAMomentAgoStays) {
+BOOST_AUTO_TEST_CASE(RecentlyRequestedModelIsNotEvicted) {
   WakeUpCandidate kept = FullEngine(Tier::kMemory, 0, 0, 0);
   for (ResidentModel& resident : kept.residents) resident.recently_used = true;
   const auto plan = Choose({kept, FullEngine(Tier::kDisk, 0, 0, 0)});
   BOOST_TEST(plan->engine == 1);
 }
 
-BOOST_AUTO_TEST_CASE(FreeRoomDropsNothing) {
+BOOST_AUTO_TEST_CASE(NothingIsEvictedIfMemoryIsFree) {
   WakeUpCandidate engine = FullEngine(Tier::kDisk, 0, 0, 0);
   engine.residents.pop_back();
   BOOST_TEST(Choose({engine})->evict.empty());
@@ -123,7 +123,7 @@
  * busy model, callers of its adapters are refused until the load ends. The
  * busiest model of the operators' data gets 10 requests a second.
  */
-BOOST_AUTO_TEST_CASE(ALongLoadStaysAwayFromBusyAdapters) {
+BOOST_AUTO_TEST_CASE(LongLoadAvoidsEnginesWithBusyAdapters) {
   WakeUpCandidate busy = FullEngine(Tier::kRemote, 10, 0, 0);
   busy.residents[0].has_adapters = true;
   busy.same_zone = true;
--- a/src/routing/routing_table.cc
+++ b/src/routing/routing_table.cc
@@ -13,10 +13,10 @@
 
 /** If more revoked keys than this are remembered, they are cleared before the
  * next ones are added. */
-constexpr std::size_t kMostRevoked = 10'000;
+constexpr std::size_t kMaxRevokedKeys = 10'000;
 
 /** @return The host in lower case, without its port. */
-std::string PlainHost(std::string_view host) {
+std::string NormalizeHost(std::string_view host) {
   const std::size_t colon = host.rfind(':');
   if (colon != std::string_view::npos && host.find(']', colon) == host.npos) {
     host = host.substr(0, colon);
@@ -35,7 +35,7 @@
       directory_(configuration_.organisations.value_or(
           std::vector<organisation::Organisation>())) {
   for (const Route& route : configuration_.routes) {
-    by_host_[PlainHost(route.host)].push_back(&route);
+    by_host_[NormalizeHost(route.host)].push_back(&route);
   }
   for (auto& [host, routes] : by_host_) {
     std::ranges::stable_sort(routes, [](const Route* a, const Route* b) {
@@ -46,7 +46,7 @@
 
 const Route* RoutingTable::Find(std::string_view host,
                                 std::string_view path) const {
-  const auto it = by_host_.find(PlainHost(host));
+  const auto it = by_host_.find(NormalizeHost(host));
   if (it == by_host_.end()) return nullptr;
   const auto matches = [path](const Route* route) {
     return path.starts_with(route->prefix);
@@ -75,14 +75,14 @@
   if (configuration.version <= version()) return false;
   const auto next =
       std::make_shared<const RoutingTable>(std::move(configuration));
-  NoteRevoked(*next);
+  RecordRevokedKeys(*next);
   current_ = next;
   return true;
 }
 
-void ConfigurationHolder::NoteRevoked(const RoutingTable& next) {
+void ConfigurationHolder::RecordRevokedKeys(const RoutingTable& next) {
   if (current_ == nullptr || !current_->HasOrganisations()) return;
-  if (revoked_.size() > kMostRevoked) revoked_.clear();
+  if (revoked_.size() > kMaxRevokedKeys) revoked_.clear();
   for (const auto& it : *current_->configuration().organisations) {
     for (const organisation::ApiKey& key : it.keys) {
       if (next.FindOrganisation(key) == nullptr) revoked_.insert(key);
--- a/src/routing/routing_table_base.h
+++ b/src/routing/routing_table_base.h
@@ -91,7 +91,7 @@
   }
 
  private:
-  void NoteRevoked(const RoutingTable& next);
+  void RecordRevokedKeys(const RoutingTable& next);
 
   std::shared_ptr<const RoutingTable> current_;
   std::unordered_set<organisation::ApiKey, organisation::ApiKeyHash> revoked_;
--- a/src/routing/routing_table_test.cc
+++ b/src/routing/routing_table_test.cc
@@ -53,7 +53,7 @@
  * store again after an outage and gets a stale copy: a caller would be served
  * by the new version first and then by the old one.
  */
-BOOST_AUTO_TEST_CASE(AnOlderVersionNeverTakesThePlaceOfANewerOne) {
+BOOST_AUTO_TEST_CASE(OlderVersionNeverReplacesANewerOne) {
   ConfigurationHolder holder;
   BOOST_TEST(holder.current() == nullptr);
   BOOST_TEST(holder.Adopt(WithVersion(7)));
--- a/src/routing/store_follower.cc
+++ b/src/routing/store_follower.cc
@@ -16,7 +16,7 @@
 
 /** Live engines whose keys expired have registered again this long after the
  * store has returned. */
-constexpr std::chrono::seconds kReturnTime{2};
+constexpr std::chrono::seconds kReregistrationTime{2};
 
 std::vector<external::KvEntry> UnderPrefix(
     const std::vector<external::KvEntry>& entries, const std::string& prefix) {
@@ -53,7 +53,7 @@
       failure = e.what();
     }
     if (failure.empty()) continue;
-    NoteFailure(failure);
+    HandleFailure(failure);
     co_await core::SleepFor(options_.retry_pause);
   }
 }
@@ -61,9 +61,9 @@
 core::Task<> StoreFollower::ListAll() {
   call_began_ = clock_.Now();
   external::KvSnapshot snapshot = co_await store_.Snapshot(options_.prefix);
-  NoteAnswer(call_began_);
+  HandleAnswer(call_began_);
   for (const FollowHooks& it : hooks_) {
-    it.listed(UnderPrefix(snapshot.entries, it.prefix), CurrentLapseEnd());
+    it.listed(UnderPrefix(snapshot.entries, it.prefix), CurrentLapseGraceEnd());
   }
   revision_ = snapshot.revision;
 }
@@ -74,7 +74,7 @@
       co_await store_.Watch(options_.prefix, *revision_, options_.watch_wait);
   // If there is no change, the store answers only after the whole wait.
   const bool waited = !batch.gap && batch.events.empty();
-  NoteAnswer(waited ? call_began_ + options_.watch_wait : call_began_);
+  HandleAnswer(waited ? call_began_ + options_.watch_wait : call_began_);
   if (batch.gap) {
     log_.Event(LogLevel::kInfo, LogCategory::kPlatform, "watch_gap",
                {{"prefix", options_.prefix}, {"revision", *revision_}});
@@ -85,24 +85,24 @@
     co_return;
   }
   for (external::KvEvent& event : batch.events) {
-    TakeChange(std::move(event));
+    DispatchChange(std::move(event));
   }
   revision_ = std::max(*revision_, batch.revision);
   if (batch.events.empty()) co_return;
   co_await core::SleepFor(options_.batch_pause);
 }
 
-void StoreFollower::TakeChange(external::KvEvent event) {
+void StoreFollower::DispatchChange(external::KvEvent event) {
   const auto hooks =
       std::ranges::find_if(hooks_, [&event](const FollowHooks& it) {
         return event.key.starts_with(it.prefix);
       });
   if (hooks != hooks_.end()) {
-    hooks->changed(std::move(event), CurrentLapseEnd());
+    hooks->changed(std::move(event), CurrentLapseGraceEnd());
   }
 }
 
-void StoreFollower::NoteFailure(const std::string& what) {
+void StoreFollower::HandleFailure(const std::string& what) {
   revision_.reset();
   failed_call_began_ = call_began_;
   if (failing_since_) return;
@@ -111,22 +111,22 @@
              {{"prefix", options_.prefix}, {"error", what}});
 }
 
-void StoreFollower::NoteAnswer(core::SteadyTime as_of) {
-  NoteRenewal(as_of);
+void StoreFollower::HandleAnswer(core::SteadyTime as_of) {
+  UpdateViewTime(as_of);
   last_answer_ = clock_.Now();
   if (!failing_since_) return;
   const auto away =
       std::chrono::duration_cast<core::Millis>(*last_answer_ - *failing_since_);
   failing_since_.reset();
   if (away > options_.outage_after) {
-    lapse_end_ = std::min(failed_call_began_ + options_.lapse_grace,
-                          *last_answer_ + kReturnTime);
+    lapse_grace_end_ = std::min(failed_call_began_ + options_.lapse_grace,
+                                *last_answer_ + kReregistrationTime);
   }
   log_.Event(LogLevel::kInfo, LogCategory::kPlatform, "store_regained",
              {{"prefix", options_.prefix}, {"away_ms", away}});
 }
 
-void StoreFollower::NoteRenewal(core::SteadyTime as_of) {
+void StoreFollower::UpdateViewTime(core::SteadyTime as_of) {
   const core::SteadyTime now = clock_.Now();
   const core::SteadyTime before = current_as_of_.value_or(as_of);
   const auto age = std::chrono::duration_cast<core::Millis>(now - before);
@@ -143,8 +143,9 @@
          clock_.Now() - *current_as_of_ > options_.late_after;
 }
 
-LapseGraceEnd StoreFollower::CurrentLapseEnd() const {
-  if (lapse_end_ && clock_.Now() < *lapse_end_) return lapse_end_;
+LapseGraceEnd StoreFollower::CurrentLapseGraceEnd() const {
+  if (lapse_grace_end_ && clock_.Now() < *lapse_grace_end_)
+    return lapse_grace_end_;
   return std::nullopt;
 }
 
--- a/src/routing/store_follower_base.h
+++ b/src/routing/store_follower_base.h
@@ -105,12 +105,12 @@
  private:
   core::Task<> ListAll();
   core::Task<> WatchOnce();
-  void TakeChange(external::KvEvent event);
-  void NoteFailure(const std::string& what);
+  void DispatchChange(external::KvEvent event);
+  void HandleFailure(const std::string& what);
   /** @param as_of The answer includes all changes up to this time. */
-  void NoteAnswer(core::SteadyTime as_of);
-  void NoteRenewal(core::SteadyTime as_of);
-  [[nodiscard]] LapseGraceEnd CurrentLapseEnd() const;
+  void HandleAnswer(core::SteadyTime as_of);
+  void UpdateViewTime(core::SteadyTime as_of);
+  [[nodiscard]] LapseGraceEnd CurrentLapseGraceEnd() const;
 
   const FollowOptions options_;
   const std::vector<FollowHooks> hooks_;
@@ -126,7 +126,7 @@
   /** Start of the latest call, and of the latest call that failed. */
   core::SteadyTime call_began_;
   core::SteadyTime failed_call_began_;
-  LapseGraceEnd lapse_end_;
+  LapseGraceEnd lapse_grace_end_;
 };
 
 }  // namespace sapphire::routing
--- a/src/routing/store_follower_test.cc
+++ b/src/routing/store_follower_test.cc
@@ -35,7 +35,7 @@
     return options;
   }
 
-  bool Until(const std::function<bool()>& done) {
+  bool RunUntil(const std::function<bool()>& done) {
     return entry::testing::RunUntil(io, done);
   }
 
@@ -50,24 +50,24 @@
 
 /** Guards against a process that is too busy to follow the store and keeps
  * using outdated data although no call has failed. */
-BOOST_AUTO_TEST_CASE(AFollowerThatIsHeldUpIsLate) {
+BOOST_AUTO_TEST_CASE(DelayedFollowerIsLate) {
   Rig rig;
   BOOST_REQUIRE(
-      rig.Until([&] { return rig.follower.last_answer().has_value(); }));
+      rig.RunUntil([&] { return rig.follower.last_answer().has_value(); }));
   BOOST_TEST(!rig.follower.IsLate());
   rig.clock.Advance(seconds(4));
   BOOST_TEST(rig.follower.IsLate());
-  BOOST_TEST(rig.Until([&] { return !rig.follower.IsLate(); }));
+  BOOST_TEST(rig.RunUntil([&] { return !rig.follower.IsLate(); }));
 }
 
 /** Guards against refusals while the store is unavailable, when no entry can
  * have newer data. */
-BOOST_AUTO_TEST_CASE(AFollowerWithoutItsStoreIsNotLate) {
+BOOST_AUTO_TEST_CASE(FollowerIsNotLateWhileTheStoreIsDown) {
   Rig rig;
   BOOST_REQUIRE(
-      rig.Until([&] { return rig.follower.last_answer().has_value(); }));
+      rig.RunUntil([&] { return rig.follower.last_answer().has_value(); }));
   rig.store.down = true;
-  BOOST_REQUIRE(rig.Until([&] { return rig.follower.failing(); }));
+  BOOST_REQUIRE(rig.RunUntil([&] { return rig.follower.failing(); }));
   rig.clock.Advance(seconds(10));
   BOOST_TEST(!rig.follower.IsLate());
 }
