--- a/src/policy/admission_func.h
+++ b/src/policy/admission_func.h
@@ -21,7 +21,7 @@
 struct QueuedRequest {
   core::RequestId id;
   core::OwnerId owner;
-  /** Higher goes first. */
+  /** Requests with a higher value are served first. */
   int priority = 0;
   core::SteadyTime deadline;
   core::SteadyTime arrived;
@@ -84,7 +84,8 @@
   bool caller_waits = true;
 };
 
-/** @return Indexes of the bids in the order the store should serve them. */
+/** @return Indexes of the bids in the order in which the store should serve
+ * them. */
 std::vector<std::size_t> OrderBids(std::span<const LoadBid> bids);
 
 }  // namespace sapphire::policy
--- a/src/policy/crash_func.h
+++ b/src/policy/crash_func.h
@@ -74,8 +74,8 @@
 bool RecordCrash(CrashTracker& tracker, std::int64_t fingerprint,
                  const core::AttemptId& attempt, core::SteadyTime now);
 
-/** Raises the crash count to `crashes`, as counted elsewhere, for example after
- * the home of a model has changed. */
+/** Raises the crash count to `crashes`, as counted elsewhere, for example by
+ * the entry that placed the model's requests before. */
 void MergeCrashCount(CrashTracker& tracker, std::int64_t fingerprint,
                      int crashes, core::SteadyTime now);
 
--- a/src/policy/wake_up.cc
+++ b/src/policy/wake_up.cc
@@ -10,9 +10,9 @@
 
 using std::chrono::milliseconds;
 
-/** How long an evicted model would have stayed in use. With 36 places for 65
- * models and one wake-up a second, a place changes its model about this
- * often. */
+/** How long an evicted model would have stayed in use. With memory for 36
+ * replicas of 65 models and one wake-up a second, each replica is replaced
+ * about this often. */
 constexpr double kResidencySeconds = 15;
 /** Cost factor for evicting a model that other engines hold too: it costs less
  * than evicting the last replica. */
@@ -21,9 +21,10 @@
  * for all callers. */
 constexpr milliseconds kPerRunningPenalty{2};
 constexpr milliseconds kOtherZonePenalty{20};
-/** An engine executes one order at a time, and a load from the weight store
- * blocks it four times as long as one from disk. In half of that time, another
- * model would be woken there. */
+/** Fraction of the additional time of a load from the weight store that counts
+ * as cost. An engine executes one order at a time, and such a load blocks it
+ * four times as long as one from disk; in half of that time, another model
+ * would be woken there. */
 constexpr double kBlockedOrderShare = 0.5;
 
 /** Fraction of requests whose adapter is not loaded on their engine: half of
