--- a/src/policy/wake_up.cc
+++ b/src/policy/wake_up.cc
@@ -20,7 +20,7 @@
 /** Penalty for each running request, as a tie-breaker: a busy engine is slower
  * for all callers. */
 constexpr milliseconds kPerRunningPenalty{2};
-constexpr milliseconds kOtherZonePenalty{20};
+constexpr milliseconds kZoneCost{20};
 /** Fraction of the additional time of a load from the weight store that counts
  * as cost. An engine executes one order at a time, and such a load blocks it
  * four times as long as one from disk; in half of that time, another model
@@ -76,15 +76,15 @@
   std::ranges::stable_sort(idle, {}, [&loads](const ResidentModel* it) {
     return EvictionCost(*it, loads);
   });
-  EvictionPlan room;
+  EvictionPlan evictions;
   for (const ResidentModel* it : idle) {
     if (free >= bytes) break;
     free += it->bytes;
-    room.evict.push_back(it->model);
-    room.cost += EvictionCost(*it, loads);
+    evictions.evict.push_back(it->model);
+    evictions.cost += EvictionCost(*it, loads);
   }
   if (free < bytes) return std::nullopt;
-  return room;
+  return evictions;
 }
 
 }  // namespace
@@ -96,11 +96,11 @@
   double best_cost = 0;
   for (std::size_t i = 0; i < candidates.size(); ++i) {
     const WakeUpCandidate& candidate = candidates[i];
-    auto room = PlanEvictions(bytes, loads, candidate);
-    if (!room) continue;
+    auto evictions = PlanEvictions(bytes, loads, candidate);
+    if (!evictions) continue;
     const milliseconds ready_in =
         candidate.order_left + LoadTimeFrom(loads, candidate.tier);
-    double cost = static_cast<double>(ready_in.count()) + room->cost;
+    double cost = static_cast<double>(ready_in.count()) + evictions->cost;
     cost +=
         static_cast<double>((candidate.running * kPerRunningPenalty).count());
     if (candidate.tier == Tier::kRemote) {
@@ -111,12 +111,11 @@
       cost += kBlockedOrderShare *
               static_cast<double>((loads.remote - loads.disk).count());
     }
-    if (!candidate.same_zone)
-      cost += static_cast<double>(kOtherZonePenalty.count());
+    if (!candidate.same_zone) cost += static_cast<double>(kZoneCost.count());
     if (best && cost >= best_cost) continue;
     const milliseconds eviction_cost(
-        static_cast<milliseconds::rep>(room->cost));
-    best = WakeUpPlan{i, std::move(room->evict), ready_in, eviction_cost};
+        static_cast<milliseconds::rep>(evictions->cost));
+    best = WakeUpPlan{i, std::move(evictions->evict), ready_in, eviction_cost};
     best_cost = cost;
   }
   return best;
--- a/src/routing/store_follower.cc
+++ b/src/routing/store_follower.cc
@@ -119,8 +119,8 @@
       std::chrono::duration_cast<core::Millis>(*last_answer_ - *failing_since_);
   failing_since_.reset();
   if (away > options_.outage_after) {
-    lapse_grace_end_ = std::min(failed_call_began_ + options_.lapse_grace,
-                                *last_answer_ + kReregistrationTime);
+    grace_end_ = std::min(failed_call_began_ + options_.lapse_grace,
+                          *last_answer_ + kReregistrationTime);
   }
   log_.Event(LogLevel::kInfo, LogCategory::kPlatform, "store_regained",
              {{"prefix", options_.prefix}, {"away_ms", away}});
@@ -144,8 +144,7 @@
 }
 
 LapseGraceEnd StoreFollower::CurrentLapseGraceEnd() const {
-  if (lapse_grace_end_ && clock_.Now() < *lapse_grace_end_)
-    return lapse_grace_end_;
+  if (grace_end_ && clock_.Now() < *grace_end_) return grace_end_;
   return std::nullopt;
 }
 
--- a/src/routing/store_follower_base.h
+++ b/src/routing/store_follower_base.h
@@ -126,7 +126,7 @@
   /** Start of the latest call, and of the latest call that failed. */
   core::SteadyTime call_began_;
   core::SteadyTime failed_call_began_;
-  LapseGraceEnd lapse_grace_end_;
+  LapseGraceEnd grace_end_;
 };
 
 }  // namespace sapphire::routing
