--- a/src/policy/admission.cc
+++ b/src/policy/admission.cc
@@ -1,4 +1,5 @@
-/** @file admission.cc Queue order, owners' shares, retry budgets. */
+/** @file admission.cc Implements queue order, queue admission, retry budgets
+ * and the order of load bids. */
 #include <algorithm>
 #include <cmath>
 #include <numeric>
@@ -10,18 +11,16 @@
 
 namespace {
 
-constexpr double kSmallestShare = 1e-6;
+constexpr double kMinShare = 1e-6;
 
-/** Use and share of the owners that run or wait right now. */
+/** Usage and share of the owners with running or queued requests. */
 struct ActiveOwners {
   std::map<core::OwnerId, OwnerUse> use;
   double running = 0;
   double shares = 0;
 };
 
-double ShareOf(const OwnerUse& use) {
-  return std::max(use.share, kSmallestShare);
-}
+double ShareOf(const OwnerUse& use) { return std::max(use.share, kMinShare); }
 
 ActiveOwners ActiveAmong(std::span<const QueuedRequest> queue,
                          const std::map<core::OwnerId, OwnerUse>& owners) {
@@ -38,7 +37,7 @@
   return active;
 }
 
-/** @return True if one more request takes the owner over its share. */
+/** @return True if one more request would put the owner above its share. */
 bool IsOverShare(const OwnerUse& use, const ActiveOwners& active) {
   const double fair = (active.running + 1) * ShareOf(use) / active.shares;
   return use.running + 1 > std::ceil(fair);
@@ -59,7 +58,7 @@
   return static_cast<std::size_t>(first - queue.begin());
 }
 
-std::optional<core::ErrorCode> RefuseAtQueue(
+std::optional<core::ErrorCode> CheckQueueAdmission(
     const QueueUse& use, const core::OwnerId& owner,
     const std::map<core::OwnerId, OwnerUse>& owners) {
   int total = 0;
--- a/src/policy/admission_test.cc
+++ b/src/policy/admission_test.cc
@@ -1,4 +1,5 @@
-/** @file admission_test.cc Shares, queue places, retries, order of bids. */
+/** @file admission_test.cc Tests owner shares, queue admission, retry budgets
+ * and the order of load bids. */
 #define BOOST_TEST_MODULE admission
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -31,8 +32,8 @@
   return queue;
 }
 
-/** With one owner the order is a plain sort. */
-BOOST_AUTO_TEST_CASE(OneOwnerGoesByPriorityThenDeadline) {
+/** With one owner, requests are sorted by priority and then by deadline. */
+BOOST_AUTO_TEST_CASE(OneOwnerIsServedByPriorityThenDeadline) {
   for (std::uint64_t seed = 1; seed <= 500; ++seed) {
     std::mt19937_64 random(seed);
     const auto queue = RandomQueue(random, 1 + static_cast<int>(seed % 20), 1);
@@ -46,10 +47,10 @@
   }
 }
 
-// One ad house sends a flood at the highest priority while two others send a
-// few plain requests. By priority alone the others would wait until the flood
-// is over and their manifests would be late.
-BOOST_AUTO_TEST_CASE(PriorityStarvesNoOwner) {
+// One owner sends many requests at the highest priority while two others send a
+// few at normal priority. By priority alone, the others would wait until the
+// first owner's requests are done, and their answers would be late.
+BOOST_AUTO_TEST_CASE(HighPriorityDoesNotStarveOtherOwners) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     std::mt19937_64 random(seed);
     std::map<core::OwnerId, OwnerUse> owners = {
@@ -70,7 +71,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(UnusedSharesAreLent) {
+BOOST_AUTO_TEST_CASE(UnusedSharesAreLentToOtherOwners) {
   std::map<core::OwnerId, OwnerUse> owners = {
       {Owner(0), {.running = 50, .share = 0.1}}, {Owner(1), {}}};
   std::mt19937_64 random(1);
@@ -78,18 +79,18 @@
   BOOST_TEST(PickNext(queue, owners) < queue.size());
 }
 
-BOOST_AUTO_TEST_CASE(AFloodLeavesQueuePlacesToOthers) {
+BOOST_AUTO_TEST_CASE(OneOwnerCannotFillTheQueue) {
   const std::map<core::OwnerId, OwnerUse> owners = {{Owner(0), {}},
                                                     {Owner(1), {}}};
   QueueUse use{.max_queue = 100, .waiting = {}};
-  while (!RefuseAtQueue(use, Owner(0), owners).has_value()) {
+  while (!CheckQueueAdmission(use, Owner(0), owners).has_value()) {
     ++use.waiting[Owner(0)];
   }
   BOOST_TEST(use.waiting[Owner(0)] == 50);
-  BOOST_TEST(
-      (RefuseAtQueue(use, Owner(0), owners) == core::ErrorCode::kOverShare));
+  BOOST_TEST((CheckQueueAdmission(use, Owner(0), owners) ==
+              core::ErrorCode::kOverShare));
   int others = 0;
-  while (!RefuseAtQueue(use, Owner(1), owners).has_value()) {
+  while (!CheckQueueAdmission(use, Owner(1), owners).has_value()) {
     ++use.waiting[Owner(1)];
     ++others;
   }
@@ -115,7 +116,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(BidsAreOrderedAlikeWhateverTheirOrder) {
+BOOST_AUTO_TEST_CASE(BidOrderDoesNotDependOnInputOrder) {
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
     std::mt19937_64 random(seed);
     std::vector<LoadBid> bids(seed % 12);
--- a/src/policy/keep_alive.cc
+++ b/src/policy/keep_alive.cc
@@ -1,4 +1,4 @@
-/** @file keep_alive.cc How long an idle replica stays loaded. */
+/** @file keep_alive.cc Decides how long an idle replica stays loaded. */
 #include <algorithm>
 #include <cmath>
 
@@ -11,20 +11,22 @@
 using Seconds = std::chrono::duration<double>;
 
 /** Upper bound of bucket 0, in seconds. */
-constexpr double kFirstBound = 1.0 / 16;
-/** Arrivals this close to the first of a group would have waited with it. */
+constexpr double kFirstBucketBound = 1.0 / 16;
+/** Arrivals within this time of the first one of a group would have waited for
+ * the same cold start. */
 constexpr Seconds kGroupSpan{8.0};
-/** What a gap still counts after the next one. */
-constexpr double kDecay = 0.97;
-/** The prior stands for this many gaps of unknown length, ... */
+/** Factor by which the weight of earlier gaps falls with each new gap. */
+constexpr double kGapDecay = 0.97;
+/** Number of gaps that the prior counts as. */
 constexpr double kPriorGaps = 3.0;
-/** ... spread evenly over the buckets from this one (2 s) up. */
+/** First bucket of the prior (2 s), which is spread evenly over the buckets
+ * from here up. */
 constexpr std::size_t kPriorFirstBucket = 5;
-/** Mean position of a gap within its bucket, as part of the upper bound. */
-constexpr double kMeanInBucket = 0.75;
+/** Mean length of a gap as a fraction of its bucket's upper bound. */
+constexpr double kMeanPositionInBucket = 0.75;
 
 double UpperBound(std::size_t bucket) {
-  return kFirstBound * std::exp2(static_cast<double>(bucket));
+  return kFirstBucketBound * std::exp2(static_cast<double>(bucket));
 }
 
 std::size_t BucketOf(Seconds gap) {
@@ -41,7 +43,7 @@
   return kPriorGaps / (ArrivalHistory::kBuckets - kPriorFirstBucket);
 }
 
-/** Counts of gaps and of callers after them, prior included. */
+/** Weighted number of gaps in the bucket, prior included. */
 double GapsIn(const ArrivalHistory& history, std::size_t bucket) {
   return history.gaps[bucket] + PriorGapsIn(bucket);
 }
@@ -51,9 +53,9 @@
 }
 
 void StartGroup(ArrivalHistory& history, Seconds gap, core::SteadyTime now) {
-  for (double& count : history.gaps) count *= kDecay;
-  for (double& count : history.callers) count *= kDecay;
-  history.total = history.total * kDecay + 1;
+  for (double& count : history.gaps) count *= kGapDecay;
+  for (double& count : history.callers) count *= kGapDecay;
+  history.total = history.total * kGapDecay + 1;
   history.group_start = now;
   history.group_bucket = BucketOf(gap);
   history.gaps[history.group_bucket] += 1;
@@ -67,7 +69,8 @@
   if (!last.has_value()) return;
   const bool in_group = now - history.group_start.value_or(*last) < kGroupSpan;
   if (!in_group) StartGroup(history, now - *last, now);
-  // Arrivals of the very first group have no gap before them to count for.
+  // The first group has no gap before it that its arrivals could be counted
+  // for.
   if (history.group_start.has_value()) {
     history.callers[history.group_bucket] += 1;
   }
@@ -89,7 +92,7 @@
   for (std::size_t i = 0; i < ArrivalHistory::kBuckets; ++i) {
     later_gaps -= GapsIn(history, i);
     later_callers -= CallersIn(history, i);
-    held += GapsIn(history, i) * UpperBound(i) * kMeanInBucket;
+    held += GapsIn(history, i) * UpperBound(i) * kMeanPositionInBucket;
     const double idle = held + std::max(later_gaps, 0.0) * UpperBound(i);
     const double cost = later_callers * cold_cost + weights.idle * idle;
     if (cost >= best_cost) continue;
@@ -121,8 +124,8 @@
   return callers / open * weights.cold_start * Seconds(load_time).count();
 }
 
-std::vector<std::size_t> ReplicasToUnload(std::span<const HeldReplica> held) {
-  const bool kept = std::ranges::any_of(held, [](const HeldReplica& it) {
+std::vector<std::size_t> ReplicasToUnload(std::span<const LoadedReplica> held) {
+  const bool kept = std::ranges::any_of(held, [](const LoadedReplica& it) {
     return it.running > 0 || it.idle < it.keep_alive;
   });
   std::vector<std::size_t> unload;
@@ -130,7 +133,8 @@
   return unload;
 }
 
-CostWeights SharedWeights(const CostWeights& weights, std::size_t replicas) {
+CostWeights CostWeightsPerReplica(const CostWeights& weights,
+                                  std::size_t replicas) {
   const auto sharers = static_cast<double>(std::max<std::size_t>(replicas, 1));
   return {.cold_start = weights.cold_start, .idle = weights.idle / sharers};
 }
--- a/src/policy/keep_alive_test.cc
+++ b/src/policy/keep_alive_test.cc
@@ -1,4 +1,5 @@
-/** @file keep_alive_test.cc Keep-alive against the best choice in hindsight. */
+/** @file keep_alive_test.cc Tests keep-alive times against the best choice in
+ * hindsight. */
 #define BOOST_TEST_MODULE keep_alive
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -15,7 +16,8 @@
 constexpr CostWeights kWeights{.cold_start = 20, .idle = 1};
 constexpr milliseconds kLoad{4000};
 
-/** One model's gaps: a mix of short ones within and long ones between uses. */
+/** @return Gaps between one model's requests: short ones within a session and
+ * long ones between sessions. */
 std::vector<double> RandomGaps(std::mt19937_64& random) {
   std::exponential_distribution<double> unit(1);
   const double thinks = std::exp2(4 + static_cast<double>(random() % 4));
@@ -29,7 +31,7 @@
   return gaps;
 }
 
-/** What one keep-alive time would have cost over these gaps. */
+/** @return The cost of a fixed keep-alive time over these gaps. */
 double CostOf(const std::vector<double>& gaps, double keep) {
   double cost = 0;
   for (const double gap : gaps) {
@@ -45,7 +47,7 @@
   return best;
 }
 
-BOOST_AUTO_TEST_CASE(NearTheBestFixedTimeInHindsight) {
+BOOST_AUTO_TEST_CASE(IsCloseToTheBestFixedTimeInHindsight) {
   double chosen_sum = 0;
   double best_sum = 0;
   for (std::uint64_t seed = 1; seed <= 200; ++seed) {
@@ -62,8 +64,9 @@
     const double cost =
         CostOf(gaps, std::chrono::duration<double>(keep).count());
     const double best = BestCost(gaps);
-    // Keeping for the price of one cold start is never worse than twice the
-    // best choice of each gap; a history must not do worse than that.
+    // Keeping a replica until its idle cost reaches the cost of one cold start
+    // is never worse than twice the best choice for each gap; a choice by
+    // history must not do worse than that.
     BOOST_TEST(cost <= 2 * best, "seed " << seed);
     chosen_sum += cost;
     best_sum += best;
@@ -71,7 +74,7 @@
   BOOST_TEST(chosen_sum <= 1.1 * best_sum);
 }
 
-BOOST_AUTO_TEST_CASE(CallersInAGroupMakeKeepingWorthMore) {
+BOOST_AUTO_TEST_CASE(GroupsOfCallersExtendTheKeepAlive) {
   ArrivalHistory alone;
   ArrivalHistory groups;
   for (int i = 0; i < 50; ++i) {
@@ -85,7 +88,7 @@
   BOOST_TEST(KeepAliveTime(groups, kWeights, kLoad).count() >= 200'000);
 }
 
-BOOST_AUTO_TEST_CASE(ReloadCostGrowsWithTheHorizonUpToTheWholeGroup) {
+BOOST_AUTO_TEST_CASE(ReloadCostGrowsWithTheHorizonUpToOneColdStart) {
   for (std::uint64_t seed = 1; seed <= 50; ++seed) {
     std::mt19937_64 random(seed);
     ArrivalHistory history;
@@ -105,12 +108,12 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ReplicasLeaveAnAcceleratorTogether) {
+BOOST_AUTO_TEST_CASE(ReplicasOfAnAcceleratorAreUnloadedTogether) {
   for (std::uint64_t seed = 1; seed <= 500; ++seed) {
     std::mt19937_64 random(seed);
-    std::vector<HeldReplica> held(seed % 5);
+    std::vector<LoadedReplica> held(seed % 5);
     bool wanted = false;
-    for (HeldReplica& replica : held) {
+    for (LoadedReplica& replica : held) {
       replica.running = random() % 4 == 0 ? 1 : 0;
       replica.idle = milliseconds(random() % 100);
       replica.keep_alive = milliseconds(random() % 60);
--- a/src/policy/placement.cc
+++ b/src/policy/placement.cc
@@ -1,4 +1,5 @@
-/** @file placement.cc Where a request runs, waits or loads its model. */
+/** @file placement.cc Decides where a request runs, waits or loads its
+ * model. */
 #include <algorithm>
 #include <tuple>
 
@@ -11,21 +12,21 @@
 
 namespace {
 
-/** Hint to callers when only an unload elsewhere can help. */
+/** Retry hint to callers if only an unload elsewhere can free capacity. */
 constexpr Millis kNoCapacityRetry{2000};
-/** What loading in another zone than the caller's is worth avoiding. */
-constexpr double kOtherZoneMillis = 2;
-/** What waking an accelerator that holds nothing is worth avoiding. */
-constexpr double kEmptyMillis = 4000;
-/** The same for one that holds models but runs nothing. */
-constexpr double kIdleMillis = 1500;
-/** What one unit of EvictionCost is worth avoiding. */
-constexpr double kEvictionMillis = 20;
-/** A second replica has to save this part of its load time. */
-constexpr double kSecondReplicaGain = 0.5;
-
-/** One reload in this many finds its checkpoint on disk only. */
-constexpr int kReloadsFromDisk = 4;
+/** Penalty for loading in another zone than the caller's, in ms of waiting. */
+constexpr double kOtherZonePenaltyMs = 2;
+/** Penalty for loading on an accelerator that holds no model. */
+constexpr double kEmptyAcceleratorPenaltyMs = 4000;
+/** Penalty for loading on one that holds models but runs no request. */
+constexpr double kIdleAcceleratorPenaltyMs = 1500;
+/** Penalty for each unit of EvictionCost. */
+constexpr double kEvictionCostMs = 20;
+/** Another replica has to save at least this fraction of its load time. */
+constexpr double kMinLoadTimeSaved = 0.5;
+
+/** One reload out of this many has to read the checkpoint from disk. */
+constexpr int kReloadsPerDiskRead = 4;
 
 bool Usable(const EndpointView& endpoint, const PlacementRequest& request) {
   return endpoint.engine_up && !endpoint.leaving &&
@@ -58,16 +59,16 @@
          replica.running < request.max_concurrent;
 }
 
-/** A replica of the model at an endpoint that may be used. */
+/** A replica of the model at a usable endpoint. */
 struct Site {
   const EndpointView* endpoint = nullptr;
   const ReplicaView* replica = nullptr;
 };
 
-/** What one pass over the fleet finds out about the model. */
+/** Result of one pass over the fleet: the replicas of the model. */
 struct Survey {
   std::vector<Site> sites;
-  /** Replicas that count against the model's limit, usable or not. */
+  /** Replicas that count towards the model's limit, usable or not. */
   int held = 0;
   bool any_usable = false;
 };
@@ -89,8 +90,9 @@
   return survey;
 }
 
-/** Smaller is better: adapter missing, prefix missing, other zone, load. */
-auto RunRank(const Site& site, const PlacementRequest& request) {
+/** Sort key for sites, best first: adapter loaded, prefix cached, same zone,
+ * fewest running requests. */
+auto SitePreference(const Site& site, const PlacementRequest& request) {
   const bool no_prefix = request.prefix_hash != 0 &&
                          !site.replica->prefixes.contains(request.prefix_hash);
   return std::make_tuple(!HasAdapter(*site.replica, request), no_prefix,
@@ -98,7 +100,8 @@
                          site.replica->running, site.endpoint->id);
 }
 
-/** @return The best site with a free slot and room for the adapter, if any. */
+/** @return The best site with a free slot and memory for the adapter, if
+ * any. */
 const Site* ChooseRun(const PlacementRequest& request, const Survey& survey) {
   const Site* best = nullptr;
   for (const Site& site : survey.sites) {
@@ -107,14 +110,15 @@
         FreeBytes(*site.endpoint) < request.adapter_bytes) {
       continue;
     }
-    if (best == nullptr || RunRank(site, request) < RunRank(*best, request)) {
+    if (best == nullptr ||
+        SitePreference(site, request) < SitePreference(*best, request)) {
       best = &site;
     }
   }
   return best;
 }
 
-/** A load and what speaks against it. */
+/** A possible load and its penalties. */
 struct LoadChoice {
   const EndpointView* endpoint = nullptr;
   std::vector<core::ModelId> evict;
@@ -131,7 +135,8 @@
          std::tie(b.too_late, b.score, b.endpoint->id);
 }
 
-/** Base loaded, but no room for the adapter beside it: evict for it. */
+/** @return The best site where the base is loaded and evictions can make room
+ * for the adapter. */
 LoadChoice ChooseAdapterLoad(const PlacementRequest& request,
                              const Survey& survey, const LoadTimes& loads) {
   LoadChoice best;
@@ -151,8 +156,9 @@
   return best;
 }
 
-/** An engine carries out one order at a time: a load there waits for others. */
-Millis LoadingAt(const EndpointView& endpoint) {
+/** @return Time until the endpoint's loads in progress have ended: an engine
+ * executes one order at a time, so another load has to wait for them. */
+Millis RemainingLoadTime(const EndpointView& endpoint) {
   Millis left{0};
   for (const ReplicaView& replica : endpoint.replicas) {
     if (replica.state != ReplicaState::kLoading) continue;
@@ -161,10 +167,10 @@
   return left;
 }
 
-/** Cost of the accelerator time that loading here brings, as if a wait. */
-double WakeMillis(const EndpointView& endpoint) {
-  if (endpoint.replicas.empty()) return kEmptyMillis;
-  return RunningAt(endpoint) > 0 ? 0 : kIdleMillis;
+/** @return The penalty for the accelerator time that a load here would use. */
+double WakeUpPenaltyMs(const EndpointView& endpoint) {
+  if (endpoint.replicas.empty()) return kEmptyAcceleratorPenaltyMs;
+  return RunningAt(endpoint) > 0 ? 0 : kIdleAcceleratorPenaltyMs;
 }
 
 bool Holds(const EndpointView& endpoint, const core::ModelId& model) {
@@ -173,8 +179,9 @@
   });
 }
 
-/** @return What has to be freed for a load, given the service's limit. */
-EvictionNeed NeedOf(const PlacementRequest& request) {
+/** @return What has to be freed for a load; at the service's replica limit,
+ * this includes one of its replicas. */
+EvictionNeed EvictionNeedFor(const PlacementRequest& request) {
   EvictionNeed need;
   need.free_bytes = request.replica_bytes + request.adapter_bytes;
   if (request.service_replicas >= request.service_max_replicas) {
@@ -186,8 +193,8 @@
 bool MayLoad(const PlacementRequest& request, const Survey& survey) {
   if (survey.held >= request.max_replicas) return false;
   const bool place = request.service_replicas < request.service_max_replicas;
-  // At the service's limit an eviction of the same service makes the place,
-  // but only if the limit is kept now.
+  // At the service's replica limit, evicting a replica of the same service
+  // makes room for a new one, but only if the limit is not already exceeded.
   const bool exchange =
       !request.service.empty() &&
       request.service_replicas == request.service_max_replicas;
@@ -197,7 +204,7 @@
 LoadChoice ChooseLoad(const PlacementRequest& request,
                       std::span<const EndpointView> endpoints,
                       const LoadTimes& loads) {
-  const EvictionNeed need = NeedOf(request);
+  const EvictionNeed need = EvictionNeedFor(request);
   LoadChoice best;
   for (const EndpointView& endpoint : endpoints) {
     if (!Usable(endpoint, request) || Holds(endpoint, request.model)) continue;
@@ -206,28 +213,28 @@
     const Tier tier = TierAt(endpoint, request.model);
     LoadChoice choice;
     choice.endpoint = &endpoint;
-    choice.ready_in = LoadingAt(endpoint) + LoadTimeFrom(loads, tier);
+    choice.ready_in = RemainingLoadTime(endpoint) + LoadTimeFrom(loads, tier);
     choice.too_late =
         choice.ready_in + request.service_time > request.remaining;
-    choice.score =
-        static_cast<double>(choice.ready_in.count()) + WakeMillis(endpoint);
-    if (endpoint.zone != request.zone) choice.score += kOtherZoneMillis;
+    choice.score = static_cast<double>(choice.ready_in.count()) +
+                   WakeUpPenaltyMs(endpoint);
+    if (endpoint.zone != request.zone) choice.score += kOtherZonePenaltyMs;
     if (!IsBetter(choice, best)) continue;
     auto evictions = ChooseEvictions(endpoint, need);
     if (!evictions.has_value()) continue;
-    choice.score += kEvictionMillis * evictions->cost;
+    choice.score += kEvictionCostMs * evictions->cost;
     choice.evict = std::move(evictions->models);
     if (IsBetter(choice, best)) best = std::move(choice);
   }
   return best;
 }
 
-std::vector<QueueServer> ServersOf(const Survey& survey,
-                                   const PlacementRequest& request) {
+std::vector<QueueServer> QueueServersFor(const Survey& survey,
+                                         const PlacementRequest& request) {
   std::vector<QueueServer> servers;
   for (const Site& site : survey.sites) {
-    // A slot is free and yet the request does not run: there is no room for its
-    // adapter, and waiting for a slot would not make any.
+    // If a slot is free, the request doesn't run because there is no memory for
+    // its adapter; waiting for a slot would not change that.
     if (HasSlot(*site.endpoint, *site.replica, request)) continue;
     servers.push_back({.ready_in = site.replica->ready_in,
                        .loading = site.replica->state == ReplicaState::kLoading,
@@ -269,7 +276,8 @@
   return decision;
 }
 
-PlacementDecision RefuseLate(Millis wait, bool served, const LoadChoice& load) {
+PlacementDecision RefuseAsTooLate(Millis wait, bool served,
+                                  const LoadChoice& load) {
   auto decision = Refuse(core::ErrorCode::kDeadlineTooShort, wait);
   if (served || !load.exists()) return decision;
   decision.endpoint = load.endpoint->id;
@@ -278,22 +286,24 @@
   return decision;
 }
 
-/** @return True if another replica is worth its load. */
-bool WorthLoading(const PlacementRequest& request, std::optional<Millis> queue,
-                  Millis with_load, const LoadChoice& load) {
+/** @return True if the time saved by another replica is worth its load. */
+bool IsLoadWorthwhile(const PlacementRequest& request,
+                      std::optional<Millis> queue, Millis with_load,
+                      const LoadChoice& load) {
   if (!queue.has_value()) return true;
   if (*queue + request.service_time > request.remaining) {
     return with_load < *queue;
   }
   const Millis saved = *queue - with_load;
   return static_cast<double>(saved.count()) >
-         kSecondReplicaGain * static_cast<double>(load.ready_in.count());
+         kMinLoadTimeSaved * static_cast<double>(load.ready_in.count());
 }
 
-/** No slot is free: wait for one, load another replica, or refuse. */
+/** Decides whether to wait for a slot, load another replica or refuse, when no
+ * slot is free. */
 PlacementDecision WaitOrLoad(const PlacementRequest& request,
                              const Survey& survey, const LoadChoice& load) {
-  auto servers = ServersOf(survey, request);
+  auto servers = QueueServersFor(survey, request);
   const auto queue =
       QueueWait(servers, request.service_time, request.waiting_ahead);
   std::optional<Millis> with_load;
@@ -303,8 +313,8 @@
                        .slots = request.max_concurrent});
     with_load = QueueWait(servers, request.service_time, request.waiting_ahead);
   }
-  const bool loads =
-      with_load.has_value() && WorthLoading(request, queue, *with_load, load);
+  const bool loads = with_load.has_value() &&
+                     IsLoadWorthwhile(request, queue, *with_load, load);
   const auto wait = loads ? with_load : queue;
   if (!wait.has_value()) {
     return Refuse(load.exists() || MayLoad(request, survey)
@@ -313,7 +323,7 @@
                   kNoCapacityRetry);
   }
   if (*wait + request.service_time > request.remaining) {
-    return RefuseLate(*wait, queue.has_value(), load);
+    return RefuseAsTooLate(*wait, queue.has_value(), load);
   }
   return loads ? LoadAt(load, *wait) : Wait(request, survey, *wait);
 }
@@ -358,11 +368,11 @@
 }
 
 Millis ExpectedReloadTime(const LoadTimes& loads) {
-  return loads.memory + (loads.disk - loads.memory) / kReloadsFromDisk;
+  return loads.memory + (loads.disk - loads.memory) / kReloadsPerDiskRead;
 }
 
-std::vector<core::VmId> RankHomes(std::string_view key,
-                                  std::span<const core::VmId> candidates) {
+std::vector<core::VmId> RankByRendezvousHash(
+    std::string_view key, std::span<const core::VmId> candidates) {
   std::vector<std::pair<std::uint64_t, const core::VmId*>> scored;
   scored.reserve(candidates.size());
   const std::uint64_t seed = core::HashOf(key);
--- a/src/policy/placement_test.cc
+++ b/src/policy/placement_test.cc
@@ -1,4 +1,5 @@
-/** @file placement_test.cc Placement against all that would be possible. */
+/** @file placement_test.cc Tests placement decisions against an exhaustive
+ * search. */
 #define BOOST_TEST_MODULE placement
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -130,34 +131,34 @@
   return HasSlot(endpoint, replica, request) && adapter;
 }
 
-const EndpointView& Named(const std::vector<EndpointView>& fleet,
-                          const core::EndpointId& id) {
+const EndpointView& FindEndpoint(const std::vector<EndpointView>& fleet,
+                                 const core::EndpointId& id) {
   return *std::ranges::find(fleet, id, &EndpointView::id);
 }
 
-const ReplicaView* Held(const EndpointView& endpoint,
-                        const core::ModelId& model) {
+const ReplicaView* FindReplica(const EndpointView& endpoint,
+                               const core::ModelId& model) {
   const auto it =
       std::ranges::find(endpoint.replicas, model, &ReplicaView::model);
   return it == endpoint.replicas.end() ? nullptr : &*it;
 }
 
-/** What must hold of a load, whatever else would have been possible. */
+/** Checks the conditions that every load has to meet. */
 void CheckLoad(const PlacementRequest& request,
                const std::vector<EndpointView>& fleet,
                const PlacementDecision& decision) {
-  const EndpointView& endpoint = Named(fleet, decision.endpoint);
+  const EndpointView& endpoint = FindEndpoint(fleet, decision.endpoint);
   BOOST_TEST(Usable(endpoint, request));
   int freed_places = 0;
   for (const core::ModelId& model : decision.evict) {
-    const ReplicaView* replica = Held(endpoint, model);
+    const ReplicaView* replica = FindReplica(endpoint, model);
     BOOST_TEST_REQUIRE(replica != nullptr);
     BOOST_TEST((replica->state == ReplicaState::kReady));
     BOOST_TEST(replica->running == 0);
     if (replica->service == request.service) ++freed_places;
   }
   const std::int64_t free = FreeAfter(endpoint, decision.evict);
-  if (Held(endpoint, request.model) != nullptr) {
+  if (FindReplica(endpoint, request.model) != nullptr) {
     BOOST_TEST(free >= request.adapter_bytes);
     return;
   }
@@ -182,8 +183,9 @@
   }
   BOOST_TEST((decision.action == PlacementAction::kRun) == can_run);
   if (can_run) {
-    const EndpointView& endpoint = Named(fleet, decision.endpoint);
-    BOOST_TEST(CanRun(endpoint, *Held(endpoint, request.model), request));
+    const EndpointView& endpoint = FindEndpoint(fleet, decision.endpoint);
+    BOOST_TEST(
+        CanRun(endpoint, *FindReplica(endpoint, request.model), request));
   }
   const bool loads = decision.action == PlacementAction::kLoad;
   if (loads || decision.load_for_retry) CheckLoad(request, fleet, decision);
@@ -196,7 +198,8 @@
   }
 }
 
-/** Tries every set of idle replicas at an endpoint. */
+/** @return True if some set of idle replicas at the endpoint makes enough room
+ * for the load. */
 bool SomeEvictionFits(const PlacementRequest& request,
                       const EndpointView& endpoint) {
   const std::size_t count = endpoint.replicas.size();
@@ -219,7 +222,7 @@
   return false;
 }
 
-/** @return True if a load somewhere would serve the request in its time. */
+/** @return True if a load at some endpoint would serve the request in time. */
 bool SomeLoadInTime(const PlacementRequest& request,
                     const std::vector<EndpointView>& fleet,
                     const LoadTimes& loads) {
@@ -230,7 +233,7 @@
   if (held >= request.max_replicas) return false;
   return std::ranges::any_of(fleet, [&](const EndpointView& endpoint) {
     if (!Usable(endpoint, request)) return false;
-    if (Held(endpoint, request.model) != nullptr) return false;
+    if (FindReplica(endpoint, request.model) != nullptr) return false;
     Millis ready = LoadTimeFrom(loads, TierAt(endpoint, request.model));
     Millis busy{0};
     for (const ReplicaView& replica : endpoint.replicas) {
@@ -241,7 +244,7 @@
   });
 }
 
-BOOST_AUTO_TEST_CASE(RefusesOnlyWhatNoLoadCouldServe) {
+BOOST_AUTO_TEST_CASE(RefusesOnlyRequestsThatNoLoadCouldServe) {
   int refused = 0;
   int loaded = 0;
   for (std::uint64_t seed = 1; seed <= 8000; ++seed) {
@@ -258,7 +261,8 @@
       BOOST_TEST(!SomeLoadInTime(request, fleet, loads));
     }
   }
-  // Both kinds of outcome have been met often enough to mean something.
+  // Checks that both outcomes occurred often enough for the test to be
+  // meaningful.
   BOOST_TEST(refused > 200);
   BOOST_TEST(loaded > 200);
 }
@@ -281,7 +285,7 @@
     const auto decision = DecidePlacement(request, fleet, LoadTimes{});
     if (decision.action != PlacementAction::kRun) continue;
     const auto worth = [&](const EndpointView& endpoint) {
-      const ReplicaView& replica = *Held(endpoint, request.model);
+      const ReplicaView& replica = *FindReplica(endpoint, request.model);
       int points = 0;
       if (request.adapter.empty() ||
           replica.adapters.contains(request.adapter)) {
@@ -292,17 +296,18 @@
       if (endpoint.zone == request.zone) points += 1;
       return points;
     };
-    const int chosen = worth(Named(fleet, decision.endpoint));
+    const int chosen = worth(FindEndpoint(fleet, decision.endpoint));
     for (const EndpointView& endpoint : fleet) {
-      const ReplicaView* replica = Held(endpoint, request.model);
+      const ReplicaView* replica = FindReplica(endpoint, request.model);
       if (replica == nullptr || !CanRun(endpoint, *replica, request)) continue;
       BOOST_TEST(worth(endpoint) <= chosen, "seed " << seed);
     }
   }
 }
 
-// A model takes 8 s to load and its callers wait 5 s. Each of them is refused;
-// if the refusal did not start the load, every retry would be refused as well.
+// A model takes 8 s to load and its callers wait 5 s, so each of them is
+// refused. If the refusal didn't start the load, every retry would be refused
+// too.
 BOOST_AUTO_TEST_CASE(RefusalStartsTheLoadForTheRetry) {
   EndpointView endpoint;
   endpoint.id = core::EndpointId("engine-0");
@@ -319,9 +324,9 @@
   BOOST_TEST((decision.retry_after == LoadTimes{}.remote));
 }
 
-// A suspect of a crash must run where nothing else does: an innocent request
-// beside it would be a suspect next.
-BOOST_AUTO_TEST_CASE(SuspectRunsAloneAndNothingJoinsIt) {
+// A request suspected of crashing engines has to run alone: a harmless request
+// on the same engine would become a suspect too.
+BOOST_AUTO_TEST_CASE(SuspectRunsWithoutOtherRequests) {
   EndpointView endpoint;
   endpoint.id = core::EndpointId("engine-0");
   endpoint.replicas.push_back(
@@ -339,7 +344,7 @@
   BOOST_TEST((other.action == PlacementAction::kRefuse));
 }
 
-BOOST_AUTO_TEST_CASE(HomesMoveOnlyWithTheirEntry) {
+BOOST_AUTO_TEST_CASE(RemovingAnEntryMovesOnlyItsKeys) {
   std::vector<core::VmId> entries;
   for (std::uint64_t i = 0; i < 20; ++i) {
     entries.emplace_back(Numbered("entry-", i));
@@ -347,14 +352,14 @@
   std::map<core::VmId, int> homes;
   for (std::uint64_t i = 0; i < 2000; ++i) {
     const auto key = Numbered("model-", i);
-    const auto ranked = RankHomes(key, entries);
+    const auto ranked = RankByRendezvousHash(key, entries);
     ++homes[ranked.front()];
     auto fewer = entries;
     std::erase(fewer, entries[i % entries.size()]);
     const auto expected = ranked.front() == entries[i % entries.size()]
                               ? ranked[1]
                               : ranked.front();
-    BOOST_TEST((RankHomes(key, fewer).front() == expected));
+    BOOST_TEST((RankByRendezvousHash(key, fewer).front() == expected));
   }
   for (const auto& [entry, count] : homes) {
     BOOST_TEST(count > 50);
--- a/src/policy/service_time_test.cc
+++ b/src/policy/service_time_test.cc
@@ -1,4 +1,5 @@
-/** @file service_time_test.cc The cautious time against the times that were. */
+/** @file service_time_test.cc Tests the admission estimate against random
+ * service times. */
 #define BOOST_TEST_MODULE service_time
 #include <boost/test/unit_test.hpp>
 #include <random>
@@ -10,7 +11,7 @@
 
 constexpr int kRequests = 2000;
 
-BOOST_AUTO_TEST_CASE(MostRequestsKeepToIt) {
+BOOST_AUTO_TEST_CASE(MostRequestsStayWithinTheEstimate) {
   for (std::uint64_t seed = 1; seed <= 100; ++seed) {
     std::mt19937_64 random(seed);
     std::normal_distribution<double> spread(
@@ -20,11 +21,11 @@
     for (int i = 0; i < kRequests; ++i) {
       const auto took = std::chrono::milliseconds(
           std::max<std::int64_t>(1, static_cast<std::int64_t>(spread(random))));
-      if (took <= CautiousServiceTime(times)) ++kept;
+      if (took <= ConservativeServiceTime(times)) ++kept;
       RecordServiceTime(times, took);
     }
     BOOST_TEST(kept > kRequests * 7 / 10, "seed " << seed);
-    BOOST_TEST(CautiousServiceTime(times).count() < 4000);
+    BOOST_TEST(ConservativeServiceTime(times).count() < 4000);
   }
 }
 
--- a/src/policy/store_lane.cc
+++ b/src/policy/store_lane.cc
@@ -1,4 +1,5 @@
-/** @file store_lane.cc Who may load from the weight store now. */
+/** @file store_lane.cc Decides which loads may read from the weight store
+ * now. */
 #include <algorithm>
 
 #include "policy/store_lane_func.h"
@@ -9,10 +10,11 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/** @return Loads that may start now without passing the rate. */
-int StartsLeft(const StoreLimits& limits, const StoreUse& use,
-               core::SteadyTime now) {
-  // Below one load a second, one load is allowed in a longer window.
+/** @return How many loads may start now within the rate limit. */
+int RemainingStarts(const StoreLimits& limits, const StoreUse& use,
+                    core::SteadyTime now) {
+  // Below one load a second, one load is allowed per window of more than a
+  // second.
   const double rate = limits.loads_per_second;
   if (rate <= 0) return 0;
   const int allowed = std::max(1, static_cast<int>(rate));
@@ -28,7 +30,7 @@
                                     const StoreLimits& limits,
                                     const StoreUse& use, core::SteadyTime now) {
   const int lanes = limits.loads_at_once - use.loading;
-  int left = std::min(lanes, StartsLeft(limits, use, now));
+  int left = std::min(lanes, RemainingStarts(limits, use, now));
   int prewarm_left = std::min(left, lanes - 1);
   std::vector<std::size_t> granted;
   for (const std::size_t index : OrderBids(bids)) {
@@ -41,7 +43,7 @@
   return granted;
 }
 
-std::chrono::milliseconds WaitForFixedShare(
+std::chrono::milliseconds FixedShareDelay(
     const StoreLimits& limits, std::size_t endpoints,
     std::optional<core::SteadyTime> last_start, core::SteadyTime now) {
   if (!last_start.has_value() || limits.loads_per_second <= 0) {
