--- a/src/orders/controller_metrics.cc
+++ b/src/orders/controller_metrics.cc
@@ -1,4 +1,4 @@
-/** @file controller_metrics.cc What the process beside an engine counts. */
+/** @file controller_metrics.cc Metrics of the controllers of engines. */
 #include <prometheus/text_serializer.h>
 
 #include <string>
@@ -14,7 +14,10 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/** An adapter takes 10 to 30 ms, a load from the weight store 9 to 20 s. */
+/**
+ * Bucket bounds in seconds: an adapter takes 10 to 30 ms, a load from the
+ * weight store 9 to 20 s.
+ */
 const prometheus::Histogram::BucketBoundaries kSeconds = {
     0.03, 0.1, 0.25, 0.5, 1, 2, 3, 4, 6, 8, 12, 20, 30};
 
--- a/src/orders/controller_metrics_base.h
+++ b/src/orders/controller_metrics_base.h
@@ -1,4 +1,4 @@
-/** @file controller_metrics_base.h What the process beside an engine counts. */
+/** @file controller_metrics_base.h Metrics of the controllers of engines. */
 #ifndef SAPPHIRE_ORDERS_CONTROLLER_METRICS_BASE_H_
 #define SAPPHIRE_ORDERS_CONTROLLER_METRICS_BASE_H_
 
@@ -14,7 +14,7 @@
 
 namespace sapphire::orders {
 
-/** Levels read when the metrics are asked for. */
+/** Gauge values, read when the metrics are collected. */
 struct ControllerLevels {
   std::int64_t config_version = 0;
   bool engine_up = false;
@@ -23,14 +23,17 @@
   int running = 0;
   int waiting = 0;
   std::int64_t kv_tokens_used = 0;
-  /** Models that somebody waits for. */
+  /** Load requests in progress. */
   int load_requests = 0;
   /** Orders that may still be carried out. */
   int open_orders = 0;
   core::LogSinkCounters log;
 };
 
-/** No label grows with models, callers or engines. Safe on several threads. */
+/**
+ * Counts load requests, orders and store calls. The number of label values does
+ * not grow with models, callers or engines. Thread-safe.
+ */
 class ControllerMetrics {
  public:
   ControllerMetrics();
@@ -38,11 +41,13 @@
   ControllerMetrics(const ControllerMetrics&) = delete;
   ControllerMetrics& operator=(const ControllerMetrics&) = delete;
 
-  /** A model or adapter that an entry asked for is there, or will not be.
-   * @param outcome "ok" or the error's name. */
+  /**
+   * Counts a load request that has ended.
+   * @param outcome "ok" or the error's name.
+   */
   void LoadRequestEnded(policy::Tier tier, std::string_view outcome,
                         std::chrono::milliseconds took);
-  /** @param answer As in the log's order_given. */
+  /** @param answer As in the log event order_given. */
   void OrderGiven(std::string_view kind, std::string_view answer);
   void EngineLost();
   void StoreCall(const external::StoreCall& call);
@@ -50,7 +55,7 @@
   /** @return Counters and histograms, in the Prometheus text format. */
   std::string CounterText();
 
-  /** @return Everything, in the Prometheus text format. */
+  /** @return All metrics, in the Prometheus text format. */
   std::string Text(const ControllerLevels& levels);
 
  private:
--- a/src/orders/controller_pool.cc
+++ b/src/orders/controller_pool.cc
@@ -1,4 +1,4 @@
-/** @file controller_pool.cc Orders engines that have no process beside them. */
+/** @file controller_pool.cc Controls engines that have no endpoint process. */
 #include <algorithm>
 #include <utility>
 #include <vector>
@@ -42,7 +42,7 @@
   ClaimVacant(engines);
 }
 
-/** @return Engines that take orders, by address. */
+/** @return Engines that accept orders, by address. */
 std::map<std::string, core::ServiceId> ControllerPool::ModelEngines() const {
   std::map<std::string, core::ServiceId> engines;
   const auto table = configuration_.current();
@@ -97,7 +97,7 @@
   if (released_.contains(engine)) return false;
   const fleet::EngineHolder* holder = holders_.Find(engine);
   if (holder != nullptr) {
-    // The process before this one on the VM held it.
+    // The previous process on this VM held the lease.
     return holder->address == options_.address;
   }
   const auto vacant = holders_.VacantSince(engine);
@@ -109,8 +109,10 @@
   return clock_.Now() - since >= wait && IsFirst(engine);
 }
 
-/** @return True if this entry is the first of all for the engine, by rendezvous
- * hashing. */
+/**
+ * @return True if this entry is the first of all entries for the engine by
+ *   rendezvous hashing.
+ */
 bool ControllerPool::IsFirst(const std::string& engine) const {
   const auto score = [&engine](const std::string& vm) {
     return core::HashOf(engine, core::HashOf(vm));
--- a/src/orders/controller_pool_base.h
+++ b/src/orders/controller_pool_base.h
@@ -1,5 +1,5 @@
-/** @file controller_pool_base.h Orders engines that have no process beside
- * them. */
+/** @file controller_pool_base.h Controls engines that have no endpoint process.
+ */
 #ifndef SAPPHIRE_ORDERS_CONTROLLER_POOL_BASE_H_
 #define SAPPHIRE_ORDERS_CONTROLLER_POOL_BASE_H_
 
@@ -26,27 +26,38 @@
   std::string vm;
   /** "ip:port" of this process's links. */
   std::string address;
-  /** An engine is taken when it has had no holder for this long: the process
-   * beside it comes first. */
+  /**
+   * An engine is claimed when it has had no holder for this long: its endpoint
+   * process takes precedence.
+   */
   std::chrono::milliseconds claim_after{4000};
-  /** The same if an entry held it last: there is no process beside it. */
+  /** The same if an entry held it last, as it has no endpoint process then. */
   std::chrono::milliseconds claim_after_entry{500};
-  /** The lease of an engine that has not been registered for this long is given
-   * back: one that has crashed is back sooner. */
+  /**
+   * The lease of an engine that has not been registered for this long is given
+   * back; a crashed engine registers again sooner.
+   */
   std::chrono::milliseconds gone_after{10'000};
-  /** Reports from another VM are some hundred milliseconds old, and each is a
-   * request to the engine. */
+  /**
+   * Interval between two polls while an order is carried out. Reports from
+   * another VM are some hundred milliseconds old, and each is a request to the
+   * engine.
+   */
   std::chrono::milliseconds busy_look_interval{150};
-  /** An order whose answer was lost may be carried out for almost as long. */
+  /**
+   * How long a release waits for open orders: an order whose response was lost
+   * may be carried out for almost as long.
+   */
   std::chrono::milliseconds release_limit{20'000};
 };
 
 /**
- * One controller for each engine whose lease this entry holds. Of the entries,
- * one takes the lease of an engine without holder: the first by rendezvous
- * hashing. It gives the lease back when the process beside the engine asks.
+ * Holds a controller for each engine whose lease this entry holds. Of all
+ * entries, only the first by rendezvous hashing claims the lease of an engine
+ * without holder. It gives the lease back when the engine's endpoint process
+ * asks for it.
  *
- * One thread.
+ * Used on one thread.
  */
 class ControllerPool {
  public:
@@ -59,22 +70,26 @@
                  ControllerMetrics& metrics, const core::Executor& executor,
                  const core::Clock& clock, const core::Logger& log);
 
-  /** Takes and drops engines. Call it now and then. */
+  /** Claims and drops engines. Must be called periodically. */
   void Maintain();
 
-  /** @throws core::Error kNotHolder if the engine is not ordered from here. */
+  /**
+   * @throws core::Error kNotHolder if this entry does not control the engine.
+   */
   std::shared_ptr<EngineController> Find(const fleet::InstanceId& instance);
 
   /** Gives the engine's lease back once no order is open. */
   core::Task<> Release(std::string engine);
 
-  /** Takes no further engines and lets the leases run out. Orders go on until
-   * the process ends; the next one on this VM takes them over at once, another
-   * VM's entry once they have ended. */
+  /**
+   * Claims no further engines and lets the leases expire. Orders continue until
+   * the process ends; the next process on this VM takes the leases over at
+   * once, another VM's entry once they have expired.
+   */
   void Leave();
 
  private:
-  /** An engine that is ordered from here. */
+  /** An engine that this entry controls. */
   struct Member {
     Member(std::unique_ptr<EnginePort> engine_port, ControllerOptions options,
            const EngineLeases& leases,
@@ -112,13 +127,16 @@
   const core::Clock& clock_;
   const core::Logger& log_;
   std::map<std::string, std::shared_ptr<Member>> members_;
-  /** When each engine was first seen, and last. */
+  /** When an engine was first and last seen in the registry. */
   struct Seen {
     core::SteadyTime first;
     core::SteadyTime last;
   };
   std::map<std::string, Seen> seen_;
-  /** When leases were given back: their keys' end is seen a moment later. */
+  /**
+   * When leases were given back: the deletion of their keys is observed a
+   * moment later.
+   */
   std::map<std::string, core::SteadyTime> released_;
   bool leaving_ = false;
 };
--- a/src/orders/endpoint.cc
+++ b/src/orders/endpoint.cc
@@ -1,4 +1,5 @@
-/** @file endpoint.cc All parts of the process beside an engine. */
+/** @file endpoint.cc The endpoint process, which controls the engine on its VM.
+ */
 #include <chrono>
 #include <memory>
 #include <string>
@@ -13,7 +14,7 @@
 
 namespace {
 
-/** How long a holder is waited for before it is asked again. */
+/** How long to wait for a holder's response before it is asked again. */
 constexpr std::chrono::milliseconds kReleaseLimit{1500};
 
 link::LinkOptions LinkOptionsOf(const EndpointOptions& options) {
@@ -25,8 +26,10 @@
   return links;
 }
 
-/** @return The engine's address as it registers it: it is on this VM, whatever
- * way leads there from here. */
+/**
+ * @return The address under which the engine registers: that of this VM, even
+ *   if this process reaches the engine by another one.
+ */
 std::string RegisteredAddress(const std::string& engine,
                               const std::string& link_listen) {
   return link_listen.substr(0, link_listen.rfind(':')) +
@@ -115,7 +118,10 @@
   return parts;
 }
 
-/** Asks an entry that took the engine while this process was away. */
+/**
+ * Asks an entry that took the engine over while this process was down to
+ * release it.
+ */
 core::Task<> Endpoint::AskRelease(gen::EngineHolder holder,
                                   std::string engine) {
   gen::ReleaseEngine ask;
--- a/src/orders/endpoint_base.h
+++ b/src/orders/endpoint_base.h
@@ -1,4 +1,5 @@
-/** @file endpoint_base.h All parts of the process beside an engine. */
+/** @file endpoint_base.h The endpoint process, which controls the engine on its
+ * VM. */
 #ifndef SAPPHIRE_ORDERS_ENDPOINT_BASE_H_
 #define SAPPHIRE_ORDERS_ENDPOINT_BASE_H_
 
@@ -26,13 +27,13 @@
   core::ZoneId zone;
   std::string link_listen;
   std::string configuration_key;
-  /** For whoever collects metrics. */
+  /** Address for metrics (HTTP), "ip:port". */
   std::string metrics_listen;
   ControllerOptions controller;
   LeaseOptions leases;
 };
 
-/** One thread. */
+/** All parts of the endpoint process. Used on one thread. */
 class Endpoint {
  public:
   /** @pre All references outlive it. */
--- a/src/orders/engine_controller.cc
+++ b/src/orders/engine_controller.cc
@@ -1,4 +1,4 @@
-/** @file engine_controller.cc Gives one engine its orders. */
+/** @file engine_controller.cc Gives orders to one engine. */
 #include <algorithm>
 #include <utility>
 
@@ -18,18 +18,24 @@
 
 namespace {
 
-/** Pause before an order of unknown outcome is given again. */
+/** Pause before an order of unknown outcome is sent again. */
 constexpr milliseconds kRepeatPause{150};
-/** A load that the engine has accepted and neither shows nor refuses. Loads
- * from the weight store take a minute when several engines load there. */
+/**
+ * An order fails if its effect is not reported within this time. Loads from the
+ * weight store take a minute when several engines load from there.
+ */
 constexpr milliseconds kLoadLimit{120'000};
-/** The engine's report shows an accepted order within this: it is as of some
- * hundred milliseconds ago at most. */
+/**
+ * The engine's report counts an accepted order within this time: a report is
+ * some hundred milliseconds old at most.
+ */
 constexpr milliseconds kCountShown{1000};
-/** Between two looks whether orders are open. */
+/** Interval between two checks for open orders. */
 constexpr milliseconds kQuietPause{100};
-/** A load request that would wait for longer than this for other orders is
- * refused: a load from a disk takes up to 2 s. */
+/**
+ * A load request that would wait longer than this for other orders is refused:
+ * a load from disk takes up to 2 s.
+ */
 constexpr milliseconds kLongestQueue{2500};
 
 std::string_view NameOf(OrderKind kind) {
@@ -91,7 +97,7 @@
 
 core::Task<> EngineController::Look() {
   EngineReport report = co_await engine_.Report();
-  // Two answers may overtake each other.
+  // Responses of concurrent polls may arrive out of order.
   const bool overtaken = report.born && report.born == report_.born &&
                          report.order_count < report_.order_count;
   if (overtaken) co_return;
@@ -189,8 +195,9 @@
 }
 
 /**
- * Refuses a load request that would wait long behind other orders, so that its
- * entry asks another engine. A request for a model that is loading joins it.
+ * Refuses a load request that would wait long behind other orders, so that the
+ * requesting entry tries another engine. A request for a model that is being
+ * loaded joins that load.
  */
 void EngineController::CheckQueue(const LoadRequest& load_request) const {
   const bool is_coming =
@@ -208,7 +215,7 @@
 
 /**
  * Waits until the engine carries out no order. After a restart of this process
- * the engine may still load a model that its report does not list yet.
+ * the engine may still be loading a model that its report does not list yet.
  */
 core::Task<> EngineController::AwaitIdle(core::SteadyTime deadline) {
   co_await Look();
@@ -217,7 +224,7 @@
     if (now >= deadline) {
       throw Error(ErrorCode::kTimedOut, "the engine is busy with an order");
     }
-    // Taken for a load from a disk at first; it is none.
+    // The order was assumed to be a load from disk, but takes longer than one.
     const milliseconds left = ForeignOrderLeft(foreign_order_, Spec(), now);
     if (left > kLongestQueue) {
       throw Error(ErrorCode::kNoCapacity,
@@ -264,7 +271,7 @@
   wanted_[{load_request.model, load_request.adapter}] = clock_.Now();
 }
 
-/** Gives an order until the engine shows its effect. */
+/** Sends an order until the engine reports its effect. */
 core::Task<> EngineController::CarryOut(EngineOrder order,
                                         core::SteadyTime deadline) {
   const core::SteadyTime began = clock_.Now();
@@ -276,7 +283,8 @@
       throw Error(ErrorCode::kEngineReplaced, "the engine has restarted");
     }
     if (IsDone(order)) break;
-    // A crash and restart between two looks forgets the order and its count.
+    // An engine that crashes and restarts between two polls loses the order and
+    // its order count.
     const bool forgotten = accepted &&
                            report_.order_count <= order.expected_count &&
                            clock_.Now() - accepted_at > kCountShown;
@@ -286,7 +294,7 @@
     if (clock_.Now() - began > kLoadLimit) {
       throw Error(ErrorCode::kLoadFailed, "the order has shown no effect");
     }
-    // An accepted order goes on also when nobody waits any more.
+    // An accepted order is followed even after all callers have given up.
     if (!accepted && clock_.Now() >= deadline) {
       throw Error(ErrorCode::kTimedOut, "the order was not accepted in time");
     }
@@ -294,9 +302,10 @@
       throw Error(ErrorCode::kLoadFailed, "the engine gave the order up");
     }
     // An engine refuses any order, also for an adapter, while it carries one
-    // out: asking meanwhile had half of all orders refused.
+    // out: when orders were sent meanwhile, half of all were refused.
     if (!accepted && !report_.order_in_progress) {
-      // Judged on the report that the order goes by, not on an older one.
+      // Checks the memory by the report whose order count is sent, not by an
+      // older one.
       if (!Fits(order)) {
         throw Error(ErrorCode::kOverMemory, "the room is taken meanwhile");
       }
@@ -316,7 +325,10 @@
                               clock_.Now() - began)}});
 }
 
-/** @return True if the engine has accepted the order. */
+/**
+ * Sends an order once.
+ * @return True if the engine has accepted it.
+ */
 core::Task<bool> EngineController::GiveOnce(EngineOrder order) {
   order.fence = leases_.Fence(options_.engine_address, IsUntouched());
   const std::int64_t number = next_order_++;
@@ -341,7 +353,8 @@
                       answer ? NameOf(*answer) : "no_answer");
   const bool unknown = failure && failure->code() == ErrorCode::kOutcomeUnknown;
   if (!unknown && (!answer || *answer != OrderAnswer::kAccepted)) {
-    // Its place in the list has moved if orders before it, or it, are over.
+    // The list may have changed while the order was sent, and the order itself
+    // may have been removed as finished.
     std::erase_if(open_orders_, [number](const OpenOrder& it) {
       return it.number == number;
     });
@@ -357,8 +370,10 @@
   co_return *answer == OrderAnswer::kAccepted;
 }
 
-/** Waits until no order of a holder before, on another VM, can be so recent
- * that two VMs would seem to order by turns. */
+/**
+ * Waits until no order of an earlier holder on another VM can be so recent that
+ * orders of two VMs would seem to alternate.
+ */
 core::Task<> EngineController::AwaitTurn(core::SteadyTime deadline) {
   const milliseconds left =
       leases_.TurnLeft(options_.engine_address, IsUntouched());
@@ -371,8 +386,10 @@
   co_await Look();
 }
 
-/** @return True if the engine has accepted no order of another process since
- * this one last could give it orders. */
+/**
+ * @return True if the engine has accepted no order of another process since
+ *   this one was last allowed to give it orders.
+ */
 bool EngineController::IsUntouched() const {
   if (!options_.reports_are_current || !report_time_) return false;
   if (report_.order_count == 0) return true;
@@ -389,8 +406,8 @@
 }
 
 /**
- * Accounts for an order of an earlier process: the engine takes no other until
- * it ends, and entries must not wait for it here.
+ * Tracks an order of an earlier process: the engine accepts no other until it
+ * ends, and entries must not wait for it here.
  */
 void EngineController::NoteForeignOrder() {
   if (!report_.order_in_progress || !open_orders_.empty()) {
--- a/src/orders/engine_controller_base.h
+++ b/src/orders/engine_controller_base.h
@@ -1,4 +1,4 @@
-/** @file engine_controller_base.h Gives one engine its orders. */
+/** @file engine_controller_base.h Gives orders to one engine. */
 #ifndef SAPPHIRE_ORDERS_ENGINE_CONTROLLER_BASE_H_
 #define SAPPHIRE_ORDERS_ENGINE_CONTROLLER_BASE_H_
 
@@ -24,40 +24,43 @@
 namespace sapphire::orders {
 
 struct ControllerOptions {
-  /** Names the engine's lease. */
+  /** Address of the engine, which also names its lease. */
   std::string engine_address;
   core::ServiceId service;
-  /** Between two looks at an engine that has nothing to do for us. */
+  /** Interval between two polls of an engine that has no order in progress. */
   std::chrono::milliseconds look_interval{2000};
-  /** Between two looks while an order is carried out: an unload takes 10 ms, a
-   * load from memory a second. */
+  /**
+   * Interval between two polls while an order is carried out: an unload takes
+   * 10 ms, a load from memory a second.
+   */
   std::chrono::milliseconds busy_look_interval{30};
-  /** The engine's reports tell of now: they come from the same VM. */
+  /** The engine's reports are up to date, as they come from the same VM. */
   bool reports_are_current = true;
 };
 
-/** A model that somebody waits for. */
+/** An entry's request to load a model, and possibly an adapter. */
 struct LoadRequest {
   core::ModelId model;
-  /** Empty: the model itself. */
+  /** Empty if only the model is requested. */
   core::AdapterId adapter;
-  /** The start of the engine that is meant. */
+  /** The engine instance that the request is for. */
   fleet::InstanceId instance;
-  /** What the asking entry would drop for it. */
+  /** Models that the requesting entry would unload for it. */
   std::vector<core::ModelId> evict;
-  /** What it knows of the use of all that the engine holds. */
+  /** Usage of all that the engine holds, as far as the entry knows it. */
   fleet::UsageTable use;
   core::SteadyTime deadline;
 };
 
 /**
- * Gives an engine orders while this process holds the engine's lease. One
- * thread.
+ * Gives an engine orders while this process holds the engine's lease. Used on
+ * one thread.
  *
- * An order whose answer is lost may be carried out seconds later. Two guards:
- * each order names how many the engine has accepted, so a late copy is void as
- * soon as another order was accepted; and until that shows, what the lost order
- * would load counts as taken memory, so nothing is ordered over the limit.
+ * An order whose response is lost may be carried out seconds later. Two
+ * safeguards: each order states how many orders the engine has accepted, so
+ * that a late copy is void once another order was accepted; and until the
+ * engine's report shows that, what the lost order would load counts as taken
+ * memory, so that no order exceeds the memory limit.
  */
 class EngineController {
  public:
@@ -68,30 +71,35 @@
                    ControllerMetrics& metrics, const core::Clock& clock,
                    const core::Logger& log);
 
-  /** Looks at the engine for as long as the process runs. */
+  /** Polls the engine for as long as the process runs. */
   core::Task<> Run();
 
   /**
-   * Has a model (and adapter) loaded; returns once it can serve.
+   * Loads a model (and adapter); returns once it can serve requests.
    * @throws core::Error with the reason.
    */
   core::Task<> Ensure(LoadRequest load_request);
 
-  /** @return Levels for the metrics. */
+  /** @return Current values for the metrics. */
   [[nodiscard]] ControllerLevels Levels() const;
 
-  /** Waits until no load request is in progress and no order is open, but not
-   * for longer than the limit. */
+  /**
+   * Waits until no load request is in progress and no order is open, for
+   * `limit` at most.
+   */
   core::Task<> AwaitQuiet(std::chrono::milliseconds limit);
 
  private:
-  /** An order that was given and is not yet seen to be over. */
+  /** An order that was sent and is not known to be finished. */
   struct OpenOrder {
     std::int64_t number = 0;
     EngineOrder order;
     core::SteadyTime given;
   };
-  /** The engine as it was last seen while orders could be given from here. */
+  /**
+   * State of the engine when it was last polled while this process was allowed
+   * to give it orders.
+   */
   struct OwnCount {
     std::optional<fleet::EngineBirth> born;
     std::int64_t order_count = 0;
@@ -133,9 +141,9 @@
   ControllerMetrics& metrics_;
   const core::Clock& clock_;
   const core::Logger& log_;
-  /** As the latest load request told it. */
+  /** Usage from the latest load request. */
   fleet::UsageTable use_;
-  /** When something was last loaded for somebody. */
+  /** When each model or adapter was last loaded for a load request. */
   std::map<fleet::UsedPart, core::SteadyTime> wanted_;
   OrderLane model_lane_;
   OrderLane adapter_lane_;
@@ -144,12 +152,14 @@
   std::vector<OpenOrder> open_orders_;
   std::int64_t next_order_ = 1;
   std::vector<OpenLoadRequest> load_requests_;
-  /** Since when the engine carries out an order of somebody else: of the
-   * process that was here before. */
+  /**
+   * Since when the engine has been carrying out an order of another process,
+   * such as the previous one here.
+   */
   std::optional<core::SteadyTime> foreign_order_;
-  /** The start of the engine that entries mean, or that it tells itself. */
+  /** The engine instance that entries request, or that the engine reports. */
   fleet::InstanceId instance_;
-  /** The last look at the engine was answered. */
+  /** The last poll of the engine succeeded. */
   bool engine_up_ = true;
   /** Load requests in progress. */
   int in_progress_ = 0;
--- a/src/orders/engine_controller_state.cc
+++ b/src/orders/engine_controller_state.cc
@@ -1,5 +1,5 @@
-/** @file engine_controller_state.cc What an order controller believes of its
- * engine. */
+/** @file engine_controller_state.cc Tracks the state of an engine and its open
+ * orders. */
 #include <algorithm>
 #include <utility>
 
@@ -17,10 +17,12 @@
 
 namespace {
 
-/** An order whose answer was lost is carried out within this, if at all.
- * Origin: operators have seen 12 s. */
+/**
+ * An order whose response was lost is carried out within this time, if at all.
+ * Operators have seen 12 s.
+ */
 constexpr milliseconds kLatestOrder{15'000};
-/** A report older than this tells entries nothing. */
+/** The engine counts as down if its last report is older than this. */
 constexpr milliseconds kFreshReport{1500};
 
 }  // namespace
@@ -31,9 +33,9 @@
 }
 
 /**
- * A lost order may still be carried out after a restart under the same name,
- * once the new start has accepted as many orders: its memory stays reserved
- * till then.
+ * An order whose response was lost may still be carried out after a restart of
+ * the engine under the same id, once the new instance has accepted as many
+ * orders. Its memory stays reserved until then.
  */
 bool EngineController::IsOver(const OpenOrder& open) const {
   if (!IsOtherStart(open.order.instance)) return IsOver(open.order);
@@ -48,7 +50,8 @@
       fleet::EngineOf(order.instance) != fleet::EngineOf(instance_);
   if (other_engine) return true;
   if (IsDone(order)) return true;
-  // Another order was accepted since: this one was it, or is void.
+  // The engine has accepted an order since: either this one, or another one
+  // that makes it void.
   if (report_.order_count <= order.expected_count) return false;
   const bool coming =
       std::ranges::any_of(report_.coming, [&order](const ComingAdapter& it) {
@@ -76,7 +79,7 @@
                                : AdapterFits(state, order.model);
 }
 
-/** @param but Not counted among the open loads. */
+/** @param but Order that is not counted among the open loads. */
 MemoryState EngineController::State(const EngineOrder& but) const {
   MemoryState state;
   state.spec = Spec();
@@ -108,8 +111,8 @@
 }
 
 /**
- * Refuses load requests that mean another start of the engine: they were
- * decided by memory and an order count that are gone.
+ * Refuses load requests for another instance of the engine: they were decided
+ * by memory contents and an order count that no longer exist.
  */
 core::Task<> EngineController::CheckInstance(fleet::InstanceId meant) {
   if (IsOtherStart(meant)) {
@@ -121,7 +124,7 @@
   NoteInstance(meant);
 }
 
-/** @return True if the engine tells that it is another start than this. */
+/** @return True if the engine reports that it is another instance than this. */
 bool EngineController::IsOtherStart(const fleet::InstanceId& instance) const {
   const auto born = fleet::BirthOf(instance);
   return born && report_.born && *born != *report_.born;
--- a/src/orders/engine_leases.cc
+++ b/src/orders/engine_leases.cc
@@ -1,5 +1,5 @@
-/** @file engine_leases.cc Keeps this process the only one that orders an
- * engine. */
+/** @file engine_leases.cc Leases that let only one process at a time give
+ * orders to an engine. */
 #include <algorithm>
 #include <utility>
 
@@ -18,8 +18,10 @@
 
 namespace {
 
-/** The last order of the holder before may have been sent just before its lease
- * ended, and have been on its way for some time. */
+/**
+ * The last order of the previous holder may have been sent just before its
+ * lease ended and may have arrived this much later.
+ */
 constexpr milliseconds kTurnMargin{500};
 
 std::string KeyOf(const std::string& engine) {
@@ -67,8 +69,7 @@
   co_return all_held;
 }
 
-/** Renews the lease of the store; a new one takes the place of one that has
- * ended. */
+/** Renews the lease of the store, or grants a new one if it has ended. */
 core::Task<> EngineLeases::KeepStoreLease() {
   const core::SteadyTime began = clock_.Now();
   if (!lease_.empty()) {
@@ -94,7 +95,10 @@
   lease_.clear();
 }
 
-/** A key that can't be claimed does not keep the others from being claimed. */
+/**
+ * Claims an engine's key. A failure is logged and does not stop the claims of
+ * other keys.
+ */
 core::Task<bool> EngineLeases::TryClaim(std::string engine) {
   std::string failure;
   try {
@@ -107,7 +111,7 @@
   co_return false;
 }
 
-/** @return True if the engine's key is this process's now. */
+/** @return True if this process now holds the engine's key. */
 core::Task<bool> EngineLeases::Claim(std::string engine) {
   external::CasResult result = co_await WriteKey(engine, 0);
   if (result.swapped) {
@@ -117,7 +121,8 @@
   const gen::EngineHolder holder =
       fleet::DecodeEngineHolder(result.current->value);
   if (holder.address == options_.self.address) {
-    // Of an earlier process here, or a write whose answer was lost.
+    // Written by an earlier process at this address, or by a write whose
+    // response was lost.
     result = co_await WriteKey(engine, result.current->revision);
     if (!result.swapped) co_return false;
     co_return co_await Keep(engine, result.revision, true);
@@ -143,8 +148,11 @@
                                fleet::Encode(options_.self), lease_);
 }
 
-/** Keeps a key that was written, or takes it back if nobody wants it any more.
- * @return True if it is kept. */
+/**
+ * Records a key that was written as held, or deletes it if its lease is no
+ * longer requested.
+ * @return True if it is held.
+ */
 core::Task<bool> EngineLeases::Keep(std::string engine, std::int64_t revision,
                                     bool same_vm) {
   if (engines_.contains(engine)) {
@@ -155,7 +163,9 @@
   co_return false;
 }
 
-/** @param same_vm The process before was on this VM, and has ended. */
+/**
+ * @param same_vm The previous holder was a process on this VM, which has ended.
+ */
 void EngineLeases::NoteHeld(const std::string& engine, std::int64_t revision,
                             bool same_vm) {
   const core::SteadyTime now = clock_.Now();
--- a/src/orders/engine_leases_base.h
+++ b/src/orders/engine_leases_base.h
@@ -1,5 +1,5 @@
-/** @file engine_leases_base.h Keeps this process the only one that orders an
- * engine. */
+/** @file engine_leases_base.h Leases that let only one process at a time give
+ * orders to an engine. */
 #ifndef SAPPHIRE_ORDERS_ENGINE_LEASES_BASE_H_
 #define SAPPHIRE_ORDERS_ENGINE_LEASES_BASE_H_
 
@@ -20,32 +20,39 @@
 namespace sapphire::orders {
 
 struct LeaseOptions {
-  /** This process, as others are told. */
+  /** How this process identifies itself to others. */
   gen::EngineHolder self;
-  /** Longer than outages of the store usually last: without its lease the
-   * process gives no orders. */
+  /**
+   * Longer than outages of the store usually last: without its lease the
+   * process gives no orders.
+   */
   std::chrono::milliseconds time_to_live{15'000};
   std::chrono::milliseconds renew_pause{3000};
   std::chrono::milliseconds retry_pause{1000};
-  /** No order is sent this long before the lease ends: it may be on its way for
-   * as long. */
+  /**
+   * No order is sent this long before the lease ends, as an order may take as
+   * long to arrive.
+   */
   std::chrono::milliseconds margin{1500};
-  /** Orders of two VMs to one engine have to be this far apart. */
+  /** Minimum time between orders of two VMs to one engine. */
   std::chrono::milliseconds turn_gap{3000};
 };
 
 /**
- * The leases of the engines that this process orders: one key an engine, all
- * under one lease of the store. Others may take an engine once its key is gone;
- * this process counts its time from before each renewal was sent, so it stops
- * first. A key's revision is the fencing token of all orders under it.
+ * The leases of the engines that this process controls: one key per engine, all
+ * under one lease of the store. Another process may claim an engine once its
+ * key no longer exists. This process counts the lease time from before each
+ * renewal was sent, so it stops giving orders before the key is deleted. A
+ * key's revision is the fencing token of all orders under it.
  *
- * One thread.
+ * Used on one thread.
  */
 class EngineLeases {
  public:
-  /** Asks the holder on another VM to give the engine up; returns when it has,
-   * or can't be asked. */
+  /**
+   * Asks the holder on another VM to release the engine; completes when the
+   * engine is released or the holder cannot be reached.
+   */
   using AskRelease = std::function<core::Task<>(const gen::EngineHolder& holder,
                                                 const std::string& engine)>;
 
@@ -54,35 +61,38 @@
                external::KeyValueStore& store, const core::Clock& clock,
                const core::Logger& log);
 
-  /** Takes and renews the leases that are wanted, for as long as the process
-   * runs. */
+  /** Claims and renews the requested leases for as long as the process runs. */
   core::Task<> Run();
 
-  /** One round of Run. @return True if all that is wanted is held. */
+  /**
+   * Runs one round of Run.
+   * @return True if all requested leases are held.
+   */
   core::Task<bool> KeepOnce();
 
-  /** Lets what is held run out. */
+  /** Stops all renewals, so that the held leases expire. */
   void StopRenewing() { renewing_ = false; }
 
-  /** Has the engine's lease taken and kept. */
+  /** Requests the engine's lease, which Run then claims and renews. */
   void Want(const std::string& engine);
 
   /** Gives the lease back. @pre No order under it is open. */
   core::Task<> Release(std::string engine);
 
-  /** Stops asking for a lease that another process has. */
+  /** Stops requesting a lease that another process holds. */
   void Forget(const std::string& engine);
 
-  /** @return The engines whose leases are wanted here. */
+  /** @return The engines whose leases are requested. */
   [[nodiscard]] std::vector<std::string> Wanted() const;
 
-  /** @return True if the lease is held now, whatever its turn. */
+  /** @return True if the lease is held now, even if TurnLeft is not yet 0. */
   [[nodiscard]] bool Holds(const std::string& engine) const;
 
   /**
    * @param untouched The engine is known to have accepted no order of another
-   *   process, so there is none to keep apart from.
-   * @return How long to wait before an order may be sent; 0: now.
+   *   process, so no time between orders has to be kept.
+   * @return How long to wait before an order may be sent; 0: it may be sent
+   *   now.
    * @throws core::Error kNotHolder if the lease is not held.
    */
   [[nodiscard]] std::chrono::milliseconds TurnLeft(const std::string& engine,
@@ -97,14 +107,14 @@
 
  private:
   struct Held {
-    /** Of the lease's key; 0: not held. */
+    /** Revision of the engine's key; 0: not held. */
     std::int64_t revision = 0;
-    /** Lease of the store that the key was written under. */
+    /** Lease of the store under which the key was written. */
     std::string lease;
-    /** End of a lease of the store that can't be renewed any more. */
+    /** When the store lease ends, if it can no longer be renewed. */
     core::SteadyTime ended_lease_until;
     core::SteadyTime turn;
-    /** Another VM was seen to hold it. */
+    /** Another VM has been seen to hold the lease. */
     bool was_others = false;
   };
 
@@ -129,7 +139,7 @@
   std::map<std::string, Held> engines_;
   /** Lease of the store; empty: none. */
   std::string lease_;
-  /** How long it lasts after each renewal. */
+  /** Duration of the store lease after each renewal. */
   std::chrono::milliseconds granted_{0};
   core::SteadyTime valid_until_;
   core::Signal wanted_changed_;
--- a/src/orders/engine_port_base.h
+++ b/src/orders/engine_port_base.h
@@ -1,4 +1,5 @@
-/** @file engine_port_base.h An engine, as orders see it. */
+/** @file engine_port_base.h Interface for reading an engine's reports and
+ * sending it orders. */
 #ifndef SAPPHIRE_ORDERS_ENGINE_PORT_BASE_H_
 #define SAPPHIRE_ORDERS_ENGINE_PORT_BASE_H_
 
@@ -16,15 +17,15 @@
 
 namespace sapphire::orders {
 
-/** An adapter on its way to the engine. */
+/** An adapter that the engine is loading. */
 struct ComingAdapter {
   core::ModelId model;
   core::AdapterId adapter;
 };
 
-/** What the engine says of itself now. */
+/** State of an engine, as it reports itself. */
 struct EngineReport {
-  /** When it started; nothing if it does not tell. */
+  /** When the engine started; empty if it does not report that. */
   std::optional<fleet::EngineBirth> born;
   bool order_in_progress = false;
   /** Orders accepted since the engine's start. */
@@ -43,12 +44,14 @@
 struct EngineOrder {
   OrderKind kind = OrderKind::kLoad;
   core::ModelId model;
-  /** Empty: the model itself. */
+  /** Empty if the order is for the model itself. */
   core::AdapterId adapter;
-  /** Carried out only while the engine has accepted just this many orders: a
-   * late copy of an order finds another number and is void. */
+  /**
+   * The engine carries the order out only while it has accepted exactly this
+   * many orders: a late copy of an order finds another count and is void.
+   */
   std::int64_t expected_count = 0;
-  /** Carried out only by this start of the engine. */
+  /** Only this instance of the engine carries the order out. */
   fleet::InstanceId instance;
   std::int64_t fence = 0;
 };
@@ -56,9 +59,9 @@
 enum class OrderAnswer {
   kAccepted,
   kAlreadyDone,
-  /** Another order is in progress, or the count has moved. */
+  /** Another order is in progress, or the order count has changed. */
   kBusy,
-  /** The engine has restarted since. */
+  /** The engine has restarted since the order was composed. */
   kOtherInstance,
 };
 
@@ -70,14 +73,15 @@
   virtual core::Task<EngineReport> Report() = 0;
 
   /**
-   * @throws core::Error kEngineRefusedOrder (never carried out),
-   *   kEngineUnavailable (never sent), kOutcomeUnknown (it may be carried out,
-   *   seconds later too).
+   * Sends an order to the engine.
+   * @throws core::Error kEngineRefusedOrder (it is never carried out),
+   *   kEngineUnavailable (it was never sent), kOutcomeUnknown (it may be
+   *   carried out, possibly seconds later).
    */
   virtual core::Task<OrderAnswer> Give(EngineOrder order) = 0;
 };
 
-/** Makes the port to the engine at an address, "ip:port". */
+/** Creates the port to the engine at an address, "ip:port". */
 using MakeEnginePort =
     std::function<std::unique_ptr<EnginePort>(const std::string& address)>;
 
--- a/src/orders/memory_plan.cc
+++ b/src/orders/memory_plan.cc
@@ -1,4 +1,5 @@
-/** @file memory_plan.cc What an engine drops so that an order fits. */
+/** @file memory_plan.cc Chooses what an engine unloads so that an order fits
+ * into its memory. */
 #include <algorithm>
 
 #include "orders/memory_plan_func.h"
@@ -8,7 +9,9 @@
 
 namespace {
 
-/** An adapter that was loaded for somebody this lately is about to be used. */
+/**
+ * An adapter that was loaded for a caller within this time is about to be used.
+ */
 constexpr std::chrono::milliseconds kJustUsed{700};
 
 fleet::Usage UseOf(const MemoryState& state, const fleet::UsedPart& part) {
@@ -97,7 +100,8 @@
     if (UsedWithin(usage, state.now, policy::kKeptAfterUse)) continue;
     const bool requested =
         std::ranges::find(preferred, it.model) != preferred.end();
-    // A load request goes before any demand.
+    // Models named in the load request are unloaded before those with the
+    // lowest demand.
     const double demand = requested ? -1.0 : usage.demand;
     if (best != nullptr && demand >= best_demand) continue;
     best = &it;
--- a/src/orders/memory_plan_func.h
+++ b/src/orders/memory_plan_func.h
@@ -1,4 +1,5 @@
-/** @file memory_plan_func.h What an engine drops so that an order fits. */
+/** @file memory_plan_func.h Chooses what an engine unloads so that an order
+ * fits into its memory. */
 #ifndef SAPPHIRE_ORDERS_MEMORY_PLAN_FUNC_H_
 #define SAPPHIRE_ORDERS_MEMORY_PLAN_FUNC_H_
 
@@ -13,22 +14,29 @@
 
 namespace sapphire::orders {
 
-/** What a decision about an engine's memory rests on. */
+/** Input of the decisions about an engine's memory. */
 struct MemoryState {
   const routing::EngineSpec* spec = nullptr;
   const EngineReport* report = nullptr;
-  /** As far as the asking entry knows; what is missing is not used. */
+  /**
+   * Usage as far as the requesting entry knows it; missing parts are unused.
+   */
   fleet::UsageTable use;
-  /** Loads that the report does not show yet: on their way, in progress, or of
-   * unknown outcome. Each may still take its memory. */
+  /**
+   * Loads that the report does not show yet: not yet received, in progress, or
+   * of unknown outcome. Each may still take up its memory.
+   */
   std::vector<EngineOrder> open_loads;
   core::SteadyTime now;
 };
 
-/** @return Bytes held, coming, or possibly still to come. */
+/** @return Bytes held, being loaded, or possibly still to be loaded. */
 std::int64_t BytesTaken(const MemoryState& state);
 
-/** @return Bytes of a model; of an undeclared one, the largest declared. */
+/**
+ * @return Bytes of a model; for an undeclared one, those of the largest
+ *   declared.
+ */
 std::int64_t BytesOf(const routing::EngineSpec& spec,
                      const core::ModelId& model);
 
@@ -36,20 +44,25 @@
 bool ModelFits(const MemoryState& state, const core::ModelId& model);
 
 /**
- * @param preferred Models that an entry, which sees the whole fleet, would
- * drop.
- * @param keep Never dropped.
- * @return The next model to unload: not in use, and not loaded a moment ago for
- *   somebody; nothing if there is none.
+ * @param preferred Models that the requesting entry, which sees the whole
+ *   fleet, would unload.
+ * @param keep Never unloaded.
+ * @return The next model to unload: not in use, and not loaded for a caller a
+ *   moment ago; empty if there is none.
  */
 std::optional<core::ModelId> ChooseUnload(
     const MemoryState& state, const std::vector<core::ModelId>& preferred,
     const core::ModelId& keep);
 
-/** @return True if another adapter has a place and memory. */
+/**
+ * @return True if the engine has a slot and memory for another adapter of the
+ *   model.
+ */
 bool AdapterFits(const MemoryState& state, const core::ModelId& model);
 
-/** @return The adapter to unload: unused, and longest so; nothing if none is.
+/**
+ * @return The least recently used adapter that is not in use; empty if there is
+ *   none.
  */
 std::optional<ComingAdapter> ChooseAdapterUnload(const MemoryState& state);
 
--- a/src/orders/order_lane.cc
+++ b/src/orders/order_lane.cc
@@ -1,11 +1,11 @@
-/** @file order_lane.cc One at a time, in the order of coming. */
+/** @file order_lane.cc First-in, first-out mutex for coroutines. */
 #include "orders/order_lane_base.h"
 
 namespace sapphire::orders {
 
 namespace {
 
-/** Only a bound for one wait; the signal wakes earlier. */
+/** Upper bound for one wait; the signal wakes the coroutine earlier. */
 constexpr std::chrono::seconds kLongWait{60};
 
 }  // namespace
--- a/src/orders/order_lane_base.h
+++ b/src/orders/order_lane_base.h
@@ -1,4 +1,4 @@
-/** @file order_lane_base.h One at a time, in the order of coming. */
+/** @file order_lane_base.h First-in, first-out mutex for coroutines. */
 #ifndef SAPPHIRE_ORDERS_ORDER_LANE_BASE_H_
 #define SAPPHIRE_ORDERS_ORDER_LANE_BASE_H_
 
@@ -9,10 +9,13 @@
 
 namespace sapphire::orders {
 
-/** A queue of coroutines. One thread. */
+/**
+ * A mutex that coroutines acquire in the order of their requests. Used on one
+ * thread.
+ */
 class OrderLane {
  public:
-  /** Holds the lane until it is destroyed. */
+  /** Holds the mutex until it is destroyed. */
   class Turn {
    public:
     explicit Turn(OrderLane& lane) : lane_(lane) {}
@@ -24,10 +27,13 @@
     OrderLane& lane_;
   };
 
-  /** Waits until everybody before has gone; then make a Turn at once. */
+  /**
+   * Waits until all earlier requests have released the mutex; the caller then
+   * constructs a Turn at once.
+   */
   core::Task<> Await();
 
-  /** @return How many wait or hold it. */
+  /** @return Number of coroutines that wait for the mutex or hold it. */
   [[nodiscard]] int length() const {
     return static_cast<int>(next_ticket_ - serving_);
   }
--- a/src/orders/order_service.cc
+++ b/src/orders/order_service.cc
@@ -1,5 +1,5 @@
-/** @file order_service.cc Answers calls for the engines that this process
- * orders. */
+/** @file order_service.cc Handles link calls for the engines that this process
+ * controls. */
 #include <chrono>
 #include <utility>
 
--- a/src/orders/order_service_base.h
+++ b/src/orders/order_service_base.h
@@ -1,5 +1,5 @@
-/** @file order_service_base.h Answers calls for the engines that this process
- * orders. */
+/** @file order_service_base.h Handles link calls for the engines that this
+ * process controls. */
 #ifndef SAPPHIRE_ORDERS_ORDER_SERVICE_BASE_H_
 #define SAPPHIRE_ORDERS_ORDER_SERVICE_BASE_H_
 
@@ -14,26 +14,31 @@
 
 namespace sapphire::orders {
 
-/** @return The load request as told at `now`. */
+/** @return The load request in a message that was received at `now`. */
 LoadRequest ReadLoadRequest(const gen::EnsureModel& told, core::SteadyTime now);
 
-/** What the service answers from. */
+/** Callbacks of the service. */
 struct OrderServiceParts {
-  /** @throws core::Error kNotHolder */
+  /**
+   * Returns the controller of an engine.
+   * @throws core::Error kNotHolder if this process does not control the engine.
+   */
   std::function<std::shared_ptr<EngineController>(const fleet::InstanceId&)>
       find;
   /** Gives an engine's lease back. */
   std::function<core::Task<>(std::string engine)> release;
 };
 
-/** One thread. */
+/** Handles the calls EnsureModel and ReleaseEngine. Used on one thread. */
 class OrderService {
  public:
-  /** @pre What the parts call, and `clock`, outlive the service and its calls.
+  /**
+   * @pre The objects that the callbacks use, and `clock`, outlive the service
+   *   and its calls.
    */
   OrderService(OrderServiceParts parts, const core::Clock& clock);
 
-  /** The handler of a link: takes EnsureModel and ReleaseEngine. */
+  /** Handles a call on a link: EnsureModel or ReleaseEngine. */
   core::Task<> Answer(std::shared_ptr<link::Call> call, gen::Message first);
 
  private:
--- a/src/orders/order_time.cc
+++ b/src/orders/order_time.cc
@@ -1,4 +1,4 @@
-/** @file order_time.cc How long orders take. */
+/** @file order_time.cc Estimates how long engine orders take. */
 #include <algorithm>
 
 #include "orders/order_time_func.h"
@@ -10,23 +10,35 @@
 
 namespace {
 
-/** An overdue load is expected to take this part of its time so far more. */
+/**
+ * An overdue load is expected to take another 1/kOverdueShare of the time that
+ * it has taken so far.
+ */
 constexpr int kOverdueShare = 3;
-/** A load from disk that takes this much longer than usual is none. */
+/**
+ * A load that exceeds the longest configured load time from disk by more than
+ * this is assumed to be from the weight store.
+ */
 constexpr milliseconds kDiskSlack{500};
-/** Told of an order that should be over any moment. */
+/** Shortest remaining time reported for an order that may end any moment. */
 constexpr milliseconds kSoonOver{200};
-/** @return How long something goes on that began then and usually ends then. */
+/**
+ * @return How much longer an operation is expected to take that began at
+ *   `began` and usually ends at `usual_end`.
+ */
 milliseconds ExpectedLeft(core::SteadyTime began, core::SteadyTime usual_end,
                           core::SteadyTime now) {
   const auto usual = std::chrono::duration_cast<milliseconds>(usual_end - now);
   if (usual.count() > 0) return usual;
-  // What takes longer than usual is likely to take longer still: a load from
-  // the weight store in company takes twice its time.
+  // An overdue load is likely to take longer still: a load from the weight
+  // store takes twice its time while others run.
   return std::chrono::duration_cast<milliseconds>(now - began) / kOverdueShare;
 }
 
-/** The longest loads of a service, from a disk and from the weight store. */
+/**
+ * Longest load times of a service's models, from disk and from the weight
+ * store.
+ */
 struct LongestLoads {
   milliseconds disk{0};
   milliseconds remote{0};
@@ -59,7 +71,7 @@
                               core::SteadyTime now) {
   if (!since) return milliseconds(0);
   const LongestLoads longest = LongestOf(spec);
-  // Most loads come from a disk, and this one began before we saw it.
+  // Most loads are from disk, and this one began before it was first seen.
   const core::SteadyTime from_disk = *since + longest.disk;
   if (now < from_disk + kDiskSlack) {
     const auto left = std::chrono::duration_cast<milliseconds>(from_disk - now);
--- a/src/orders/order_time_func.h
+++ b/src/orders/order_time_func.h
@@ -1,4 +1,4 @@
-/** @file order_time_func.h How long orders take. */
+/** @file order_time_func.h Estimates how long engine orders take. */
 #ifndef SAPPHIRE_ORDERS_ORDER_TIME_FUNC_H_
 #define SAPPHIRE_ORDERS_ORDER_TIME_FUNC_H_
 
@@ -13,7 +13,10 @@
 
 namespace sapphire::orders {
 
-/** A model that somebody waits for. */
+/**
+ * A load request in progress, with the times at which its load is expected to
+ * begin and to be ready.
+ */
 struct OpenLoadRequest {
   core::ModelId model;
   core::SteadyTime began;
@@ -21,19 +24,21 @@
 };
 
 /**
- * @return How long an order that the controller did not give may still hold up
- * its own: first taken for a load from disk, which most are, then for one from
- *   the weight store.
+ * @return How much longer an order of another process may delay the orders of
+ *   this controller. The order counts as a load from disk at first, as most
+ *   are, and later as one from the weight store.
  */
 std::chrono::milliseconds ForeignOrderLeft(
     std::optional<core::SteadyTime> since, const routing::EngineSpec* spec,
     core::SteadyTime now);
 
-/** @return Until the last of these is expected to be met. */
+/**
+ * @return Time until the last of these requests is expected to be fulfilled.
+ */
 std::chrono::milliseconds TimeOfLoadRequests(
     std::span<const OpenLoadRequest> load_requests, core::SteadyTime now);
 
-/** @return The nearest copy of a model that is not held. */
+/** @return The nearest tier from which the engine can load the model. */
 policy::Tier TierOf(const EngineReport& engine, const core::ModelId& model);
 
 /** @return How long a load of the model usually takes; 0 if it is not
--- a/src/orders/testing_engine.h
+++ b/src/orders/testing_engine.h
@@ -1,4 +1,5 @@
-/** @file testing_engine.h An engine in memory that keeps the order protocol. */
+/** @file testing_engine.h In-memory engine for tests that implements the order
+ * protocol. */
 #ifndef SAPPHIRE_ORDERS_TESTING_ENGINE_H_
 #define SAPPHIRE_ORDERS_TESTING_ENGINE_H_
 
@@ -16,7 +17,9 @@
 
 namespace sapphire::orders {
 
-/** One thread. Loads take real time; what is lost or late is switched. */
+/**
+ * Loads take real time; tests switch on losses and delays. Used on one thread.
+ */
 class TestingEngine final : public EnginePort {
  public:
   TestingEngine(std::int64_t memory_bytes, std::int64_t model_bytes)
@@ -47,7 +50,7 @@
   std::chrono::milliseconds answer_delay{0};
   fleet::InstanceId instance{"i-1"};
   int orders_given = 0;
-  /** It was ordered over its memory, which crashes a real one. */
+  /** An order exceeded its memory, which crashes a real engine. */
   bool over_memory = false;
 
   void Hold(const std::string& model) {
@@ -56,18 +59,22 @@
     report_.models.push_back(held);
   }
 
-  /** Crashes and is back at once, empty; reports do not tell its start. */
+  /**
+   * Crashes and restarts at once, empty; reports do not contain its start time.
+   */
   void Restart() {
     report_ = EngineReport();
     loading_.reset();
     late_.clear();
   }
 
-  /** Tells from now on that it started then. */
+  /** Reports this start time from now on. */
   void TellBirth(fleet::EngineBirth born) { report_.born = born; }
 
-  /** Crashes and is back at once under its name, empty and counting anew. What
-   * is late on its way still arrives. */
+  /**
+   * Crashes and restarts at once under the same id, empty and with an order
+   * count of 0. Delayed orders still arrive.
+   */
   void RestartAt(fleet::EngineBirth born) {
     report_ = EngineReport();
     report_.born = born;
@@ -111,7 +118,7 @@
     return OrderAnswer::kAccepted;
   }
 
-  /** An adapter loads beside requests: its engine does not count as busy. */
+  /** Adapters load while requests run: the engine does not count as busy. */
   OrderAnswer TakeAdapter(const EngineOrder& order) {
     if (HeldOf(order.model) == nullptr) return OrderAnswer::kBusy;
     ++report_.order_count;
