--- a/src/orders/controller_pool_test.cc
+++ b/src/orders/controller_pool_test.cc
@@ -1,4 +1,4 @@
-/** @file controller_pool_test.cc Tests of entries that order engines. */
+/** @file controller_pool_test.cc Tests of entries that control engines. */
 #define BOOST_TEST_MODULE controller_pool
 #include <boost/asio/io_context.hpp>
 #include <boost/test/unit_test.hpp>
@@ -42,7 +42,7 @@
   return configuration;
 }
 
-/** The engine of the test behind a port of its own. */
+/** A port to the engine that the entries of the test share. */
 class SharedPort final : public EnginePort {
  public:
   explicit SharedPort(TestingEngine& engine) : engine_(engine) {}
@@ -67,7 +67,7 @@
   return options;
 }
 
-/** One entry's part in ordering engines. */
+/** The parts of one entry that control engines. */
 struct TestEntry {
   TestEntry(const std::string& vm, const std::string& address,
             external::KeyValueStore& store, TestingEngine& engine,
@@ -104,7 +104,7 @@
   ControllerPool pool;
 };
 
-/** Entries, an engine and the store; time passes only when the test lets it. */
+/** Entries, an engine and the store, on a manual clock. */
 struct Rig {
   Rig()
       : log({"entry", core::VmId("vm"), core::ZoneId("z")},
@@ -129,19 +129,21 @@
     for (const auto& it : entries) it->peer_table.SetEntries(presences);
   }
 
-  /** The entry's presence ends. */
+  /** Removes the entry's presence from the peer tables. */
   void Withdraw(const TestEntry& entry) {
     const bool is_first = &entry == entries.front().get();
     presences.erase(is_first ? "entries/front-1" : "entries/front-2");
     for (const auto& it : entries) it->peer_table.SetEntries(presences);
   }
 
-  /** Second by second all entries follow the store, keep their leases and look
-   * after their engines. */
+  /**
+   * Once a second, all entries read the store, renew their leases and maintain
+   * their engines.
+   */
   void Pass(seconds time) {
     for (seconds gone{0}; gone < time; gone += seconds(1)) {
       clock.Advance(seconds(1));
-      // Leases end with calls to the store.
+      // The store deletes expired leases only when it is called.
       RunTask(io, store.List(""));
       for (const auto& it : entries) {
         RunTask(io, it->leases.KeepOnce());
@@ -162,7 +164,7 @@
     return holders;
   }
 
-  /** @return The entries that the engine is ordered from. */
+  /** @return The entries that hold the engine's lease. */
   std::vector<TestEntry*> Holding() {
     std::vector<TestEntry*> holding;
     for (const auto& it : entries) {
@@ -208,8 +210,10 @@
 
 }  // namespace
 
-/** Guards against models that are refused for good at an engine which has no
- * process beside it. */
+/**
+ * Guards against models that are permanently refused at an engine without
+ * endpoint process.
+ */
 BOOST_AUTO_TEST_CASE(OneEntryOrdersAnEngineWithoutAProcessBesideIt) {
   Rig rig;
   rig.Pass(seconds(10));
@@ -222,7 +226,7 @@
   }
 }
 
-/** Guards against entries that take engines from the processes beside them. */
+/** Guards against entries that claim engines of running endpoint processes. */
 BOOST_AUTO_TEST_CASE(AnEngineWithAProcessBesideItIsLeftAlone) {
   Rig rig;
   EngineLeases endpoint(LeaseOf("side-1", "10.0.0.9:81"), LeaveToHolder,
@@ -231,13 +235,15 @@
   RunTask(rig.io, endpoint.KeepOnce());
   rig.Pass(seconds(12));
   BOOST_TEST(rig.Holding().empty());
-  // The process is gone; its lease ends.
+  // The endpoint process has ended; its lease expires.
   rig.Pass(seconds(15));
   BOOST_TEST(rig.Holding().size() == 1);
 }
 
-/** Guards against an entry that takes an engine back which it has just given to
- * the process beside it, as its view of the store is old. */
+/**
+ * Guards against an entry that claims an engine again which it has just
+ * released to the endpoint process, because its view of the store is stale.
+ */
 BOOST_AUTO_TEST_CASE(AReleasedEngineIsNotTakenAgainAtOnce) {
   Rig rig;
   rig.Pass(seconds(10));
@@ -251,8 +257,10 @@
   BOOST_TEST(rig.Ensure(holder) == "not_holder");
 }
 
-/** Guards against loads that are cut short: an order in progress ends before
- * the engine changes hands. */
+/**
+ * Guards against interrupted loads: an order in progress ends before the engine
+ * gets another holder.
+ */
 BOOST_AUTO_TEST_CASE(AnEngineIsReleasedAfterItsOrder) {
   Rig rig;
   rig.Pass(seconds(10));
@@ -277,8 +285,10 @@
   BOOST_TEST(rig.engine.Holds("a"));
 }
 
-/** Guards against engines that nobody orders for as long as the lease of an
- * entry lasts that was killed and started again. */
+/**
+ * Guards against engines that nobody can give orders until the lease of a
+ * killed and restarted entry expires.
+ */
 BOOST_AUTO_TEST_CASE(ARestartedEntryTakesItsEnginesBackAtOnce) {
   Rig rig;
   rig.Pass(seconds(10));
@@ -293,8 +303,10 @@
   BOOST_TEST(rig.Ensure(*rig.Holding().front()) == "");
 }
 
-/** Guards against loads that are refused at each planned restart of an entry:
- * it orders to its end, and the next process on its VM goes on at once. */
+/**
+ * Guards against loads that are refused at each planned restart of an entry: it
+ * gives orders until it ends, and the next process on its VM continues at once.
+ */
 BOOST_AUTO_TEST_CASE(ALeavingEntryOrdersToItsEnd) {
   Rig rig;
   rig.Pass(seconds(10));
@@ -308,7 +320,7 @@
   BOOST_TEST(rig.Holding().front() != &holder);
 }
 
-/** Guards against an engine that is given up while it restarts. */
+/** Guards against an engine whose lease is given back while it restarts. */
 BOOST_AUTO_TEST_CASE(AnEngineThatCrashesIsKept) {
   Rig rig;
   rig.Pass(seconds(10));
--- a/src/orders/engine_controller_test.cc
+++ b/src/orders/engine_controller_test.cc
@@ -1,7 +1,7 @@
-/** @file engine_controller_test.cc Tests of the orders to one engine.
+/** @file engine_controller_test.cc Tests of the controller of one engine.
  *
- * The engine has room for three models, as the engines of the operators'
- * sheets.
+ * The engine has memory for three models, like the engines in the operators'
+ * data sheets.
  */
 #define BOOST_TEST_MODULE engine_controller
 #include <boost/asio/io_context.hpp>
@@ -62,14 +62,15 @@
   return options;
 }
 
-/** A controller beside a testing engine. */
+/** A controller and its testing engine. */
 struct Rig {
   explicit Rig(const LeaseOptions& lease = Lease())
       : log({"endpoint", core::VmId("vm-1"), core::ZoneId("z")},
             core::LogLevel::kError, clock),
         leases(lease, NeverAsked, store, clock, log) {
     configuration.Adopt(MakeConfiguration());
-    // A process before on this VM, so that there is no turn to wait for.
+    // An earlier process on this VM holds the lease first, so that TurnLeft is
+    // 0.
     EngineLeases before(Lease(), NeverAsked, store, clock, log);
     for (EngineLeases* it : {&before, &leases}) {
       it->Want(kEngine);
@@ -92,14 +93,16 @@
     co_return;
   }
 
-  /** A new process in the place of the one before. */
+  /** Replaces the controller, as a restart of the process would. */
   void Restart() {
     controller = std::make_unique<EngineController>(
         Options(), engine, leases, configuration, metrics, clock, log);
   }
 
-  /** The process is killed while its engine loads a model, and started again.
-   * @return What is left of the killed one. */
+  /**
+   * Kills the process while its engine loads a model, and restarts it.
+   * @return The controller of the killed process.
+   */
   std::unique_ptr<EngineController> RestartDuringLoad(
       const std::string& model) {
     LoadRequest load_request;
@@ -147,7 +150,7 @@
     co_return error;
   }
 
-  /** Lets real time pass. */
+  /** Waits in real time. */
   void Pass(milliseconds time) { RunTask(io, Sleep(time)); }
 
   static core::Task<bool> Sleep(milliseconds time) {
@@ -180,7 +183,8 @@
   Rig rig;
   for (const char* it : {"a", "b", "c", "d"}) {
     BOOST_TEST(rig.Ensure(it, kEnough) == "");
-    // What was just loaded stays a moment for those who waited for it.
+    // A model that was just loaded is kept a moment for the callers that waited
+    // for it.
     rig.Pass(milliseconds(600));
   }
   BOOST_TEST(rig.engine.Holds("d"));
@@ -188,10 +192,10 @@
 }
 
 /**
- * An engine crashes and everything on it is lost.
- * The endpoint process is killed while its engine loads a model and started
- * again. The engine's report does not list a model that is still loading, so
- * its room looks free, and the new process orders a fourth model onto it.
+ * Guards against an engine crash in which all its models are lost. The endpoint
+ * process is killed while its engine loads a model, and restarted. The engine's
+ * report does not list a model that is still being loaded, so its memory looks
+ * free, and the new process orders a fourth model.
  */
 BOOST_AUTO_TEST_CASE(ARestartedProcessCountsTheLoadInProgress) {
   Rig rig;
@@ -204,9 +208,9 @@
 }
 
 /**
- * An engine crashes and everything on it is lost.
- * The answer to an order is lost, the order is carried out later, and in the
- * meantime the room that it takes is given to another model.
+ * Guards against an engine crash in which all its models are lost. The response
+ * to an order is lost, the order is carried out late, and meanwhile its memory
+ * is given to another model.
  */
 BOOST_AUTO_TEST_CASE(ALostOrderThatIsCarriedOutLateNeverOverfillsTheEngine) {
   Rig rig;
@@ -229,11 +233,11 @@
 }
 
 /**
- * An endpoint process ends with spoiled memory, and its engine wakes no model
- * until it is started again.
- * While the answer to an order is on its way, a look at the engine finds that
- * order over, as the engine has restarted; then the answer, a refusal, takes
- * the order off the list of open ones a second time.
+ * Guards against a crash of the endpoint process from corrupted memory, after
+ * which its engine loads no model until the process is restarted. While the
+ * response to an order is pending, a poll finds the order finished, as the
+ * engine has restarted; the response, a refusal, then removes the order from
+ * the list of open ones a second time.
  */
 BOOST_AUTO_TEST_CASE(ARefusalOfAnOrderThatIsOverAlreadyIsHarmless) {
   Rig rig;
@@ -247,15 +251,16 @@
   entry::testing::Outcome<std::string> refused;
   entry::testing::StartTask(rig.io, rig.Ended(load_request), refused);
   rig.Pass(milliseconds(50));
-  // The same model: another one is not queued behind a load of 9 s.
+  // Requests the same model: another one would not be queued behind a load of 9
+  // s.
   BOOST_TEST(rig.Ensure("a", kEnough) == "");
   BOOST_TEST(*refused.value == "engine_replaced");
 }
 
 /**
- * Callers of all models on an engine's disk are refused for 30 s.
- * The engine crashes in the middle of a load and is back at once; the process
- * beside it waits for the load that nobody carries out any more.
+ * Guards against 30 s of refusals for callers of all models on an engine's
+ * disk. The engine crashes during a load and restarts at once; the endpoint
+ * process waits for the load, which no longer exists.
  */
 BOOST_AUTO_TEST_CASE(AnOrderThatACrashForgotIsGivenUpSoon) {
   Rig rig;
@@ -270,7 +275,10 @@
   BOOST_TEST((rig.clock.Now() - began < milliseconds(2000)));
 }
 
-/** Entries may still know the engine's last start: nothing is ordered then. */
+/**
+ * Entries may still know an earlier instance of the engine; no order is given
+ * then.
+ */
 BOOST_AUTO_TEST_CASE(AnOrderForAnEarlierStartIsRefused) {
   Rig rig;
   rig.engine.instance = fleet::InstanceId("i-2");
@@ -280,9 +288,9 @@
 }
 
 /**
- * The same where the engine keeps its name: only the time of its start tells
- * that what the entry means is gone. It takes orders under that name, so the
- * process beside it has to refuse.
+ * The same for an engine that keeps its id: only its start time shows that the
+ * requested instance no longer exists. The engine accepts orders under that id,
+ * so the endpoint process has to refuse.
  */
 BOOST_AUTO_TEST_CASE(AnOrderForAnEarlierStartOfTheNameIsRefused) {
   Rig rig;
@@ -294,10 +302,10 @@
 }
 
 /**
- * An engine crashes and everything on it is lost.
- * The answer to an order is lost; the engine starts again under its name,
- * counts its orders anew and takes the late copy, as its number fits; the room
- * was given to other models meanwhile.
+ * Guards against an engine crash in which all its models are lost. The response
+ * to an order is lost; the engine restarts under the same id, counts its orders
+ * from 0 and accepts the late copy, as its count matches; meanwhile the memory
+ * was given to other models.
  */
 BOOST_AUTO_TEST_CASE(ALateOrderForAnEarlierStartNeverOverfillsTheNewOne) {
   Rig rig;
@@ -316,9 +324,9 @@
 }
 
 /**
- * Callers of a model wait for a load that nobody carries out.
- * The engine starts again under its name in the middle of it; its order count,
- * which starts anew, has passed the old one already by an order of another.
+ * Guards against callers that wait for a load that no longer exists. The engine
+ * restarts under the same id during the load; its new order count has already
+ * passed the old one because of another order.
  */
 BOOST_AUTO_TEST_CASE(ARestartUnderItsNameEndsALoad) {
   Rig rig;
@@ -336,9 +344,9 @@
 }
 
 /**
- * Callers of an adapter wait for a load that nobody carries out.
- * The engine starts again under its name while the adapter loads: the adapter,
- * and the model that it belongs to, are gone with the start before.
+ * Guards against callers that wait for the load of an adapter that no longer
+ * exists. The engine restarts under the same id while the adapter is loaded;
+ * the adapter and its model were lost with the earlier instance.
  */
 BOOST_AUTO_TEST_CASE(ARestartUnderItsNameEndsTheLoadOfAnAdapter) {
   Rig rig;
@@ -359,11 +367,11 @@
 }
 
 /**
- * After everything was stopped, callers of a model wait until their patience is
- * over, beside idle engines.
- * An engine still loads what the process before had ordered, and takes no order
- * meanwhile. It may be a load from disk, worth the wait; once it has taken
- * longer than that, those who wait are told to go elsewhere.
+ * Guards against callers that wait until they time out, next to idle engines,
+ * after everything was stopped. An engine still carries out a load that the
+ * previous process ordered, and accepts no order meanwhile. It may be a load
+ * from disk, which is worth waiting for; once it has taken longer, waiting
+ * requests are refused so that they go elsewhere.
  */
 BOOST_AUTO_TEST_CASE(AnOrderOfTheProcessBeforeCountsAsWork) {
   Rig rig;
@@ -380,10 +388,10 @@
 }
 
 /**
- * Callers wait until their patience is over, beside idle engines.
- * Their entry has not heard yet that another one has a model loaded here from
- * the weight store. Told at once that the engine is busy for 9 s, it asks
- * another; callers of the model on its way wait with the first.
+ * Guards against callers that wait until they time out, next to idle engines.
+ * Their entry does not know yet that another one has a model loaded here from
+ * the weight store. It is told at once that the engine is busy for 9 s, and
+ * asks another; callers of the model being loaded wait with the first one.
  */
 BOOST_AUTO_TEST_CASE(ALoadRequestBehindALongLoadIsRefusedAtOnce) {
   Rig rig;
@@ -405,9 +413,9 @@
 }
 
 /**
- * Callers of a model wait for it to be loaded again in the middle of its use.
- * The process beside the engine goes by what the load request tells of use:
- * what is in progress, or was asked for a moment ago, stays.
+ * Guards against callers that wait for a model to be reloaded in the middle of
+ * its use. The endpoint process relies on the usage in the load request: a
+ * model with requests in progress, or requested a moment ago, is kept.
  */
 BOOST_AUTO_TEST_CASE(WhatALoadRequestTellsToBeInUseStays) {
   Rig rig;
@@ -432,9 +440,9 @@
 }
 
 /**
- * Callers are refused for seconds and on-call engineers see no reason.
- * The engine is given an order whose answer is lost; the metrics of the process
- * beside it must tell that, and how long the load request took in the end.
+ * Guards against refusals for seconds whose reason on-call engineers cannot
+ * see. The response to an order is lost; the metrics of the endpoint process
+ * must show that, and how long the load request took in the end.
  */
 BOOST_AUTO_TEST_CASE(MetricsTellOfLostAnswersAndOfLoadRequests) {
   Rig rig;
@@ -453,8 +461,10 @@
   BOOST_TEST(has("sapphire_controller_level{name=\"config_version\"} 1"));
 }
 
-/** Guards against loads that are refused after each freeze of the process
- * beside an engine: its lease ended, but nobody else has given an order. */
+/**
+ * Guards against loads that are refused after each freeze of the endpoint
+ * process: its lease ended, but no other process has given an order.
+ */
 BOOST_AUTO_TEST_CASE(AnEngineThatNobodyElseOrderedIsOrderedAtOnceAgain) {
   LeaseOptions lease = Rig::Lease();
   lease.time_to_live = lease.margin + milliseconds(300);
@@ -469,8 +479,10 @@
   BOOST_TEST(rig.Ensure("b", kEnough, "i-1@10000") == "");
 }
 
-/** Guards against orders of two processes by turns: while this one's lease was
- * another's, the engine has accepted an order that is not from here. */
+/**
+ * Guards against alternating orders of two processes: while another process
+ * held the lease, the engine accepted an order that this process did not give.
+ */
 BOOST_AUTO_TEST_CASE(AnEngineThatAnotherProcessOrderedIsNotOrderedAtOnce) {
   LeaseOptions lease = Rig::Lease();
   lease.time_to_live = lease.margin + milliseconds(300);
--- a/src/orders/engine_leases_test.cc
+++ b/src/orders/engine_leases_test.cc
@@ -22,8 +22,7 @@
 const std::string kEngine("10.0.0.1:80");
 constexpr milliseconds kTurnGap{3000};
 
-/** The process beside the engine, an entry, and their store. Time passes only
- * when the test lets it. */
+/** The endpoint process, an entry and their store, on a manual clock. */
 struct Rig {
   Rig()
       : log({"entry", core::VmId("vm"), core::ZoneId("z")},
@@ -59,7 +58,7 @@
     co_return;
   }
 
-  /** @return True if all that is wanted is held; false also on a failure. */
+  /** @return True if all requested leases are held; false also on a failure. */
   bool Keep(EngineLeases& leases) {
     try {
       return RunTask(io, leases.KeepOnce());
@@ -68,7 +67,10 @@
     }
   }
 
-  /** Lets time pass; each of them renews once a second, as far as it can. */
+  /**
+   * Advances the clock; each of `alive` renews its leases once a second, if it
+   * can.
+   */
   void Pass(seconds time, std::initializer_list<EngineLeases*> alive) {
     for (seconds gone{0}; gone < time; gone += seconds(1)) {
       clock.Advance(seconds(1));
@@ -77,7 +79,7 @@
     }
   }
 
-  /** Two holders never may order at the same time. */
+  /** Two holders must never be allowed to give orders at the same time. */
   void Check(std::initializer_list<EngineLeases*> all) const {
     int may_order = 0;
     for (const EngineLeases* it : all) may_order += MayOrder(*it) ? 1 : 0;
@@ -100,13 +102,16 @@
   core::ManualClock clock;
   core::Logger log;
   entry::testing::MemoryKeyValue store{clock};
-  /** Who was last asked to give the engine up. */
+  /** The VM of the holder that was last asked to release the engine. */
   std::string asked;
 };
 
 }  // namespace
 
-/** Guards against an engine that nobody can order once its process is gone. */
+/**
+ * Guards against an engine that nobody can give orders after its endpoint
+ * process has ended.
+ */
 BOOST_AUTO_TEST_CASE(AnEntryOrdersAnEngineWhoseProcessIsGone) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
@@ -119,7 +124,9 @@
   BOOST_TEST(rig.MayOrder(*entry));
 }
 
-/** Guards against orders of a process that was frozen while its lease ended. */
+/**
+ * Guards against orders of a process that was paused while its lease expired.
+ */
 BOOST_AUTO_TEST_CASE(AProcessThatWakesAfterItsLeaseEndedOrdersNothing) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
@@ -134,8 +141,10 @@
   BOOST_TEST(*rig.FenceOf(*entry) > *before);
 }
 
-/** Guards against orders by turns: the last one of the process before and the
- * first one of the next are apart. */
+/**
+ * Guards against alternating orders of two processes: the last order of one
+ * holder and the first order of the next are kTurnGap apart.
+ */
 BOOST_AUTO_TEST_CASE(TheNextHolderWaitsForItsTurn) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
@@ -151,8 +160,10 @@
   BOOST_TEST((rig.clock.Now() - last >= kTurnGap));
 }
 
-/** Guards against an engine that stays with an entry after its own process is
- * back. */
+/**
+ * Guards against an engine that stays with an entry after its endpoint process
+ * has restarted.
+ */
 BOOST_AUTO_TEST_CASE(AReleasedEngineGoesBackToTheProcessBesideIt) {
   Rig rig;
   const auto entry = rig.StartEntry();
@@ -171,8 +182,10 @@
   BOOST_TEST(rig.MayOrder(*endpoint));
 }
 
-/** Guards against refused loads after each restart of the process beside an
- * engine: nobody else can have ordered, as its lease still stands. */
+/**
+ * Guards against refused loads after each restart of an endpoint process: no
+ * other process can have given orders, as the lease is still valid.
+ */
 BOOST_AUTO_TEST_CASE(ARestartedProcessTakesItsLeaseBackAtOnce) {
   Rig rig;
   auto endpoint = rig.StartEndpoint();
@@ -184,8 +197,10 @@
   BOOST_TEST(*rig.FenceOf(*endpoint) > *before);
 }
 
-/** Guards against refused loads at each start: nobody has ordered an engine
- * that has accepted no order yet. */
+/**
+ * Guards against refused loads at each start: no other process has given orders
+ * to an engine that has not accepted any yet.
+ */
 BOOST_AUTO_TEST_CASE(AnUntouchedEngineIsOrderedAtOnce) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
@@ -194,7 +209,7 @@
   BOOST_TEST((endpoint->TurnLeft(kEngine, true) == milliseconds(0)));
 }
 
-/** Guards against refused loads while the store is away. */
+/** Guards against refused loads during an outage of the store. */
 BOOST_AUTO_TEST_CASE(AnOutageOfTheStoreLeavesTheHolderInPlace) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
@@ -207,8 +222,10 @@
   BOOST_TEST(rig.MayOrder(*endpoint));
 }
 
-/** Guards against orders of two processes after a long outage in which leases
- * went on to run out. */
+/**
+ * Guards against orders of two processes after a long outage, during which
+ * leases continue to expire.
+ */
 BOOST_AUTO_TEST_CASE(ALongOutageEndsTheRightToOrder) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
@@ -223,7 +240,10 @@
   BOOST_TEST(!rig.MayOrder(*endpoint));
 }
 
-/** Guards against refused loads after a lapse that the holder has bridged. */
+/**
+ * Guards against refused loads after a lapse of the store's leases, if the
+ * holder claims its key again before its own lease time ends.
+ */
 BOOST_AUTO_TEST_CASE(ALapseThatTheHolderBridgesCostsNoTurn) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
@@ -233,7 +253,10 @@
   BOOST_TEST(rig.MayOrder(*endpoint));
 }
 
-/** Guards against a lease that is renewed for good though nobody wants it. */
+/**
+ * Guards against a lease that is renewed permanently although it is no longer
+ * requested.
+ */
 BOOST_AUTO_TEST_CASE(ALeaseThatIsNotWantedAnyMoreIsGivenBack) {
   Rig rig;
   const auto entry = rig.StartEntry();
