--- a/src/orders/engine_controller_base.h
+++ b/src/orders/engine_controller_base.h
@@ -97,7 +97,7 @@
     core::SteadyTime given;
   };
   /**
-   * State of the engine when it was last polled while this process was allowed
+   * The engine's state when it was last polled while this process was allowed
    * to give it orders.
    */
   struct OwnCount {
--- a/src/orders/engine_controller_test.cc
+++ b/src/orders/engine_controller_test.cc
@@ -413,9 +413,9 @@
 }
 
 /**
- * Guards against callers that wait for a model to be reloaded in the middle of
- * its use. The endpoint process relies on the usage in the load request: a
- * model with requests in progress, or requested a moment ago, is kept.
+ * Guards against callers that wait for a model to be reloaded while it is used.
+ * The endpoint process relies on the usage in the load request: a model with
+ * requests in progress, or requested a moment ago, is kept.
  */
 BOOST_AUTO_TEST_CASE(WhatALoadRequestTellsToBeInUseStays) {
   Rig rig;
--- a/src/orders/engine_leases_test.cc
+++ b/src/orders/engine_leases_test.cc
@@ -102,7 +102,7 @@
   core::ManualClock clock;
   core::Logger log;
   entry::testing::MemoryKeyValue store{clock};
-  /** The VM of the holder that was last asked to release the engine. */
+  /** The VM of the holder that got the latest release request. */
   std::string asked;
 };
 
--- a/src/orders/memory_plan_func.h
+++ b/src/orders/memory_plan_func.h
@@ -47,7 +47,7 @@
  * @param preferred Models that the requesting entry, which sees the whole
  *   fleet, would unload.
  * @param keep Never unloaded.
- * @return The next model to unload: not in use, and not loaded for a caller a
+ * @return The next model to unload: unused, and not loaded for a caller a
  *   moment ago; empty if there is none.
  */
 std::optional<core::ModelId> ChooseUnload(
@@ -61,7 +61,7 @@
 bool AdapterFits(const MemoryState& state, const core::ModelId& model);
 
 /**
- * @return The least recently used adapter that is not in use; empty if there is
+ * @return The least recently used adapter without requests; empty if there is
  *   none.
  */
 std::optional<ComingAdapter> ChooseAdapterUnload(const MemoryState& state);
--- a/src/orders/order_service_base.h
+++ b/src/orders/order_service_base.h
@@ -33,8 +33,8 @@
 class OrderService {
  public:
   /**
-   * @pre The objects that the callbacks use, and `clock`, outlive the service
-   *   and its calls.
+   * @pre The objects behind the callbacks, and `clock`, outlive the service and
+   *   its calls.
    */
   OrderService(OrderServiceParts parts, const core::Clock& clock);
 
