--- a/src/orders/memory_plan_func.h
+++ b/src/orders/memory_plan_func.h
@@ -61,8 +61,8 @@
 bool AdapterFits(const MemoryState& state, const core::ModelId& model);
 
 /**
- * @return The least recently used adapter without requests; empty if there is
- *   none.
+ * @return The least recently used adapter that is currently unused; empty if
+ *   there is none.
  */
 std::optional<ComingAdapter> ChooseAdapterUnload(const MemoryState& state);
 
