--- a/src/orders/controller_metrics.cc
+++ b/src/orders/controller_metrics.cc
@@ -56,8 +56,8 @@
       .Observe(Seconds(took).count());
 }
 
-void ControllerMetrics::OrderGiven(std::string_view kind,
-                                   std::string_view answer) {
+void ControllerMetrics::OrderSubmitted(std::string_view kind,
+                                       std::string_view answer) {
   state_->orders
       .Add({{"kind", std::string(kind)}, {"answer", std::string(answer)}})
       .Increment();
--- a/src/orders/controller_metrics_base.h
+++ b/src/orders/controller_metrics_base.h
@@ -48,7 +48,7 @@
   void LoadRequestEnded(policy::Tier tier, std::string_view outcome,
                         std::chrono::milliseconds took);
   /** @param answer As in the log event order_given. */
-  void OrderGiven(std::string_view kind, std::string_view answer);
+  void OrderSubmitted(std::string_view kind, std::string_view answer);
   void EngineLost();
   void StoreCall(const external::StoreCall& call);
 
--- a/src/orders/controller_pool.cc
+++ b/src/orders/controller_pool.cc
@@ -36,14 +36,15 @@
 
 void ControllerPool::Maintain() {
   if (leaving_) return;
-  const std::map<std::string, core::ServiceId> engines = ModelEngines();
-  NoteSeen(engines);
-  DropLost();
-  ClaimVacant(engines);
+  const std::map<std::string, core::ServiceId> engines = OrderableEngines();
+  UpdateSeen(engines);
+  DropLostEngines();
+  ClaimVacantEngines(engines);
 }
 
 /** @return Engines that accept orders, by address. */
-std::map<std::string, core::ServiceId> ControllerPool::ModelEngines() const {
+std::map<std::string, core::ServiceId> ControllerPool::OrderableEngines()
+    const {
   std::map<std::string, core::ServiceId> engines;
   const auto table = configuration_.current();
   if (table == nullptr) return engines;
@@ -55,26 +56,26 @@
   return engines;
 }
 
-void ControllerPool::NoteSeen(
+void ControllerPool::UpdateSeen(
     const std::map<std::string, core::ServiceId>& engines) {
   const core::SteadyTime now = clock_.Now();
   for (const auto& [engine, service] : engines) {
     seen_.try_emplace(engine, Seen{now, now}).first->second.last = now;
   }
   std::erase_if(seen_, [&](const auto& it) {
-    return now - it.second.last >= options_.gone_after;
+    return now - it.second.last >= options_.unregistered_timeout;
   });
-  std::erase_if(released_, [&](const auto& it) {
-    return now - it.second >= options_.claim_after;
+  std::erase_if(released_at_, [&](const auto& it) {
+    return now - it.second >= options_.claim_delay;
   });
 }
 
-void ControllerPool::DropLost() {
-  for (const std::string& engine : leases_.Wanted()) {
+void ControllerPool::DropLostEngines() {
+  for (const std::string& engine : leases_.RequestedEngines()) {
     const fleet::EngineHolder* holder = holders_.Find(engine);
     const bool taken = holder != nullptr && holder->address != options_.address;
     if (taken) {
-      leases_.Forget(engine);
+      leases_.CancelRequest(engine);
       members_.erase(engine);
     } else if (!seen_.contains(engine)) {
       StartRelease(engine);
@@ -82,19 +83,19 @@
   }
 }
 
-void ControllerPool::ClaimVacant(
+void ControllerPool::ClaimVacantEngines(
     const std::map<std::string, core::ServiceId>& engines) {
   for (const auto& [engine, service] : engines) {
     if (members_.contains(engine) || !ShouldClaim(engine)) continue;
     log_.Event(LogLevel::kInfo, LogCategory::kReplica, "engine_claimed",
                {{"engine", engine}, {"service", service}});
     members_.emplace(engine, MakeMember(engine, service));
-    leases_.Want(engine);
+    leases_.RequestLease(engine);
   }
 }
 
 bool ControllerPool::ShouldClaim(const std::string& engine) const {
-  if (released_.contains(engine)) return false;
+  if (released_at_.contains(engine)) return false;
   const fleet::EngineHolder* holder = holders_.Find(engine);
   if (holder != nullptr) {
     // The previous process on this VM held the lease.
@@ -104,16 +105,16 @@
   if (!vacant) return false;
   const core::SteadyTime since = std::max(*vacant, seen_.at(engine).first);
   const auto wait = holders_.WasOrderedByEntry(engine)
-                        ? options_.claim_after_entry
-                        : options_.claim_after;
-  return clock_.Now() - since >= wait && IsFirst(engine);
+                        ? options_.claim_delay_after_entry
+                        : options_.claim_delay;
+  return clock_.Now() - since >= wait && IsPreferredEntry(engine);
 }
 
 /**
  * @return True if this entry is the first of all entries for the engine by
  *   rendezvous hashing.
  */
-bool ControllerPool::IsFirst(const std::string& engine) const {
+bool ControllerPool::IsPreferredEntry(const std::string& engine) const {
   const auto score = [&engine](const std::string& vm) {
     return core::HashOf(engine, core::HashOf(vm));
   };
@@ -128,7 +129,7 @@
   ControllerOptions options;
   options.engine_address = engine;
   options.service = service;
-  options.busy_look_interval = options_.busy_look_interval;
+  options.busy_poll_interval = options_.busy_poll_interval;
   options.reports_are_current = false;
   return std::make_shared<Member>(make_port_(engine), std::move(options),
                                   leases_, configuration_, metrics_, clock_,
@@ -149,15 +150,15 @@
 
 core::Task<> ControllerPool::Release(std::string engine) {
   const auto it = members_.find(engine);
-  released_[engine] = clock_.Now();
+  released_at_[engine] = clock_.Now();
   if (it == members_.end()) {
     co_await leases_.Release(engine);
     co_return;
   }
   const std::shared_ptr<Member> member = it->second;
   member->releasing = true;
-  co_await member->controller.AwaitQuiet(options_.release_limit);
-  released_[engine] = clock_.Now();
+  co_await member->controller.AwaitDrained(options_.release_timeout);
+  released_at_[engine] = clock_.Now();
   co_await leases_.Release(engine);
   const auto now = members_.find(engine);
   if (now != members_.end() && now->second == member) members_.erase(now);
--- a/src/orders/controller_pool_base.h
+++ b/src/orders/controller_pool_base.h
@@ -30,25 +30,25 @@
    * An engine is claimed when it has had no holder for this long: its endpoint
    * process takes precedence.
    */
-  std::chrono::milliseconds claim_after{4000};
+  std::chrono::milliseconds claim_delay{4000};
   /** The same if an entry held it last, as it has no endpoint process then. */
-  std::chrono::milliseconds claim_after_entry{500};
+  std::chrono::milliseconds claim_delay_after_entry{500};
   /**
    * The lease of an engine that has not been registered for this long is given
    * back; a crashed engine registers again sooner.
    */
-  std::chrono::milliseconds gone_after{10'000};
+  std::chrono::milliseconds unregistered_timeout{10'000};
   /**
    * Interval between two polls while an order is carried out. Reports from
    * another VM are some hundred milliseconds old, and each is a request to the
    * engine.
    */
-  std::chrono::milliseconds busy_look_interval{150};
+  std::chrono::milliseconds busy_poll_interval{150};
   /**
    * How long a release waits for open orders: an order whose response was lost
    * may be carried out for almost as long.
    */
-  std::chrono::milliseconds release_limit{20'000};
+  std::chrono::milliseconds release_timeout{20'000};
 };
 
 /**
@@ -105,12 +105,13 @@
     bool releasing = false;
   };
 
-  void NoteSeen(const std::map<std::string, core::ServiceId>& engines);
-  void DropLost();
-  void ClaimVacant(const std::map<std::string, core::ServiceId>& engines);
-  [[nodiscard]] std::map<std::string, core::ServiceId> ModelEngines() const;
+  void UpdateSeen(const std::map<std::string, core::ServiceId>& engines);
+  void DropLostEngines();
+  void ClaimVacantEngines(
+      const std::map<std::string, core::ServiceId>& engines);
+  [[nodiscard]] std::map<std::string, core::ServiceId> OrderableEngines() const;
   [[nodiscard]] bool ShouldClaim(const std::string& engine) const;
-  [[nodiscard]] bool IsFirst(const std::string& engine) const;
+  [[nodiscard]] bool IsPreferredEntry(const std::string& engine) const;
   void StartRelease(const std::string& engine);
   [[nodiscard]] std::shared_ptr<Member> MakeMember(
       const std::string& engine, const core::ServiceId& service) const;
@@ -137,7 +138,7 @@
    * When leases were given back: the deletion of their keys is observed a
    * moment later.
    */
-  std::map<std::string, core::SteadyTime> released_;
+  std::map<std::string, core::SteadyTime> released_at_;
   bool leaving_ = false;
 };
 
--- a/src/orders/controller_pool_test.cc
+++ b/src/orders/controller_pool_test.cc
@@ -47,8 +47,8 @@
  public:
   explicit SharedPort(TestingEngine& engine) : engine_(engine) {}
   core::Task<EngineReport> Report() override { return engine_.Report(); }
-  core::Task<OrderAnswer> Give(EngineOrder order) override {
-    return engine_.Give(std::move(order));
+  core::Task<OrderAnswer> Submit(EngineOrder order) override {
+    return engine_.Submit(std::move(order));
   }
 
  private:
@@ -91,7 +91,7 @@
     PoolOptions options;
     options.vm = vm;
     options.address = address;
-    options.busy_look_interval = milliseconds(5);
+    options.busy_poll_interval = milliseconds(5);
     return options;
   }
 
@@ -146,7 +146,7 @@
       // The store deletes expired leases only when it is called.
       RunTask(io, store.List(""));
       for (const auto& it : entries) {
-        RunTask(io, it->leases.KeepOnce());
+        RunTask(io, it->leases.RenewOnce());
         it->holders.ReplaceAll(Holders());
         it->pool.Maintain();
       }
@@ -174,7 +174,7 @@
   }
 
   /** @return Empty, or the error's name. */
-  std::string Ensure(TestEntry& entry) {
+  std::string EnsureLoaded(TestEntry& entry) {
     return RunTask(io, [](Rig& rig, TestEntry& it) -> core::Task<std::string> {
       LoadRequest load_request;
       load_request.model = kModel;
@@ -183,7 +183,7 @@
       std::string error;
       try {
         const auto controller = it.pool.Find(kInstance);
-        co_await controller->Ensure(load_request);
+        co_await controller->EnsureLoaded(load_request);
       } catch (const core::Error& e) {
         error = core::InfoOf(e.code()).name;
       }
@@ -218,11 +218,11 @@
   Rig rig;
   rig.Pass(seconds(10));
   BOOST_REQUIRE(rig.Holding().size() == 1);
-  BOOST_TEST(rig.Ensure(*rig.Holding().front()) == "");
+  BOOST_TEST(rig.EnsureLoaded(*rig.Holding().front()) == "");
   BOOST_TEST(rig.engine.Holds("a"));
   for (const auto& it : rig.entries) {
     if (it->leases.Holds(kEngine)) continue;
-    BOOST_TEST(rig.Ensure(*it) == "not_holder");
+    BOOST_TEST(rig.EnsureLoaded(*it) == "not_holder");
   }
 }
 
@@ -231,8 +231,8 @@
   Rig rig;
   EngineLeases endpoint(LeaseOf("side-1", "10.0.0.9:81"), LeaveToHolder,
                         rig.store, rig.clock, rig.log);
-  endpoint.Want(kEngine);
-  RunTask(rig.io, endpoint.KeepOnce());
+  endpoint.RequestLease(kEngine);
+  RunTask(rig.io, endpoint.RenewOnce());
   rig.Pass(seconds(12));
   BOOST_TEST(rig.Holding().empty());
   // The endpoint process has ended; its lease expires.
@@ -253,8 +253,8 @@
   BOOST_TEST(rig.store.Keys(fleet::kEngineLeasePrefix).empty());
   holder.holders.ReplaceAll(old_view);
   holder.pool.Maintain();
-  BOOST_TEST(holder.leases.Wanted().empty());
-  BOOST_TEST(rig.Ensure(holder) == "not_holder");
+  BOOST_TEST(holder.leases.RequestedEngines().empty());
+  BOOST_TEST(rig.EnsureLoaded(holder) == "not_holder");
 }
 
 /**
@@ -273,7 +273,7 @@
     load_request.model = kModel;
     load_request.instance = kInstance;
     load_request.deadline = rig.clock.Now() + seconds(60);
-    co_await controller->Ensure(load_request);
+    co_await controller->EnsureLoaded(load_request);
     loaded = "";
   });
   RunTask(rig.io, []() -> core::Task<bool> {
@@ -300,7 +300,7 @@
   rig.Pass(seconds(2));
   BOOST_REQUIRE(rig.Holding().size() == 1);
   BOOST_TEST(rig.Holding().front() == rig.entries.back().get());
-  BOOST_TEST(rig.Ensure(*rig.Holding().front()) == "");
+  BOOST_TEST(rig.EnsureLoaded(*rig.Holding().front()) == "");
 }
 
 /**
@@ -314,7 +314,7 @@
   holder.pool.Leave();
   rig.Withdraw(holder);
   rig.Pass(seconds(8));
-  BOOST_TEST(rig.Ensure(holder) == "");
+  BOOST_TEST(rig.EnsureLoaded(holder) == "");
   rig.Pass(seconds(20));
   BOOST_REQUIRE(rig.Holding().size() == 1);
   BOOST_TEST(rig.Holding().front() != &holder);
--- a/src/orders/endpoint.cc
+++ b/src/orders/endpoint.cc
@@ -15,7 +15,7 @@
 namespace {
 
 /** How long to wait for a holder's response before it is asked again. */
-constexpr std::chrono::milliseconds kReleaseLimit{1500};
+constexpr std::chrono::milliseconds kReleaseTimeout{1500};
 
 link::LinkOptions LinkOptionsOf(const EndpointOptions& options) {
   link::LinkOptions links;
@@ -72,16 +72,16 @@
       leases_(
           LeaseOptionsOf(options_),
           [this](const gen::EngineHolder& holder, const std::string& address) {
-            return AskRelease(holder, address);
+            return RequestRelease(holder, address);
           },
           store_, clock, log),
       controller_(options_.controller, engine, leases_, configuration_,
                   metrics_, clock, log),
-      service_(ServiceParts(), clock),
+      service_(ServiceCallbacks(), clock),
       links_(
           executor, LinkOptionsOf(options_),
           [this](std::shared_ptr<link::Call> call, gen::Message first) {
-            return service_.Answer(std::move(call), std::move(first));
+            return service_.HandleCall(std::move(call), std::move(first));
           },
           link::NoVersions(), clock, log),
       follower_(FollowOptionsOf(options_), {Hooks()}, store_, clock, log),
@@ -99,31 +99,31 @@
               [this] { return follower_.Run(); });
   core::Spawn(executor_, log_, "look_at_engine",
               [this] { return controller_.Run(); });
-  leases_.Want(options_.controller.engine_address);
+  leases_.RequestLease(options_.controller.engine_address);
   core::Spawn(executor_, log_, "keep_leases", [this] { return leases_.Run(); });
 }
 
-OrderServiceParts Endpoint::ServiceParts() {
-  OrderServiceParts parts;
-  parts.find = [this](const fleet::InstanceId&) {
+OrderServiceCallbacks Endpoint::ServiceCallbacks() {
+  OrderServiceCallbacks callbacks;
+  callbacks.find = [this](const fleet::InstanceId&) {
     // The controller lives as long as the calls.
     return std::shared_ptr<EngineController>(std::shared_ptr<void>(),
                                              &controller_);
   };
-  parts.release = [](std::string engine) -> core::Task<> {
+  callbacks.release = [](std::string engine) -> core::Task<> {
     throw core::Error(core::ErrorCode::kMalformedRequest,
                       engine + " is ordered from beside it");
     co_return;
   };
-  return parts;
+  return callbacks;
 }
 
 /**
  * Asks an entry that took the engine over while this process was down to
  * release it.
  */
-core::Task<> Endpoint::AskRelease(gen::EngineHolder holder,
-                                  std::string engine) {
+core::Task<> Endpoint::RequestRelease(gen::EngineHolder holder,
+                                      std::string engine) {
   gen::ReleaseEngine ask;
   ask.engine_address = engine;
   gen::Message first;
@@ -132,7 +132,7 @@
   try {
     const std::shared_ptr<link::Call> call =
         co_await links_.Open(holder.address, std::move(first));
-    co_await call->Receive(kReleaseLimit);
+    co_await call->Receive(kReleaseTimeout);
   } catch (const core::Error& e) {
     failure = e.what();
   }
--- a/src/orders/endpoint_base.h
+++ b/src/orders/endpoint_base.h
@@ -46,8 +46,8 @@
 
  private:
   routing::FollowHooks Hooks();
-  OrderServiceParts ServiceParts();
-  core::Task<> AskRelease(gen::EngineHolder holder, std::string engine);
+  OrderServiceCallbacks ServiceCallbacks();
+  core::Task<> RequestRelease(gen::EngineHolder holder, std::string engine);
   core::Task<> AnswerMetrics(http::ResponseWriter& writer);
 
   const EndpointOptions options_;
--- a/src/orders/engine_controller.cc
+++ b/src/orders/engine_controller.cc
@@ -19,24 +19,24 @@
 namespace {
 
 /** Pause before an order of unknown outcome is sent again. */
-constexpr milliseconds kRepeatPause{150};
+constexpr milliseconds kRetryPause{150};
 /**
  * An order fails if its effect is not reported within this time. Loads from the
  * weight store take a minute when several engines load from there.
  */
-constexpr milliseconds kLoadLimit{120'000};
+constexpr milliseconds kOrderTimeout{120'000};
 /**
  * The engine's report counts an accepted order within this time: a report is
  * some hundred milliseconds old at most.
  */
-constexpr milliseconds kCountShown{1000};
+constexpr milliseconds kMaxReportDelay{1000};
 /** Interval between two checks for open orders. */
-constexpr milliseconds kQuietPause{100};
+constexpr milliseconds kDrainPollInterval{100};
 /**
  * A load request that would wait longer than this for other orders is refused:
  * a load from disk takes up to 2 s.
  */
-constexpr milliseconds kLongestQueue{2500};
+constexpr milliseconds kMaxQueueTime{2500};
 
 std::string_view NameOf(OrderKind kind) {
   return kind == OrderKind::kLoad ? "load" : "unload";
@@ -73,15 +73,15 @@
 
 core::Task<> EngineController::Run() {
   while (true) {
-    co_await TryLook();
-    co_await core::SleepFor(options_.look_interval);
+    co_await TryPoll();
+    co_await core::SleepFor(options_.poll_interval);
   }
 }
 
-core::Task<> EngineController::TryLook() {
+core::Task<> EngineController::TryPoll() {
   std::string failure;
   try {
-    co_await Look();
+    co_await Poll();
   } catch (const Error& e) {
     failure = e.what();
   }
@@ -95,68 +95,71 @@
              {{"engine", options_.engine_address}, {"error", failure}});
 }
 
-core::Task<> EngineController::Look() {
+core::Task<> EngineController::Poll() {
   EngineReport report = co_await engine_.Report();
   // Responses of concurrent polls may arrive out of order.
-  const bool overtaken = report.born && report.born == report_.born &&
+  const bool overtaken = report.start_time &&
+                         report.start_time == report_.start_time &&
                          report.order_count < report_.order_count;
   if (overtaken) co_return;
   report_ = std::move(report);
   report_time_ = clock_.Now();
-  if (report_.born && !instance_.empty()) {
-    NoteInstance(fleet::MakeInstance(fleet::EngineOf(instance_), report_.born));
+  if (report_.start_time && !instance_.empty()) {
+    UpdateInstance(
+        fleet::MakeInstance(fleet::EngineOf(instance_), report_.start_time));
   }
-  NoteOwnCount();
-  Settle();
-  NoteForeignOrder();
+  RecordHeldState();
+  RemoveFinishedOrders();
+  UpdateForeignOrder();
 }
 
-core::Task<> EngineController::Ensure(LoadRequest load_request) {
+core::Task<> EngineController::EnsureLoaded(LoadRequest load_request) {
   const core::SteadyTime began = clock_.Now();
-  const policy::Tier tier = TierOf(report_, load_request.model);
+  const policy::Tier tier = NearestTier(report_, load_request.model);
   const auto ended = [&](std::string_view outcome) {
     const auto took =
         std::chrono::duration_cast<milliseconds>(clock_.Now() - began);
     metrics_.LoadRequestEnded(tier, outcome, took);
   };
-  ++in_progress_;
+  ++requests_in_progress_;
   std::optional<Error> failure;
   try {
     co_await Fulfil(load_request);
   } catch (const Error& e) {
     failure = e;
   }
-  --in_progress_;
+  --requests_in_progress_;
   ended(failure ? core::InfoOf(failure->code()).name : "ok");
   if (failure) throw Error(*failure);
 }
 
-core::Task<> EngineController::AwaitQuiet(milliseconds limit) {
+core::Task<> EngineController::AwaitDrained(milliseconds limit) {
   const core::SteadyTime end = clock_.Now() + limit;
   const auto is_quiet = [this] {
-    return in_progress_ == 0 && open_orders_.empty();
+    return requests_in_progress_ == 0 && open_orders_.empty();
   };
   while (!is_quiet() && clock_.Now() < end) {
-    co_await core::SleepFor(kQuietPause);
-    co_await TryLook();
+    co_await core::SleepFor(kDrainPollInterval);
+    co_await TryPoll();
   }
 }
 
 core::Task<> EngineController::Fulfil(const LoadRequest& load_request) {
   co_await CheckInstance(load_request.instance);
-  co_await Look();
-  co_await AwaitTurn(load_request.deadline);
-  use_ = load_request.use;
+  co_await Poll();
+  co_await AwaitHandover(load_request.deadline);
+  usage_ = load_request.usage;
   if (!Holds(load_request.model, core::AdapterId())) {
-    CheckQueue(load_request);
+    CheckQueueTime(load_request);
     const core::SteadyTime now = clock_.Now();
-    core::SteadyTime free = now + ForeignOrderLeft(foreign_order_, Spec(), now);
+    core::SteadyTime free =
+        now + ForeignOrderTimeLeft(foreign_order_since_, FindEngineSpec(), now);
     if (!load_requests_.empty()) {
       free = std::max(free, load_requests_.back().ready);
     }
-    load_requests_.push_back(
-        {load_request.model, free,
-         free + LoadTime(report_, Spec(), load_request.model)});
+    load_requests_.push_back({load_request.model, free,
+                              free + ExpectedLoadTime(report_, FindEngineSpec(),
+                                                      load_request.model)});
     std::exception_ptr failure;
     try {
       co_await EnsureModel(load_request);
@@ -174,8 +177,8 @@
 }
 
 core::Task<> EngineController::EnsureModel(const LoadRequest& load_request) {
-  co_await model_lane_.Await();
-  const OrderLane::Turn turn(model_lane_);
+  co_await model_mutex_.Acquire();
+  const FifoMutex::Lock lock(model_mutex_);
   if (clock_.Now() >= load_request.deadline) {
     throw Error(ErrorCode::kTimedOut, "nobody waits for the model any more");
   }
@@ -183,15 +186,15 @@
   load.model = load_request.model;
   load.instance = load_request.instance;
   co_await AwaitIdle(load_request.deadline);
-  while (!IsDone(load) && !Fits(load)) {
+  while (!HasTakenEffect(load) && !Fits(load)) {
     EngineOrder unload;
     unload.kind = OrderKind::kUnload;
     unload.model = ModelToUnload(load_request);
     unload.instance = load_request.instance;
-    co_await CarryOut(unload, load_request.deadline);
+    co_await ExecuteOrder(unload, load_request.deadline);
   }
-  co_await CarryOut(load, load_request.deadline);
-  wanted_[{load_request.model, core::AdapterId()}] = clock_.Now();
+  co_await ExecuteOrder(load, load_request.deadline);
+  last_loaded_[{load_request.model, core::AdapterId()}] = clock_.Now();
 }
 
 /**
@@ -199,16 +202,16 @@
  * requesting entry tries another engine. A request for a model that is being
  * loaded joins that load.
  */
-void EngineController::CheckQueue(const LoadRequest& load_request) const {
+void EngineController::CheckQueueTime(const LoadRequest& load_request) const {
   const bool is_coming =
       std::ranges::find(load_requests_, load_request.model,
                         &OpenLoadRequest::model) != load_requests_.end();
   if (is_coming) return;
   const core::SteadyTime now = clock_.Now();
-  const milliseconds left =
-      std::max(TimeOfLoadRequests(load_requests_, now),
-               ForeignOrderLeft(foreign_order_, Spec(), now));
-  if (left <= kLongestQueue) return;
+  const milliseconds left = std::max(
+      LoadRequestsTimeLeft(load_requests_, now),
+      ForeignOrderTimeLeft(foreign_order_since_, FindEngineSpec(), now));
+  if (left <= kMaxQueueTime) return;
   throw Error(ErrorCode::kNoCapacity, "the engine is busy with other orders",
               left);
 }
@@ -218,28 +221,29 @@
  * the engine may still be loading a model that its report does not list yet.
  */
 core::Task<> EngineController::AwaitIdle(core::SteadyTime deadline) {
-  co_await Look();
+  co_await Poll();
   while (report_.order_in_progress) {
     const core::SteadyTime now = clock_.Now();
     if (now >= deadline) {
       throw Error(ErrorCode::kTimedOut, "the engine is busy with an order");
     }
     // The order was assumed to be a load from disk, but takes longer than one.
-    const milliseconds left = ForeignOrderLeft(foreign_order_, Spec(), now);
-    if (left > kLongestQueue) {
+    const milliseconds left =
+        ForeignOrderTimeLeft(foreign_order_since_, FindEngineSpec(), now);
+    if (left > kMaxQueueTime) {
       throw Error(ErrorCode::kNoCapacity,
                   "the engine is busy with an order from before", left);
     }
-    co_await core::SleepFor(options_.busy_look_interval);
-    co_await Look();
+    co_await core::SleepFor(options_.busy_poll_interval);
+    co_await Poll();
   }
 }
 
 core::ModelId EngineController::ModelToUnload(
     const LoadRequest& load_request) const {
   const EngineOrder none;
-  const auto victim =
-      ChooseUnload(State(none), load_request.evict, load_request.model);
+  const auto victim = ChooseModelToUnload(
+      BuildMemoryState(none), load_request.evict, load_request.model);
   if (!victim) {
     throw Error(ErrorCode::kNoCapacity, "every model here is in use");
   }
@@ -247,16 +251,16 @@
 }
 
 core::Task<> EngineController::EnsureAdapter(const LoadRequest& load_request) {
-  co_await adapter_lane_.Await();
-  const OrderLane::Turn turn(adapter_lane_);
+  co_await adapter_mutex_.Acquire();
+  const FifoMutex::Lock lock(adapter_mutex_);
   EngineOrder load;
   load.model = load_request.model;
   load.adapter = load_request.adapter;
   load.instance = load_request.instance;
-  co_await Look();
-  while (!IsDone(load) && !Fits(load)) {
+  co_await Poll();
+  while (!HasTakenEffect(load) && !Fits(load)) {
     const EngineOrder none;
-    const auto victim = ChooseAdapterUnload(State(none));
+    const auto victim = ChooseAdapterToUnload(BuildMemoryState(none));
     if (!victim) {
       throw Error(ErrorCode::kNoCapacity, "every adapter here is in use");
     }
@@ -265,40 +269,40 @@
     unload.model = victim->model;
     unload.adapter = victim->adapter;
     unload.instance = load_request.instance;
-    co_await CarryOut(unload, load_request.deadline);
+    co_await ExecuteOrder(unload, load_request.deadline);
   }
-  co_await CarryOut(load, load_request.deadline);
-  wanted_[{load_request.model, load_request.adapter}] = clock_.Now();
+  co_await ExecuteOrder(load, load_request.deadline);
+  last_loaded_[{load_request.model, load_request.adapter}] = clock_.Now();
 }
 
 /** Sends an order until the engine reports its effect. */
-core::Task<> EngineController::CarryOut(EngineOrder order,
-                                        core::SteadyTime deadline) {
+core::Task<> EngineController::ExecuteOrder(EngineOrder order,
+                                            core::SteadyTime deadline) {
   const core::SteadyTime began = clock_.Now();
   bool accepted = false;
   core::SteadyTime accepted_at;
   while (true) {
-    co_await Look();
-    if (IsOtherStart(order.instance)) {
+    co_await Poll();
+    if (IsOtherInstance(order.instance)) {
       throw Error(ErrorCode::kEngineReplaced, "the engine has restarted");
     }
-    if (IsDone(order)) break;
+    if (HasTakenEffect(order)) break;
     // An engine that crashes and restarts between two polls loses the order and
     // its order count.
     const bool forgotten = accepted &&
                            report_.order_count <= order.expected_count &&
-                           clock_.Now() - accepted_at > kCountShown;
+                           clock_.Now() - accepted_at > kMaxReportDelay;
     if (forgotten) {
       throw Error(ErrorCode::kLoadFailed, "the engine has forgotten the order");
     }
-    if (clock_.Now() - began > kLoadLimit) {
+    if (clock_.Now() - began > kOrderTimeout) {
       throw Error(ErrorCode::kLoadFailed, "the order has shown no effect");
     }
     // An accepted order is followed even after all callers have given up.
     if (!accepted && clock_.Now() >= deadline) {
       throw Error(ErrorCode::kTimedOut, "the order was not accepted in time");
     }
-    if (accepted && IsOver(order)) {
+    if (accepted && IsFinished(order)) {
       throw Error(ErrorCode::kLoadFailed, "the engine gave the order up");
     }
     // An engine refuses any order, also for an adapter, while it carries one
@@ -310,10 +314,10 @@
         throw Error(ErrorCode::kOverMemory, "the room is taken meanwhile");
       }
       order.expected_count = report_.order_count;
-      accepted = co_await GiveOnce(order);
+      accepted = co_await SubmitOnce(order);
       accepted_at = clock_.Now();
     }
-    co_await core::SleepFor(options_.busy_look_interval);
+    co_await core::SleepFor(options_.busy_poll_interval);
   }
   log_.Event(LogLevel::kInfo, LogCategory::kReplica, "order_done",
              {{"order", NameOf(order.kind)},
@@ -329,14 +333,15 @@
  * Sends an order once.
  * @return True if the engine has accepted it.
  */
-core::Task<bool> EngineController::GiveOnce(EngineOrder order) {
-  order.fence = leases_.Fence(options_.engine_address, IsUntouched());
+core::Task<bool> EngineController::SubmitOnce(EngineOrder order) {
+  order.fence =
+      leases_.FencingToken(options_.engine_address, HasNoForeignOrders());
   const std::int64_t number = next_order_++;
   open_orders_.push_back({number, order, clock_.Now()});
   std::optional<OrderAnswer> answer;
   std::optional<Error> failure;
   try {
-    answer = co_await engine_.Give(order);
+    answer = co_await engine_.Submit(order);
   } catch (const Error& e) {
     failure = e;
   }
@@ -349,8 +354,8 @@
               {"fence", order.fence},
               {"answer", answer ? NameOf(*answer) : "no_answer"},
               {"error", failure ? failure->what() : ""}});
-  metrics_.OrderGiven(NameOf(order.kind),
-                      answer ? NameOf(*answer) : "no_answer");
+  metrics_.OrderSubmitted(NameOf(order.kind),
+                          answer ? NameOf(*answer) : "no_answer");
   const bool unknown = failure && failure->code() == ErrorCode::kOutcomeUnknown;
   if (!unknown && (!answer || *answer != OrderAnswer::kAccepted)) {
     // The list may have changed while the order was sent, and the order itself
@@ -360,7 +365,7 @@
     });
   }
   if (unknown) {
-    co_await core::SleepFor(kRepeatPause);
+    co_await core::SleepFor(kRetryPause);
     co_return false;
   }
   if (failure) throw Error(*failure);
@@ -374,46 +379,48 @@
  * Waits until no order of an earlier holder on another VM can be so recent that
  * orders of two VMs would seem to alternate.
  */
-core::Task<> EngineController::AwaitTurn(core::SteadyTime deadline) {
+core::Task<> EngineController::AwaitHandover(core::SteadyTime deadline) {
   const milliseconds left =
-      leases_.TurnLeft(options_.engine_address, IsUntouched());
+      leases_.HandoverDelay(options_.engine_address, HasNoForeignOrders());
   if (left == milliseconds(0)) co_return;
   if (clock_.Now() + left >= deadline) {
     throw Error(ErrorCode::kNoCapacity, "the engine has just changed hands",
                 left);
   }
   co_await core::SleepFor(left);
-  co_await Look();
+  co_await Poll();
 }
 
 /**
  * @return True if the engine has accepted no order of another process since
  *   this one was last allowed to give it orders.
  */
-bool EngineController::IsUntouched() const {
+bool EngineController::HasNoForeignOrders() const {
   if (!options_.reports_are_current || !report_time_) return false;
   if (report_.order_count == 0) return true;
-  return own_count_ && own_count_->born == report_.born &&
-         own_count_->order_count == report_.order_count;
+  return last_held_state_ &&
+         last_held_state_->start_time == report_.start_time &&
+         last_held_state_->order_count == report_.order_count;
 }
 
-void EngineController::NoteOwnCount() {
+void EngineController::RecordHeldState() {
   const std::string& engine = options_.engine_address;
   const bool may_order =
       leases_.Holds(engine) &&
-      leases_.TurnLeft(engine, IsUntouched()) == milliseconds(0);
-  if (may_order) own_count_ = OwnCount{report_.born, report_.order_count};
+      leases_.HandoverDelay(engine, HasNoForeignOrders()) == milliseconds(0);
+  if (may_order)
+    last_held_state_ = HeldState{report_.start_time, report_.order_count};
 }
 
 /**
  * Tracks an order of an earlier process: the engine accepts no other until it
  * ends, and entries must not wait for it here.
  */
-void EngineController::NoteForeignOrder() {
+void EngineController::UpdateForeignOrder() {
   if (!report_.order_in_progress || !open_orders_.empty()) {
-    foreign_order_.reset();
-  } else if (!foreign_order_) {
-    foreign_order_ = clock_.Now();
+    foreign_order_since_.reset();
+  } else if (!foreign_order_since_) {
+    foreign_order_since_ = clock_.Now();
   }
 }
 
--- a/src/orders/engine_controller_base.h
+++ b/src/orders/engine_controller_base.h
@@ -28,12 +28,12 @@
   std::string engine_address;
   core::ServiceId service;
   /** Interval between two polls of an engine that has no order in progress. */
-  std::chrono::milliseconds look_interval{2000};
+  std::chrono::milliseconds poll_interval{2000};
   /**
    * Interval between two polls while an order is carried out: an unload takes
    * 10 ms, a load from memory a second.
    */
-  std::chrono::milliseconds busy_look_interval{30};
+  std::chrono::milliseconds busy_poll_interval{30};
   /** The engine's reports are up to date, as they come from the same VM. */
   bool reports_are_current = true;
 };
@@ -48,7 +48,7 @@
   /** Models that the requesting entry would unload for it. */
   std::vector<core::ModelId> evict;
   /** Usage of all that the engine holds, as far as the entry knows it. */
-  fleet::UsageTable use;
+  fleet::UsageTable usage;
   core::SteadyTime deadline;
 };
 
@@ -78,7 +78,7 @@
    * Loads a model (and adapter); returns once it can serve requests.
    * @throws core::Error with the reason.
    */
-  core::Task<> Ensure(LoadRequest load_request);
+  core::Task<> EnsureLoaded(LoadRequest load_request);
 
   /** @return Current values for the metrics. */
   [[nodiscard]] ControllerLevels Levels() const;
@@ -87,52 +87,52 @@
    * Waits until no load request is in progress and no order is open, for
    * `limit` at most.
    */
-  core::Task<> AwaitQuiet(std::chrono::milliseconds limit);
+  core::Task<> AwaitDrained(std::chrono::milliseconds limit);
 
  private:
   /** An order that was sent and is not known to be finished. */
   struct OpenOrder {
     std::int64_t number = 0;
     EngineOrder order;
-    core::SteadyTime given;
+    core::SteadyTime sent;
   };
   /**
    * The engine's state when it was last polled while this process was allowed
    * to give it orders.
    */
-  struct OwnCount {
-    std::optional<fleet::EngineBirth> born;
+  struct HeldState {
+    std::optional<fleet::EngineBirth> start_time;
     std::int64_t order_count = 0;
   };
 
-  core::Task<> Look();
-  core::Task<> TryLook();
+  core::Task<> Poll();
+  core::Task<> TryPoll();
   core::Task<> Fulfil(const LoadRequest& load_request);
   core::Task<> EnsureModel(const LoadRequest& load_request);
-  void CheckQueue(const LoadRequest& load_request) const;
+  void CheckQueueTime(const LoadRequest& load_request) const;
   core::Task<> EnsureAdapter(const LoadRequest& load_request);
   core::Task<> AwaitIdle(core::SteadyTime deadline);
   [[nodiscard]] core::ModelId ModelToUnload(
       const LoadRequest& load_request) const;
-  core::Task<> CarryOut(EngineOrder order, core::SteadyTime deadline);
-  core::Task<bool> GiveOnce(EngineOrder order);
-  core::Task<> AwaitTurn(core::SteadyTime deadline);
-  [[nodiscard]] bool IsUntouched() const;
-  void NoteOwnCount();
-  void Settle();
-  void NoteForeignOrder();
-  [[nodiscard]] bool IsOver(const EngineOrder& order) const;
-  [[nodiscard]] bool IsOver(const OpenOrder& open) const;
-  [[nodiscard]] bool IsOtherStart(const fleet::InstanceId& instance) const;
-  [[nodiscard]] bool IsDone(const EngineOrder& order) const;
+  core::Task<> ExecuteOrder(EngineOrder order, core::SteadyTime deadline);
+  core::Task<bool> SubmitOnce(EngineOrder order);
+  core::Task<> AwaitHandover(core::SteadyTime deadline);
+  [[nodiscard]] bool HasNoForeignOrders() const;
+  void RecordHeldState();
+  void RemoveFinishedOrders();
+  void UpdateForeignOrder();
+  [[nodiscard]] bool IsFinished(const EngineOrder& order) const;
+  [[nodiscard]] bool IsFinished(const OpenOrder& open) const;
+  [[nodiscard]] bool IsOtherInstance(const fleet::InstanceId& instance) const;
+  [[nodiscard]] bool HasTakenEffect(const EngineOrder& order) const;
   [[nodiscard]] bool Holds(const core::ModelId& model,
                            const core::AdapterId& adapter) const;
   [[nodiscard]] bool Fits(const EngineOrder& order) const;
-  [[nodiscard]] MemoryState State(const EngineOrder& but) const;
-  [[nodiscard]] const routing::EngineSpec* Spec() const;
+  [[nodiscard]] MemoryState BuildMemoryState(const EngineOrder& excluded) const;
+  [[nodiscard]] const routing::EngineSpec* FindEngineSpec() const;
   [[nodiscard]] bool IsEngineUp() const;
-  core::Task<> CheckInstance(fleet::InstanceId meant);
-  void NoteInstance(const fleet::InstanceId& instance);
+  core::Task<> CheckInstance(fleet::InstanceId requested);
+  void UpdateInstance(const fleet::InstanceId& instance);
 
   const ControllerOptions options_;
   EnginePort& engine_;
@@ -142,11 +142,11 @@
   const core::Clock& clock_;
   const core::Logger& log_;
   /** Usage from the latest load request. */
-  fleet::UsageTable use_;
+  fleet::UsageTable usage_;
   /** When each model or adapter was last loaded for a load request. */
-  std::map<fleet::UsedPart, core::SteadyTime> wanted_;
-  OrderLane model_lane_;
-  OrderLane adapter_lane_;
+  std::map<fleet::UsedPart, core::SteadyTime> last_loaded_;
+  FifoMutex model_mutex_;
+  FifoMutex adapter_mutex_;
   EngineReport report_;
   std::optional<core::SteadyTime> report_time_;
   std::vector<OpenOrder> open_orders_;
@@ -156,14 +156,14 @@
    * Since when the engine has been carrying out an order of another process,
    * such as the previous one here.
    */
-  std::optional<core::SteadyTime> foreign_order_;
+  std::optional<core::SteadyTime> foreign_order_since_;
   /** The engine instance that entries request, or that the engine reports. */
   fleet::InstanceId instance_;
   /** The last poll of the engine succeeded. */
   bool engine_up_ = true;
   /** Load requests in progress. */
-  int in_progress_ = 0;
-  std::optional<OwnCount> own_count_;
+  int requests_in_progress_ = 0;
+  std::optional<HeldState> last_held_state_;
 };
 
 }  // namespace sapphire::orders
--- a/src/orders/engine_controller_state.cc
+++ b/src/orders/engine_controller_state.cc
@@ -21,15 +21,15 @@
  * An order whose response was lost is carried out within this time, if at all.
  * Operators have seen 12 s.
  */
-constexpr milliseconds kLatestOrder{15'000};
+constexpr milliseconds kMaxOrderDelay{15'000};
 /** The engine counts as down if its last report is older than this. */
-constexpr milliseconds kFreshReport{1500};
+constexpr milliseconds kMaxReportAge{1500};
 
 }  // namespace
 
-void EngineController::Settle() {
+void EngineController::RemoveFinishedOrders() {
   std::erase_if(open_orders_,
-                [this](const OpenOrder& it) { return IsOver(it); });
+                [this](const OpenOrder& it) { return IsFinished(it); });
 }
 
 /**
@@ -37,30 +37,30 @@
  * the engine under the same id, once the new instance has accepted as many
  * orders. Its memory stays reserved until then.
  */
-bool EngineController::IsOver(const OpenOrder& open) const {
-  if (!IsOtherStart(open.order.instance)) return IsOver(open.order);
-  if (IsDone(open.order)) return true;
+bool EngineController::IsFinished(const OpenOrder& open) const {
+  if (!IsOtherInstance(open.order.instance)) return IsFinished(open.order);
+  if (HasTakenEffect(open.order)) return true;
   const bool passed = report_.order_count > open.order.expected_count &&
                       !report_.order_in_progress;
-  return passed || clock_.Now() - open.given > kLatestOrder;
+  return passed || clock_.Now() - open.sent > kMaxOrderDelay;
 }
 
-bool EngineController::IsOver(const EngineOrder& order) const {
+bool EngineController::IsFinished(const EngineOrder& order) const {
   const bool other_engine =
       fleet::EngineOf(order.instance) != fleet::EngineOf(instance_);
   if (other_engine) return true;
-  if (IsDone(order)) return true;
+  if (HasTakenEffect(order)) return true;
   // The engine has accepted an order since: either this one, or another one
   // that makes it void.
   if (report_.order_count <= order.expected_count) return false;
-  const bool coming =
-      std::ranges::any_of(report_.coming, [&order](const ComingAdapter& it) {
+  const bool loading =
+      std::ranges::any_of(report_.loading, [&order](const LoadingAdapter& it) {
         return it.model == order.model && it.adapter == order.adapter;
       });
-  return !report_.order_in_progress && !coming;
+  return !report_.order_in_progress && !loading;
 }
 
-bool EngineController::IsDone(const EngineOrder& order) const {
+bool EngineController::HasTakenEffect(const EngineOrder& order) const {
   return Holds(order.model, order.adapter) == (order.kind == OrderKind::kLoad);
 }
 
@@ -74,35 +74,36 @@
 
 bool EngineController::Fits(const EngineOrder& order) const {
   if (order.kind == OrderKind::kUnload) return true;
-  const MemoryState state = State(order);
+  const MemoryState state = BuildMemoryState(order);
   return order.adapter.empty() ? ModelFits(state, order.model)
                                : AdapterFits(state, order.model);
 }
 
-/** @param but Order that is not counted among the open loads. */
-MemoryState EngineController::State(const EngineOrder& but) const {
+/** @param excluded Order that is not counted among the open loads. */
+MemoryState EngineController::BuildMemoryState(
+    const EngineOrder& excluded) const {
   MemoryState state;
-  state.spec = Spec();
+  state.spec = FindEngineSpec();
   if (state.spec == nullptr) {
     throw Error(ErrorCode::kNotConfigured, "the service is not configured");
   }
   state.report = &report_;
-  state.use = use_;
-  for (const auto& [part, at] : wanted_) {
-    fleet::Usage& usage = state.use[part];
+  state.usage = usage_;
+  for (const auto& [part, at] : last_loaded_) {
+    fleet::Usage& usage = state.usage[part];
     usage.last_begun = std::max(usage.last_begun, std::optional(at));
   }
   for (const OpenOrder& it : open_orders_) {
     if (it.order.kind != OrderKind::kLoad) continue;
-    const bool same =
-        it.order.model == but.model && it.order.adapter == but.adapter;
-    if (!same) state.open_loads.push_back(it.order);
+    const bool same = it.order.model == excluded.model &&
+                      it.order.adapter == excluded.adapter;
+    if (!same) state.pending_loads.push_back(it.order);
   }
   state.now = clock_.Now();
   return state;
 }
 
-const routing::EngineSpec* EngineController::Spec() const {
+const routing::EngineSpec* EngineController::FindEngineSpec() const {
   const auto table = configuration_.current();
   if (table == nullptr) return nullptr;
   const routing::Service* service = table->FindService(options_.service);
@@ -114,23 +115,24 @@
  * Refuses load requests for another instance of the engine: they were decided
  * by memory contents and an order count that no longer exist.
  */
-core::Task<> EngineController::CheckInstance(fleet::InstanceId meant) {
-  if (IsOtherStart(meant)) {
-    co_await Look();
+core::Task<> EngineController::CheckInstance(fleet::InstanceId requested) {
+  if (IsOtherInstance(requested)) {
+    co_await Poll();
   }
-  if (IsOtherStart(meant)) {
+  if (IsOtherInstance(requested)) {
     throw Error(ErrorCode::kEngineReplaced, "the engine has restarted");
   }
-  NoteInstance(meant);
+  UpdateInstance(requested);
 }
 
 /** @return True if the engine reports that it is another instance than this. */
-bool EngineController::IsOtherStart(const fleet::InstanceId& instance) const {
-  const auto born = fleet::BirthOf(instance);
-  return born && report_.born && *born != *report_.born;
+bool EngineController::IsOtherInstance(
+    const fleet::InstanceId& instance) const {
+  const auto start_time = fleet::BirthOf(instance);
+  return start_time && report_.start_time && *start_time != *report_.start_time;
 }
 
-void EngineController::NoteInstance(const fleet::InstanceId& instance) {
+void EngineController::UpdateInstance(const fleet::InstanceId& instance) {
   if (instance == instance_) return;
   log_.Event(LogLevel::kInfo, LogCategory::kReplica, "engine_instance",
              {{"was", instance_}, {"now", instance}});
@@ -139,7 +141,7 @@
 
 bool EngineController::IsEngineUp() const {
   return engine_up_ && report_time_ &&
-         clock_.Now() - *report_time_ < kFreshReport;
+         clock_.Now() - *report_time_ < kMaxReportAge;
 }
 
 ControllerLevels EngineController::Levels() const {
--- a/src/orders/engine_controller_test.cc
+++ b/src/orders/engine_controller_test.cc
@@ -57,8 +57,8 @@
   ControllerOptions options;
   options.engine_address = kEngine;
   options.service = kService;
-  options.busy_look_interval = milliseconds(5);
-  options.look_interval = milliseconds(10);
+  options.busy_poll_interval = milliseconds(5);
+  options.poll_interval = milliseconds(10);
   return options;
 }
 
@@ -69,12 +69,12 @@
             core::LogLevel::kError, clock),
         leases(lease, NeverAsked, store, clock, log) {
     configuration.Adopt(MakeConfiguration());
-    // An earlier process on this VM holds the lease first, so that TurnLeft is
-    // 0.
+    // An earlier process on this VM holds the lease first, so that
+    // HandoverDelay is 0.
     EngineLeases before(Lease(), NeverAsked, store, clock, log);
     for (EngineLeases* it : {&before, &leases}) {
-      it->Want(kEngine);
-      RunTask(io, it->KeepOnce());
+      it->RequestLease(kEngine);
+      RunTask(io, it->RenewOnce());
     }
     Restart();
   }
@@ -83,7 +83,7 @@
     LeaseOptions options;
     options.self.vm = "vm-1";
     options.self.address = "10.0.0.1:81";
-    options.turn_gap = milliseconds(0);
+    options.handover_gap = milliseconds(0);
     options.time_to_live = std::chrono::hours(1);
     return options;
   }
@@ -117,8 +117,8 @@
   }
 
   /** @return Empty, or the error's name. */
-  std::string Ensure(const std::string& model, milliseconds timeout,
-                     const std::string& instance = "i-1") {
+  std::string EnsureLoaded(const std::string& model, milliseconds timeout,
+                           const std::string& instance = "i-1") {
     return RunTask(io, Ended(LoadRequestFor(model, timeout, instance)));
   }
 
@@ -143,7 +143,7 @@
   core::Task<std::string> Ended(LoadRequest load_request) {
     std::string error;
     try {
-      co_await controller->Ensure(std::move(load_request));
+      co_await controller->EnsureLoaded(std::move(load_request));
     } catch (const core::Error& e) {
       error = core::InfoOf(e.code()).name;
     }
@@ -182,7 +182,7 @@
 BOOST_AUTO_TEST_CASE(AFourthModelTakesTheRoomOfAnUnusedOne) {
   Rig rig;
   for (const char* it : {"a", "b", "c", "d"}) {
-    BOOST_TEST(rig.Ensure(it, kEnough) == "");
+    BOOST_TEST(rig.EnsureLoaded(it, kEnough) == "");
     // A model that was just loaded is kept a moment for the callers that waited
     // for it.
     rig.Pass(milliseconds(600));
@@ -203,7 +203,7 @@
   rig.engine.Hold("b");
   rig.engine.load_time = milliseconds(400);
   const auto killed = rig.RestartDuringLoad("c");
-  BOOST_TEST(rig.Ensure("d", kEnough) == "");
+  BOOST_TEST(rig.EnsureLoaded("d", kEnough) == "");
   BOOST_TEST(!rig.engine.over_memory);
 }
 
@@ -217,8 +217,8 @@
   rig.engine.Hold("a");
   rig.engine.Hold("b");
   rig.engine.lose_next_answer = true;
-  BOOST_TEST(rig.Ensure("c", milliseconds(100)) != "");
-  BOOST_TEST(rig.Ensure("d", kEnough) == "");
+  BOOST_TEST(rig.EnsureLoaded("c", milliseconds(100)) != "");
+  BOOST_TEST(rig.EnsureLoaded("d", kEnough) == "");
   rig.Pass(milliseconds(500));
   BOOST_TEST(!rig.engine.over_memory);
 }
@@ -226,8 +226,8 @@
 BOOST_AUTO_TEST_CASE(ALostOrderIsGivenAgainAndItsLateCopyIsVoid) {
   Rig rig;
   rig.engine.lose_next_answer = true;
-  BOOST_TEST(rig.Ensure("a", kEnough) == "");
-  BOOST_TEST(rig.engine.orders_given == 2);
+  BOOST_TEST(rig.EnsureLoaded("a", kEnough) == "");
+  BOOST_TEST(rig.engine.orders_submitted == 2);
   rig.Pass(milliseconds(500));
   BOOST_TEST(rig.engine.Holds("a"));
 }
@@ -253,7 +253,7 @@
   rig.Pass(milliseconds(50));
   // Requests the same model: another one would not be queued behind a load of 9
   // s.
-  BOOST_TEST(rig.Ensure("a", kEnough) == "");
+  BOOST_TEST(rig.EnsureLoaded("a", kEnough) == "");
   BOOST_TEST(*refused.value == "engine_replaced");
 }
 
@@ -271,7 +271,7 @@
                 co_await core::SleepFor(milliseconds(100));
                 rig.engine.Restart();
               });
-  BOOST_TEST(rig.Ensure("a", kEnough) == "load_failed");
+  BOOST_TEST(rig.EnsureLoaded("a", kEnough) == "load_failed");
   BOOST_TEST((rig.clock.Now() - began < milliseconds(2000)));
 }
 
@@ -282,9 +282,9 @@
 BOOST_AUTO_TEST_CASE(AnOrderForAnEarlierStartIsRefused) {
   Rig rig;
   rig.engine.instance = fleet::InstanceId("i-2");
-  BOOST_TEST(rig.Ensure("a", kEnough) == "engine_replaced");
+  BOOST_TEST(rig.EnsureLoaded("a", kEnough) == "engine_replaced");
   BOOST_TEST(!rig.engine.Holds("a"));
-  BOOST_TEST(rig.Ensure("a", kEnough, "i-2") == "");
+  BOOST_TEST(rig.EnsureLoaded("a", kEnough, "i-2") == "");
 }
 
 /**
@@ -295,10 +295,10 @@
 BOOST_AUTO_TEST_CASE(AnOrderForAnEarlierStartOfTheNameIsRefused) {
   Rig rig;
   rig.engine.TellBirth(At(20));
-  BOOST_TEST(rig.Ensure("a", kEnough, "i-1@10000") == "engine_replaced");
-  BOOST_TEST(rig.engine.orders_given == 0);
-  BOOST_TEST(rig.Ensure("a", kEnough, "i-1@20000") == "");
-  BOOST_TEST(rig.Ensure("b", kEnough, "i-1@10000") == "engine_replaced");
+  BOOST_TEST(rig.EnsureLoaded("a", kEnough, "i-1@10000") == "engine_replaced");
+  BOOST_TEST(rig.engine.orders_submitted == 0);
+  BOOST_TEST(rig.EnsureLoaded("a", kEnough, "i-1@20000") == "");
+  BOOST_TEST(rig.EnsureLoaded("b", kEnough, "i-1@10000") == "engine_replaced");
 }
 
 /**
@@ -310,14 +310,14 @@
 BOOST_AUTO_TEST_CASE(ALateOrderForAnEarlierStartNeverOverfillsTheNewOne) {
   Rig rig;
   rig.engine.TellBirth(At(10));
-  BOOST_TEST(rig.Ensure("a", kEnough, "i-1@10000") == "");
+  BOOST_TEST(rig.EnsureLoaded("a", kEnough, "i-1@10000") == "");
   rig.engine.lose_next_answer = true;
   rig.engine.late_by = milliseconds(700);
-  BOOST_TEST(rig.Ensure("c", milliseconds(100), "i-1@10000") != "");
+  BOOST_TEST(rig.EnsureLoaded("c", milliseconds(100), "i-1@10000") != "");
   rig.engine.RestartAt(At(20));
   rig.engine.Hold("b");
   rig.engine.Hold("d");
-  BOOST_TEST(rig.Ensure("e", kEnough, "i-1@20000") == "");
+  BOOST_TEST(rig.EnsureLoaded("e", kEnough, "i-1@20000") == "");
   rig.Pass(milliseconds(1000));
   BOOST_TEST(rig.engine.Holds("e"));
   BOOST_TEST(!rig.engine.over_memory);
@@ -338,9 +338,9 @@
                 co_await core::SleepFor(milliseconds(100));
                 rig.engine.RestartAt(At(20));
               });
-  BOOST_TEST(rig.Ensure("a", kEnough, "i-1@10000") == "engine_replaced");
+  BOOST_TEST(rig.EnsureLoaded("a", kEnough, "i-1@10000") == "engine_replaced");
   BOOST_TEST((rig.clock.Now() - began < milliseconds(1000)));
-  BOOST_TEST(rig.Ensure("a", kEnough, "i-1@20000") == "");
+  BOOST_TEST(rig.EnsureLoaded("a", kEnough, "i-1@20000") == "");
 }
 
 /**
@@ -378,13 +378,13 @@
   rig.engine.load_time = milliseconds(1600);
   const auto killed = rig.RestartDuringLoad("c");
   const auto began = rig.clock.Now();
-  BOOST_TEST(rig.Ensure("d", kEnough) == "no_capacity");
+  BOOST_TEST(rig.EnsureLoaded("d", kEnough) == "no_capacity");
   const auto waited = rig.clock.Now() - began;
   BOOST_TEST((waited >= kDiskLoad));
   BOOST_TEST((waited < milliseconds(1200)));
   rig.Pass(milliseconds(1000));
   rig.engine.load_time = milliseconds(60);
-  BOOST_TEST(rig.Ensure("d", kEnough) == "");
+  BOOST_TEST(rig.EnsureLoaded("d", kEnough) == "");
 }
 
 /**
@@ -404,12 +404,12 @@
   entry::testing::StartTask(rig.io, rig.Ended(rig.LoadRequestFor("a", kEnough)),
                             same);
   const auto began = rig.clock.Now();
-  BOOST_TEST(rig.Ensure("b", kEnough) == "no_capacity");
+  BOOST_TEST(rig.EnsureLoaded("b", kEnough) == "no_capacity");
   BOOST_TEST((rig.clock.Now() - began < milliseconds(200)));
   rig.Pass(milliseconds(1000));
   BOOST_TEST(*first.value == "");
   BOOST_TEST(*same.value == "");
-  BOOST_TEST(rig.engine.orders_given == 1);
+  BOOST_TEST(rig.engine.orders_submitted == 1);
 }
 
 /**
@@ -427,9 +427,9 @@
   fresh.last_begun = rig.clock.Now();
   fleet::Usage asked_for;
   asked_for.demand = 0.5;
-  load_request.use[{core::ModelId("a"), core::AdapterId()}] = busy;
-  load_request.use[{core::ModelId("b"), core::AdapterId()}] = fresh;
-  load_request.use[{core::ModelId("c"), core::AdapterId()}] = asked_for;
+  load_request.usage[{core::ModelId("a"), core::AdapterId()}] = busy;
+  load_request.usage[{core::ModelId("b"), core::AdapterId()}] = fresh;
+  load_request.usage[{core::ModelId("c"), core::AdapterId()}] = asked_for;
   BOOST_TEST(RunTask(rig.io, rig.Ended(load_request)) == "");
   BOOST_TEST(rig.engine.Holds("a"));
   BOOST_TEST(rig.engine.Holds("b"));
@@ -447,7 +447,7 @@
 BOOST_AUTO_TEST_CASE(MetricsTellOfLostAnswersAndOfLoadRequests) {
   Rig rig;
   rig.engine.lose_next_answer = true;
-  BOOST_TEST(rig.Ensure("a", milliseconds(2000)).empty());
+  BOOST_TEST(rig.EnsureLoaded("a", milliseconds(2000)).empty());
   const std::string text = rig.metrics.Text(rig.controller->Levels());
   const auto has = [&text](const std::string& line) {
     return text.find(line) != std::string::npos;
@@ -468,15 +468,15 @@
 BOOST_AUTO_TEST_CASE(AnEngineThatNobodyElseOrderedIsOrderedAtOnceAgain) {
   LeaseOptions lease = Rig::Lease();
   lease.time_to_live = lease.margin + milliseconds(300);
-  lease.turn_gap = std::chrono::hours(1);
+  lease.handover_gap = std::chrono::hours(1);
   Rig rig(lease);
   rig.engine.TellBirth(At(10));
-  BOOST_TEST(rig.Ensure("a", kEnough, "i-1@10000") == "");
+  BOOST_TEST(rig.EnsureLoaded("a", kEnough, "i-1@10000") == "");
   rig.Pass(milliseconds(400));
-  BOOST_TEST(rig.Ensure("b", kEnough, "i-1@10000") == "not_holder");
+  BOOST_TEST(rig.EnsureLoaded("b", kEnough, "i-1@10000") == "not_holder");
   rig.store.LapseLeases();
-  RunTask(rig.io, rig.leases.KeepOnce());
-  BOOST_TEST(rig.Ensure("b", kEnough, "i-1@10000") == "");
+  RunTask(rig.io, rig.leases.RenewOnce());
+  BOOST_TEST(rig.EnsureLoaded("b", kEnough, "i-1@10000") == "");
 }
 
 /**
@@ -486,21 +486,21 @@
 BOOST_AUTO_TEST_CASE(AnEngineThatAnotherProcessOrderedIsNotOrderedAtOnce) {
   LeaseOptions lease = Rig::Lease();
   lease.time_to_live = lease.margin + milliseconds(300);
-  lease.turn_gap = std::chrono::hours(1);
+  lease.handover_gap = std::chrono::hours(1);
   Rig rig(lease);
   rig.engine.TellBirth(At(10));
-  BOOST_TEST(rig.Ensure("a", kEnough, "i-1@10000") == "");
+  BOOST_TEST(rig.EnsureLoaded("a", kEnough, "i-1@10000") == "");
   rig.Pass(milliseconds(400));
   EngineOrder foreign;
   foreign.kind = OrderKind::kUnload;
   foreign.model = core::ModelId("a");
   foreign.instance = fleet::InstanceId("i-1@10000");
   foreign.expected_count = 1;
-  const auto answer = RunTask(rig.io, rig.engine.Give(foreign));
+  const auto answer = RunTask(rig.io, rig.engine.Submit(foreign));
   BOOST_TEST((answer == OrderAnswer::kAccepted));
   rig.store.LapseLeases();
-  RunTask(rig.io, rig.leases.KeepOnce());
-  BOOST_TEST(rig.Ensure("b", kEnough, "i-1@10000") == "no_capacity");
+  RunTask(rig.io, rig.leases.RenewOnce());
+  BOOST_TEST(rig.EnsureLoaded("b", kEnough, "i-1@10000") == "no_capacity");
 }
 
 }  // namespace sapphire::orders
--- a/src/orders/engine_leases.cc
+++ b/src/orders/engine_leases.cc
@@ -22,7 +22,7 @@
  * The last order of the previous holder may have been sent just before its
  * lease ended and may have arrived this much later.
  */
-constexpr milliseconds kTurnMargin{500};
+constexpr milliseconds kHandoverMargin{500};
 
 std::string KeyOf(const std::string& engine) {
   return std::string(fleet::kEngineLeasePrefix) + engine;
@@ -30,36 +30,36 @@
 
 }  // namespace
 
-EngineLeases::EngineLeases(LeaseOptions options, AskRelease ask_release,
+EngineLeases::EngineLeases(LeaseOptions options, RequestRelease request_release,
                            external::KeyValueStore& store,
                            const core::Clock& clock, const core::Logger& log)
     : options_(std::move(options)),
-      ask_release_(std::move(ask_release)),
+      request_release_(std::move(request_release)),
       store_(store),
       clock_(clock),
       log_(log) {}
 
 core::Task<> EngineLeases::Run() {
   while (true) {
-    const std::uint64_t seen = wanted_changed_.epoch();
+    const std::uint64_t seen = requests_changed_.epoch();
     std::string failure;
     bool all_held = false;
     try {
-      all_held = co_await KeepOnce();
+      all_held = co_await RenewOnce();
     } catch (const Error& e) {
       failure = e.what();
     }
-    NoteFailure(failure);
-    co_await wanted_changed_.Wait(
+    LogFailureChange(failure);
+    co_await requests_changed_.Wait(
         seen, all_held ? options_.renew_pause : options_.retry_pause);
   }
 }
 
-core::Task<bool> EngineLeases::KeepOnce() {
+core::Task<bool> EngineLeases::RenewOnce() {
   if (engines_.empty() || !renewing_) co_return true;
-  co_await KeepStoreLease();
+  co_await RenewStoreLease();
   bool all_held = true;
-  for (const std::string& engine : Wanted()) {
+  for (const std::string& engine : RequestedEngines()) {
     const auto it = engines_.find(engine);
     const bool is_current = it != engines_.end() && it->second.revision != 0 &&
                             it->second.lease == lease_;
@@ -70,25 +70,25 @@
 }
 
 /** Renews the lease of the store, or grants a new one if it has ended. */
-core::Task<> EngineLeases::KeepStoreLease() {
+core::Task<> EngineLeases::RenewStoreLease() {
   const core::SteadyTime began = clock_.Now();
   if (!lease_.empty()) {
     const bool alive = co_await store_.KeepAlive(lease_);
     if (alive) {
-      valid_until_ = began + granted_ - options_.margin;
+      valid_until_ = began + granted_duration_ - options_.margin;
       co_return;
     }
-    NoteLeaseEnded();
+    RecordLeaseEnd();
   }
   const core::SteadyTime asked = clock_.Now();
   const external::KvLease lease =
       co_await store_.GrantLease(options_.time_to_live);
   lease_ = lease.id;
-  granted_ = lease.time_to_live;
-  valid_until_ = asked + granted_ - options_.margin;
+  granted_duration_ = lease.time_to_live;
+  valid_until_ = asked + granted_duration_ - options_.margin;
 }
 
-void EngineLeases::NoteLeaseEnded() {
+void EngineLeases::RecordLeaseEnd() {
   for (auto& [engine, held] : engines_) {
     if (held.lease == lease_) held.ended_lease_until = valid_until_;
   }
@@ -115,7 +115,7 @@
 core::Task<bool> EngineLeases::Claim(std::string engine) {
   external::CasResult result = co_await WriteKey(engine, 0);
   if (result.swapped) {
-    co_return co_await Keep(engine, result.revision, false);
+    co_return co_await CompleteClaim(engine, result.revision, false);
   }
   if (!result.current) co_return false;
   const gen::EngineHolder holder =
@@ -125,7 +125,7 @@
     // response was lost.
     result = co_await WriteKey(engine, result.current->revision);
     if (!result.swapped) co_return false;
-    co_return co_await Keep(engine, result.revision, true);
+    co_return co_await CompleteClaim(engine, result.revision, true);
   }
   log_.Event(LogLevel::kInfo, LogCategory::kReplica, "engine_lease_taken",
              {{"engine", engine},
@@ -134,12 +134,12 @@
   const auto it = engines_.find(engine);
   if (it != engines_.end()) {
     it->second.revision = 0;
-    it->second.was_others = true;
+    it->second.was_held_elsewhere = true;
   }
-  co_await ask_release_(holder, engine);
+  co_await request_release_(holder, engine);
   result = co_await WriteKey(engine, 0);
   if (!result.swapped) co_return false;
-  co_return co_await Keep(engine, result.revision, false);
+  co_return co_await CompleteClaim(engine, result.revision, false);
 }
 
 core::Task<external::CasResult> EngineLeases::WriteKey(std::string engine,
@@ -153,10 +153,11 @@
  * longer requested.
  * @return True if it is held.
  */
-core::Task<bool> EngineLeases::Keep(std::string engine, std::int64_t revision,
-                                    bool same_vm) {
+core::Task<bool> EngineLeases::CompleteClaim(std::string engine,
+                                             std::int64_t revision,
+                                             bool same_vm) {
   if (engines_.contains(engine)) {
-    NoteHeld(engine, revision, same_vm);
+    RecordHeld(engine, revision, same_vm);
     co_return true;
   }
   co_await store_.DeleteIf(KeyOf(engine), revision);
@@ -166,18 +167,19 @@
 /**
  * @param same_vm The previous holder was a process on this VM, which has ended.
  */
-void EngineLeases::NoteHeld(const std::string& engine, std::int64_t revision,
-                            bool same_vm) {
+void EngineLeases::RecordHeld(const std::string& engine, std::int64_t revision,
+                              bool same_vm) {
   const core::SteadyTime now = clock_.Now();
-  Held& held = engines_.at(engine);
+  LeaseState& held = engines_.at(engine);
   const bool unbroken = held.revision != 0 && now < ValidUntil(held);
   if (!unbroken) {
-    held.turn = same_vm ? now : now + options_.turn_gap + kTurnMargin;
+    held.orders_allowed_from =
+        same_vm ? now : now + options_.handover_gap + kHandoverMargin;
   }
   held.revision = revision;
   held.lease = lease_;
   const auto turn_left =
-      std::chrono::duration_cast<milliseconds>(held.turn - now);
+      std::chrono::duration_cast<milliseconds>(held.orders_allowed_from - now);
   log_.Event(LogLevel::kInfo, LogCategory::kReplica, "engine_lease_held",
              {{"engine", engine},
               {"fence", revision},
@@ -186,7 +188,7 @@
               {"turn_left_ms", std::max(turn_left, milliseconds(0))}});
 }
 
-void EngineLeases::NoteFailure(const std::string& failure) {
+void EngineLeases::LogFailureChange(const std::string& failure) {
   const bool failed = !failure.empty();
   if (failed == failing_) return;
   failing_ = failed;
@@ -198,8 +200,8 @@
              {{"left_ms", left}, {"error", failure}});
 }
 
-void EngineLeases::Want(const std::string& engine) {
-  if (engines_.try_emplace(engine).second) wanted_changed_.Notify();
+void EngineLeases::RequestLease(const std::string& engine) {
+  if (engines_.try_emplace(engine).second) requests_changed_.Notify();
 }
 
 core::Task<> EngineLeases::Release(std::string engine) {
@@ -213,15 +215,17 @@
   co_await store_.DeleteIf(KeyOf(engine), revision);
 }
 
-void EngineLeases::Forget(const std::string& engine) { engines_.erase(engine); }
+void EngineLeases::CancelRequest(const std::string& engine) {
+  engines_.erase(engine);
+}
 
-std::vector<std::string> EngineLeases::Wanted() const {
+std::vector<std::string> EngineLeases::RequestedEngines() const {
   std::vector<std::string> wanted;
   for (const auto& [engine, held] : engines_) wanted.push_back(engine);
   return wanted;
 }
 
-core::SteadyTime EngineLeases::ValidUntil(const Held& held) const {
+core::SteadyTime EngineLeases::ValidUntil(const LeaseState& held) const {
   return held.lease == lease_ ? valid_until_ : held.ended_lease_until;
 }
 
@@ -231,7 +235,7 @@
          clock_.Now() < ValidUntil(it->second);
 }
 
-const EngineLeases::Held& EngineLeases::Require(
+const EngineLeases::LeaseState& EngineLeases::RequireHeld(
     const std::string& engine) const {
   if (!Holds(engine)) {
     throw Error(ErrorCode::kNotHolder, engine + ": its lease is not held here");
@@ -239,21 +243,22 @@
   return engines_.at(engine);
 }
 
-milliseconds EngineLeases::TurnLeft(const std::string& engine,
-                                    bool untouched) const {
-  const Held& held = Require(engine);
-  if (untouched && !held.was_others) return milliseconds(0);
-  const auto left = std::chrono::ceil<milliseconds>(held.turn - clock_.Now());
+milliseconds EngineLeases::HandoverDelay(const std::string& engine,
+                                         bool no_foreign_orders) const {
+  const LeaseState& held = RequireHeld(engine);
+  if (no_foreign_orders && !held.was_held_elsewhere) return milliseconds(0);
+  const auto left =
+      std::chrono::ceil<milliseconds>(held.orders_allowed_from - clock_.Now());
   return std::max(left, milliseconds(0));
 }
 
-std::int64_t EngineLeases::Fence(const std::string& engine,
-                                 bool untouched) const {
-  if (TurnLeft(engine, untouched) > milliseconds(0)) {
+std::int64_t EngineLeases::FencingToken(const std::string& engine,
+                                        bool no_foreign_orders) const {
+  if (HandoverDelay(engine, no_foreign_orders) > milliseconds(0)) {
     throw Error(ErrorCode::kNotHolder,
                 engine + ": the VM before may still have ordered");
   }
-  return Require(engine).revision;
+  return RequireHeld(engine).revision;
 }
 
 }  // namespace sapphire::orders
--- a/src/orders/engine_leases_base.h
+++ b/src/orders/engine_leases_base.h
@@ -35,7 +35,7 @@
    */
   std::chrono::milliseconds margin{1500};
   /** Minimum time between orders of two VMs to one engine. */
-  std::chrono::milliseconds turn_gap{3000};
+  std::chrono::milliseconds handover_gap{3000};
 };
 
 /**
@@ -53,11 +53,11 @@
    * Asks the holder on another VM to release the engine; completes when the
    * engine is released or the holder cannot be reached.
    */
-  using AskRelease = std::function<core::Task<>(const gen::EngineHolder& holder,
-                                                const std::string& engine)>;
+  using RequestRelease = std::function<core::Task<>(
+      const gen::EngineHolder& holder, const std::string& engine)>;
 
   /** @pre All references outlive the leases. */
-  EngineLeases(LeaseOptions options, AskRelease ask_release,
+  EngineLeases(LeaseOptions options, RequestRelease request_release,
                external::KeyValueStore& store, const core::Clock& clock,
                const core::Logger& log);
 
@@ -68,81 +68,83 @@
    * Runs one round of Run.
    * @return True if all requested leases are held.
    */
-  core::Task<bool> KeepOnce();
+  core::Task<bool> RenewOnce();
 
   /** Stops all renewals, so that the held leases expire. */
   void StopRenewing() { renewing_ = false; }
 
   /** Requests the engine's lease, which Run then claims and renews. */
-  void Want(const std::string& engine);
+  void RequestLease(const std::string& engine);
 
   /** Gives the lease back. @pre No order under it is open. */
   core::Task<> Release(std::string engine);
 
   /** Stops requesting a lease that another process holds. */
-  void Forget(const std::string& engine);
+  void CancelRequest(const std::string& engine);
 
   /** @return The engines whose leases are requested. */
-  [[nodiscard]] std::vector<std::string> Wanted() const;
+  [[nodiscard]] std::vector<std::string> RequestedEngines() const;
 
-  /** @return True if the lease is held now, even if TurnLeft is not yet 0. */
+  /** @return True if the lease is held now, even if HandoverDelay is not yet 0.
+   */
   [[nodiscard]] bool Holds(const std::string& engine) const;
 
   /**
-   * @param untouched The engine is known to have accepted no order of another
-   *   process, so no time between orders has to be kept.
+   * @param no_foreign_orders The engine is known to have accepted no order of
+   * another process, so no time between orders has to be kept.
    * @return How long to wait before an order may be sent; 0: it may be sent
    *   now.
    * @throws core::Error kNotHolder if the lease is not held.
    */
-  [[nodiscard]] std::chrono::milliseconds TurnLeft(const std::string& engine,
-                                                   bool untouched) const;
+  [[nodiscard]] std::chrono::milliseconds HandoverDelay(
+      const std::string& engine, bool no_foreign_orders) const;
 
   /**
    * @return The fencing token of an order that is sent now.
    * @throws core::Error kNotHolder if no order may be sent now.
    */
-  [[nodiscard]] std::int64_t Fence(const std::string& engine,
-                                   bool untouched) const;
+  [[nodiscard]] std::int64_t FencingToken(const std::string& engine,
+                                          bool no_foreign_orders) const;
 
  private:
-  struct Held {
+  struct LeaseState {
     /** Revision of the engine's key; 0: not held. */
     std::int64_t revision = 0;
     /** Lease of the store under which the key was written. */
     std::string lease;
     /** When the store lease ends, if it can no longer be renewed. */
     core::SteadyTime ended_lease_until;
-    core::SteadyTime turn;
+    core::SteadyTime orders_allowed_from;
     /** Another VM has been seen to hold the lease. */
-    bool was_others = false;
+    bool was_held_elsewhere = false;
   };
 
-  core::Task<> KeepStoreLease();
+  core::Task<> RenewStoreLease();
   core::Task<bool> TryClaim(std::string engine);
   core::Task<bool> Claim(std::string engine);
-  core::Task<bool> Keep(std::string engine, std::int64_t revision,
-                        bool same_vm);
+  core::Task<bool> CompleteClaim(std::string engine, std::int64_t revision,
+                                 bool same_vm);
   core::Task<external::CasResult> WriteKey(std::string engine,
                                            std::int64_t expected);
-  void NoteHeld(const std::string& engine, std::int64_t revision, bool same_vm);
-  void NoteLeaseEnded();
-  void NoteFailure(const std::string& failure);
-  [[nodiscard]] core::SteadyTime ValidUntil(const Held& held) const;
-  [[nodiscard]] const Held& Require(const std::string& engine) const;
+  void RecordHeld(const std::string& engine, std::int64_t revision,
+                  bool same_vm);
+  void RecordLeaseEnd();
+  void LogFailureChange(const std::string& failure);
+  [[nodiscard]] core::SteadyTime ValidUntil(const LeaseState& held) const;
+  [[nodiscard]] const LeaseState& RequireHeld(const std::string& engine) const;
 
   const LeaseOptions options_;
-  const AskRelease ask_release_;
+  const RequestRelease request_release_;
   external::KeyValueStore& store_;
   const core::Clock& clock_;
   const core::Logger& log_;
-  std::map<std::string, Held> engines_;
+  std::map<std::string, LeaseState> engines_;
   /** Lease of the store; empty: none. */
   std::string lease_;
   /** Duration of the store lease after each renewal. */
-  std::chrono::milliseconds granted_{0};
+  std::chrono::milliseconds granted_duration_{0};
   core::SteadyTime valid_until_;
-  core::Signal wanted_changed_;
+  core::Signal requests_changed_;
   bool failing_ = false;
   bool renewing_ = true;
 };
--- a/src/orders/engine_leases_test.cc
+++ b/src/orders/engine_leases_test.cc
@@ -20,7 +20,7 @@
 using std::chrono::seconds;
 
 const std::string kEngine("10.0.0.1:80");
-constexpr milliseconds kTurnGap{3000};
+constexpr milliseconds kHandoverGap{3000};
 
 /** The endpoint process, an entry and their store, on a manual clock. */
 struct Rig {
@@ -35,14 +35,14 @@
     LeaseOptions options;
     options.self.vm = vm;
     options.self.address = address;
-    options.turn_gap = kTurnGap;
+    options.handover_gap = kHandoverGap;
     auto leases = std::make_unique<EngineLeases>(
         options,
         [this](const gen::EngineHolder& holder, const std::string&) {
           return NoteAsked(holder.vm);
         },
         store, clock, log);
-    leases->Want(kEngine);
+    leases->RequestLease(kEngine);
     return leases;
   }
 
@@ -61,7 +61,7 @@
   /** @return True if all requested leases are held; false also on a failure. */
   bool Keep(EngineLeases& leases) {
     try {
-      return RunTask(io, leases.KeepOnce());
+      return RunTask(io, leases.RenewOnce());
     } catch (const core::Error&) {
       return false;
     }
@@ -92,7 +92,7 @@
 
   static std::optional<std::int64_t> FenceOf(const EngineLeases& leases) {
     try {
-      return leases.Fence(kEngine, false);
+      return leases.FencingToken(kEngine, false);
     } catch (const core::Error&) {
       return std::nullopt;
     }
@@ -143,7 +143,7 @@
 
 /**
  * Guards against alternating orders of two processes: the last order of one
- * holder and the first order of the next are kTurnGap apart.
+ * holder and the first order of the next are kHandoverGap apart.
  */
 BOOST_AUTO_TEST_CASE(TheNextHolderWaitsForItsTurn) {
   Rig rig;
@@ -157,7 +157,7 @@
     if (rig.MayOrder(*endpoint)) last = rig.clock.Now();
     BOOST_REQUIRE((rig.clock.Now() - last < seconds(60)));
   }
-  BOOST_TEST((rig.clock.Now() - last >= kTurnGap));
+  BOOST_TEST((rig.clock.Now() - last >= kHandoverGap));
 }
 
 /**
@@ -205,8 +205,8 @@
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
   rig.Keep(*endpoint);
-  BOOST_TEST((endpoint->TurnLeft(kEngine, false) > milliseconds(0)));
-  BOOST_TEST((endpoint->TurnLeft(kEngine, true) == milliseconds(0)));
+  BOOST_TEST((endpoint->HandoverDelay(kEngine, false) > milliseconds(0)));
+  BOOST_TEST((endpoint->HandoverDelay(kEngine, true) == milliseconds(0)));
 }
 
 /** Guards against refused loads during an outage of the store. */
@@ -261,10 +261,10 @@
   Rig rig;
   const auto entry = rig.StartEntry();
   entry::testing::Outcome<bool> claim;
-  entry::testing::StartTask(rig.io, entry->KeepOnce(), claim);
+  entry::testing::StartTask(rig.io, entry->RenewOnce(), claim);
   rig.io.restart();
   rig.io.run_one();
-  entry->Forget(kEngine);
+  entry->CancelRequest(kEngine);
   while (!claim.value && !claim.failure) rig.io.run_one();
   BOOST_TEST(rig.store.Keys("engine-leases/").empty());
 }
--- a/src/orders/engine_port_base.h
+++ b/src/orders/engine_port_base.h
@@ -18,7 +18,7 @@
 namespace sapphire::orders {
 
 /** An adapter that the engine is loading. */
-struct ComingAdapter {
+struct LoadingAdapter {
   core::ModelId model;
   core::AdapterId adapter;
 };
@@ -26,12 +26,12 @@
 /** State of an engine, as it reports itself. */
 struct EngineReport {
   /** When the engine started; empty if it does not report that. */
-  std::optional<fleet::EngineBirth> born;
+  std::optional<fleet::EngineBirth> start_time;
   bool order_in_progress = false;
   /** Orders accepted since the engine's start. */
   std::int64_t order_count = 0;
   std::vector<fleet::HeldModel> models;
-  std::vector<ComingAdapter> coming;
+  std::vector<LoadingAdapter> loading;
   fleet::NearCopies copies;
   int running = 0;
   int waiting = 0;
@@ -78,7 +78,7 @@
    *   kEngineUnavailable (it was never sent), kOutcomeUnknown (it may be
    *   carried out, possibly seconds later).
    */
-  virtual core::Task<OrderAnswer> Give(EngineOrder order) = 0;
+  virtual core::Task<OrderAnswer> Submit(EngineOrder order) = 0;
 };
 
 /** Creates the port to the engine at an address, "ip:port". */
--- a/src/orders/memory_plan.cc
+++ b/src/orders/memory_plan.cc
@@ -12,11 +12,11 @@
 /**
  * An adapter that was loaded for a caller within this time is about to be used.
  */
-constexpr std::chrono::milliseconds kJustUsed{700};
+constexpr std::chrono::milliseconds kAdapterKeepTime{700};
 
-fleet::Usage UseOf(const MemoryState& state, const fleet::UsedPart& part) {
-  const auto it = state.use.find(part);
-  return it == state.use.end() ? fleet::Usage() : it->second;
+fleet::Usage UsageOf(const MemoryState& state, const fleet::UsedPart& part) {
+  const auto it = state.usage.find(part);
+  return it == state.usage.end() ? fleet::Usage() : it->second;
 }
 
 bool UsedWithin(const fleet::Usage& usage, core::SteadyTime now,
@@ -39,19 +39,19 @@
   });
 }
 
-std::int64_t OpenBytes(const MemoryState& state, const EngineOrder& load) {
+std::int64_t PendingBytes(const MemoryState& state, const EngineOrder& load) {
   if (Holds(*state.report, load)) return 0;
-  return load.adapter.empty() ? BytesOf(*state.spec, load.model)
+  return load.adapter.empty() ? ModelBytes(*state.spec, load.model)
                               : AdapterBytes(*state.spec, load.model);
 }
 
-int AdaptersTaken(const MemoryState& state) {
-  auto taken = state.report->coming.size();
+int CommittedAdapters(const MemoryState& state) {
+  auto taken = state.report->loading.size();
   for (const fleet::HeldModel& it : state.report->models) {
     taken += it.adapters.size();
   }
   taken += static_cast<std::size_t>(
-      std::ranges::count_if(state.open_loads, [&](const EngineOrder& it) {
+      std::ranges::count_if(state.pending_loads, [&](const EngineOrder& it) {
         return !it.adapter.empty() && !Holds(*state.report, it);
       }));
   return static_cast<int>(taken);
@@ -59,8 +59,8 @@
 
 }  // namespace
 
-std::int64_t BytesOf(const routing::EngineSpec& spec,
-                     const core::ModelId& model) {
+std::int64_t ModelBytes(const routing::EngineSpec& spec,
+                        const core::ModelId& model) {
   const auto it = spec.models.find(model);
   if (it != spec.models.end()) return it->second.bytes;
   std::int64_t largest = 0;
@@ -70,32 +70,33 @@
   return largest;
 }
 
-std::int64_t BytesTaken(const MemoryState& state) {
+std::int64_t CommittedBytes(const MemoryState& state) {
   std::int64_t taken = 0;
-  for (const EngineOrder& it : state.open_loads) taken += OpenBytes(state, it);
+  for (const EngineOrder& it : state.pending_loads)
+    taken += PendingBytes(state, it);
   for (const fleet::HeldModel& it : state.report->models) {
-    taken += BytesOf(*state.spec, it.model);
+    taken += ModelBytes(*state.spec, it.model);
     taken += static_cast<std::int64_t>(it.adapters.size()) *
              AdapterBytes(*state.spec, it.model);
   }
-  for (const ComingAdapter& it : state.report->coming) {
+  for (const LoadingAdapter& it : state.report->loading) {
     taken += AdapterBytes(*state.spec, it.model);
   }
   return taken;
 }
 
 bool ModelFits(const MemoryState& state, const core::ModelId& model) {
-  return BytesTaken(state) + BytesOf(*state.spec, model) <=
+  return CommittedBytes(state) + ModelBytes(*state.spec, model) <=
          state.spec->memory_bytes;
 }
 
-std::optional<core::ModelId> ChooseUnload(
+std::optional<core::ModelId> ChooseModelToUnload(
     const MemoryState& state, const std::vector<core::ModelId>& preferred,
     const core::ModelId& keep) {
   const fleet::HeldModel* best = nullptr;
   double best_demand = 0;
   for (const fleet::HeldModel& it : state.report->models) {
-    const fleet::Usage usage = UseOf(state, {it.model, core::AdapterId()});
+    const fleet::Usage usage = UsageOf(state, {it.model, core::AdapterId()});
     if (it.model == keep) continue;
     if (UsedWithin(usage, state.now, policy::kKeptAfterUse)) continue;
     const bool requested =
@@ -112,22 +113,22 @@
 }
 
 bool AdapterFits(const MemoryState& state, const core::ModelId& model) {
-  if (AdaptersTaken(state) >= state.spec->max_adapters) return false;
-  return BytesTaken(state) + AdapterBytes(*state.spec, model) <=
+  if (CommittedAdapters(state) >= state.spec->max_adapters) return false;
+  return CommittedBytes(state) + AdapterBytes(*state.spec, model) <=
          state.spec->memory_bytes;
 }
 
-std::optional<ComingAdapter> ChooseAdapterUnload(const MemoryState& state) {
-  std::optional<ComingAdapter> best;
+std::optional<LoadingAdapter> ChooseAdapterToUnload(const MemoryState& state) {
+  std::optional<LoadingAdapter> best;
   core::SteadyTime best_used;
   for (const fleet::HeldModel& held : state.report->models) {
     for (const core::AdapterId& adapter : held.adapters) {
-      const fleet::Usage usage = UseOf(state, {held.model, adapter});
-      if (UsedWithin(usage, state.now, kJustUsed)) continue;
+      const fleet::Usage usage = UsageOf(state, {held.model, adapter});
+      if (UsedWithin(usage, state.now, kAdapterKeepTime)) continue;
       const core::SteadyTime used =
           usage.last_begun.value_or(core::SteadyTime());
       if (best && used >= best_used) continue;
-      best = ComingAdapter{held.model, adapter};
+      best = LoadingAdapter{held.model, adapter};
       best_used = used;
     }
   }
--- a/src/orders/memory_plan_func.h
+++ b/src/orders/memory_plan_func.h
@@ -21,24 +21,24 @@
   /**
    * Usage as far as the requesting entry knows it; missing parts are unused.
    */
-  fleet::UsageTable use;
+  fleet::UsageTable usage;
   /**
    * Loads that the report does not show yet: not yet received, in progress, or
    * of unknown outcome. Each may still take up its memory.
    */
-  std::vector<EngineOrder> open_loads;
+  std::vector<EngineOrder> pending_loads;
   core::SteadyTime now;
 };
 
 /** @return Bytes held, being loaded, or possibly still to be loaded. */
-std::int64_t BytesTaken(const MemoryState& state);
+std::int64_t CommittedBytes(const MemoryState& state);
 
 /**
  * @return Bytes of a model; for an undeclared one, those of the largest
  *   declared.
  */
-std::int64_t BytesOf(const routing::EngineSpec& spec,
-                     const core::ModelId& model);
+std::int64_t ModelBytes(const routing::EngineSpec& spec,
+                        const core::ModelId& model);
 
 /** @return True if the model fits without an unload. */
 bool ModelFits(const MemoryState& state, const core::ModelId& model);
@@ -50,7 +50,7 @@
  * @return The next model to unload: unused, and not loaded for a caller a
  *   moment ago; empty if there is none.
  */
-std::optional<core::ModelId> ChooseUnload(
+std::optional<core::ModelId> ChooseModelToUnload(
     const MemoryState& state, const std::vector<core::ModelId>& preferred,
     const core::ModelId& keep);
 
@@ -64,7 +64,7 @@
  * @return The least recently used adapter that is currently unused; empty if
  *   there is none.
  */
-std::optional<ComingAdapter> ChooseAdapterUnload(const MemoryState& state);
+std::optional<LoadingAdapter> ChooseAdapterToUnload(const MemoryState& state);
 
 }  // namespace sapphire::orders
 
--- a/src/orders/order_lane.cc
+++ b/src/orders/order_lane.cc
@@ -6,21 +6,21 @@
 namespace {
 
 /** Upper bound for one wait; the signal wakes the coroutine earlier. */
-constexpr std::chrono::seconds kLongWait{60};
+constexpr std::chrono::seconds kMaxWait{60};
 
 }  // namespace
 
-core::Task<> OrderLane::Await() {
+core::Task<> FifoMutex::Acquire() {
   const std::uint64_t ticket = next_ticket_++;
   while (serving_ != ticket) {
-    const std::uint64_t epoch = moved_.epoch();
-    co_await moved_.Wait(epoch, kLongWait);
+    const std::uint64_t epoch = unlocked_.epoch();
+    co_await unlocked_.Wait(epoch, kMaxWait);
   }
 }
 
-void OrderLane::Next() {
+void FifoMutex::Unlock() {
   ++serving_;
-  moved_.Notify();
+  unlocked_.Notify();
 }
 
 }  // namespace sapphire::orders
--- a/src/orders/order_lane_base.h
+++ b/src/orders/order_lane_base.h
@@ -13,37 +13,37 @@
  * A mutex that coroutines acquire in the order of their requests. Used on one
  * thread.
  */
-class OrderLane {
+class FifoMutex {
  public:
   /** Holds the mutex until it is destroyed. */
-  class Turn {
+  class Lock {
    public:
-    explicit Turn(OrderLane& lane) : lane_(lane) {}
-    ~Turn() { lane_.Next(); }
-    Turn(const Turn&) = delete;
-    Turn& operator=(const Turn&) = delete;
+    explicit Lock(FifoMutex& mutex) : mutex_(mutex) {}
+    ~Lock() { mutex_.Unlock(); }
+    Lock(const Lock&) = delete;
+    Lock& operator=(const Lock&) = delete;
 
    private:
-    OrderLane& lane_;
+    FifoMutex& mutex_;
   };
 
   /**
    * Waits until all earlier requests have released the mutex; the caller then
-   * constructs a Turn at once.
+   * constructs a Lock at once.
    */
-  core::Task<> Await();
+  core::Task<> Acquire();
 
   /** @return Number of coroutines that wait for the mutex or hold it. */
-  [[nodiscard]] int length() const {
+  [[nodiscard]] int queue_length() const {
     return static_cast<int>(next_ticket_ - serving_);
   }
 
  private:
-  void Next();
+  void Unlock();
 
   std::uint64_t next_ticket_ = 0;
   std::uint64_t serving_ = 0;
-  core::Signal moved_;
+  core::Signal unlocked_;
 };
 
 }  // namespace sapphire::orders
--- a/src/orders/order_service_base.h
+++ b/src/orders/order_service_base.h
@@ -15,10 +15,11 @@
 namespace sapphire::orders {
 
 /** @return The load request in a message that was received at `now`. */
-LoadRequest ReadLoadRequest(const gen::EnsureModel& told, core::SteadyTime now);
+LoadRequest ReadLoadRequest(const gen::EnsureModel& message,
+                            core::SteadyTime now);
 
 /** Callbacks of the service. */
-struct OrderServiceParts {
+struct OrderServiceCallbacks {
   /**
    * Returns the controller of an engine.
    * @throws core::Error kNotHolder if this process does not control the engine.
@@ -36,15 +37,15 @@
    * @pre The objects behind the callbacks, and `clock`, outlive the service and
    *   its calls.
    */
-  OrderService(OrderServiceParts parts, const core::Clock& clock);
+  OrderService(OrderServiceCallbacks callbacks, const core::Clock& clock);
 
   /** Handles a call on a link: EnsureModel or ReleaseEngine. */
-  core::Task<> Answer(std::shared_ptr<link::Call> call, gen::Message first);
+  core::Task<> HandleCall(std::shared_ptr<link::Call> call, gen::Message first);
 
  private:
-  core::Task<gen::Message> AnswerTo(gen::Message first);
+  core::Task<gen::Message> HandleMessage(gen::Message first);
 
-  const OrderServiceParts parts_;
+  const OrderServiceCallbacks callbacks_;
   const core::Clock& clock_;
 };
 
--- a/src/orders/order_time.cc
+++ b/src/orders/order_time.cc
@@ -11,17 +11,17 @@
 namespace {
 
 /**
- * An overdue load is expected to take another 1/kOverdueShare of the time that
- * it has taken so far.
+ * An overdue load is expected to take another 1/kOverdueDivisor of the time
+ * that it has taken so far.
  */
-constexpr int kOverdueShare = 3;
+constexpr int kOverdueDivisor = 3;
 /**
  * A load that exceeds the longest configured load time from disk by more than
  * this is assumed to be from the weight store.
  */
 constexpr milliseconds kDiskSlack{500};
 /** Shortest remaining time reported for an order that may end any moment. */
-constexpr milliseconds kSoonOver{200};
+constexpr milliseconds kMinTimeLeft{200};
 /**
  * @return How much longer an operation is expected to take that began at
  *   `began` and usually ends at `usual_end`.
@@ -32,7 +32,8 @@
   if (usual.count() > 0) return usual;
   // An overdue load is likely to take longer still: a load from the weight
   // store takes twice its time while others run.
-  return std::chrono::duration_cast<milliseconds>(now - began) / kOverdueShare;
+  return std::chrono::duration_cast<milliseconds>(now - began) /
+         kOverdueDivisor;
 }
 
 /**
@@ -44,7 +45,7 @@
   milliseconds remote{0};
 };
 
-LongestLoads LongestOf(const routing::EngineSpec* spec) {
+LongestLoads FindLongestLoads(const routing::EngineSpec* spec) {
   LongestLoads longest;
   if (spec == nullptr) return longest;
   for (const auto& [id, model] : spec->models) {
@@ -56,8 +57,8 @@
 
 }  // namespace
 
-milliseconds TimeOfLoadRequests(std::span<const OpenLoadRequest> load_requests,
-                                core::SteadyTime now) {
+milliseconds LoadRequestsTimeLeft(
+    std::span<const OpenLoadRequest> load_requests, core::SteadyTime now) {
   milliseconds left{0};
   for (const OpenLoadRequest& load_request : load_requests) {
     left = std::max(left,
@@ -66,32 +67,33 @@
   return left;
 }
 
-milliseconds ForeignOrderLeft(std::optional<core::SteadyTime> since,
-                              const routing::EngineSpec* spec,
-                              core::SteadyTime now) {
+milliseconds ForeignOrderTimeLeft(std::optional<core::SteadyTime> since,
+                                  const routing::EngineSpec* spec,
+                                  core::SteadyTime now) {
   if (!since) return milliseconds(0);
-  const LongestLoads longest = LongestOf(spec);
+  const LongestLoads longest = FindLongestLoads(spec);
   // Most loads are from disk, and this one began before it was first seen.
   const core::SteadyTime from_disk = *since + longest.disk;
   if (now < from_disk + kDiskSlack) {
     const auto left = std::chrono::duration_cast<milliseconds>(from_disk - now);
-    return std::max(left, kSoonOver);
+    return std::max(left, kMinTimeLeft);
   }
   return ExpectedLeft(*since, *since + longest.remote, now);
 }
 
-policy::Tier TierOf(const EngineReport& engine, const core::ModelId& model) {
+policy::Tier NearestTier(const EngineReport& engine,
+                         const core::ModelId& model) {
   if (engine.copies.in_memory.contains(model)) return policy::Tier::kMemory;
   if (engine.copies.on_disk.contains(model)) return policy::Tier::kDisk;
   return policy::Tier::kRemote;
 }
 
-milliseconds LoadTime(const EngineReport& engine,
-                      const routing::EngineSpec* spec,
-                      const core::ModelId& model) {
+milliseconds ExpectedLoadTime(const EngineReport& engine,
+                              const routing::EngineSpec* spec,
+                              const core::ModelId& model) {
   if (spec == nullptr || !spec->models.contains(model)) return milliseconds(0);
   return policy::LoadTimeFrom(spec->models.at(model).load_times,
-                              TierOf(engine, model));
+                              NearestTier(engine, model));
 }
 
 }  // namespace sapphire::orders
--- a/src/orders/order_time_func.h
+++ b/src/orders/order_time_func.h
@@ -28,24 +28,25 @@
  *   this controller. The order counts as a load from disk at first, as most
  *   are, and later as one from the weight store.
  */
-std::chrono::milliseconds ForeignOrderLeft(
+std::chrono::milliseconds ForeignOrderTimeLeft(
     std::optional<core::SteadyTime> since, const routing::EngineSpec* spec,
     core::SteadyTime now);
 
 /**
  * @return Time until the last of these requests is expected to be fulfilled.
  */
-std::chrono::milliseconds TimeOfLoadRequests(
+std::chrono::milliseconds LoadRequestsTimeLeft(
     std::span<const OpenLoadRequest> load_requests, core::SteadyTime now);
 
 /** @return The nearest tier from which the engine can load the model. */
-policy::Tier TierOf(const EngineReport& engine, const core::ModelId& model);
+policy::Tier NearestTier(const EngineReport& engine,
+                         const core::ModelId& model);
 
 /** @return How long a load of the model usually takes; 0 if it is not
  * configured. */
-std::chrono::milliseconds LoadTime(const EngineReport& engine,
-                                   const routing::EngineSpec* spec,
-                                   const core::ModelId& model);
+std::chrono::milliseconds ExpectedLoadTime(const EngineReport& engine,
+                                           const routing::EngineSpec* spec,
+                                           const core::ModelId& model);
 
 }  // namespace sapphire::orders
 
--- a/src/orders/testing_engine.h
+++ b/src/orders/testing_engine.h
@@ -30,8 +30,8 @@
     co_return report_;
   }
 
-  core::Task<OrderAnswer> Give(EngineOrder order) override {
-    ++orders_given;
+  core::Task<OrderAnswer> Submit(EngineOrder order) override {
+    ++orders_submitted;
     co_await core::SleepFor(answer_delay);
     Advance();
     if (lose_next_answer) {
@@ -49,7 +49,7 @@
   /** How long the engine takes to answer an order. */
   std::chrono::milliseconds answer_delay{0};
   fleet::InstanceId instance{"i-1"};
-  int orders_given = 0;
+  int orders_submitted = 0;
   /** An order exceeded its memory, which crashes a real engine. */
   bool over_memory = false;
 
@@ -69,15 +69,17 @@
   }
 
   /** Reports this start time from now on. */
-  void TellBirth(fleet::EngineBirth born) { report_.born = born; }
+  void TellBirth(fleet::EngineBirth start_time) {
+    report_.start_time = start_time;
+  }
 
   /**
    * Crashes and restarts at once under the same id, empty and with an order
    * count of 0. Delayed orders still arrive.
    */
-  void RestartAt(fleet::EngineBirth born) {
+  void RestartAt(fleet::EngineBirth start_time) {
     report_ = EngineReport();
-    report_.born = born;
+    report_.start_time = start_time;
     loading_.reset();
     adapters_.clear();
   }
@@ -123,7 +125,7 @@
     if (HeldOf(order.model) == nullptr) return OrderAnswer::kBusy;
     ++report_.order_count;
     adapters_.push_back({order, Now() + load_time});
-    ShowComing();
+    UpdateLoadingAdapters();
     return OrderAnswer::kAccepted;
   }
 
@@ -142,13 +144,13 @@
         held->adapters.insert(it.order.adapter);
       }
     }
-    ShowComing();
+    UpdateLoadingAdapters();
   }
 
-  void ShowComing() {
-    report_.coming.clear();
+  void UpdateLoadingAdapters() {
+    report_.loading.clear();
     for (const Late& it : adapters_) {
-      report_.coming.push_back({it.order.model, it.order.adapter});
+      report_.loading.push_back({it.order.model, it.order.adapter});
     }
   }
 
--- a/src/serving/front.cc
+++ b/src/serving/front.cc
@@ -59,8 +59,9 @@
   return pool;
 }
 
-orders::OrderServiceParts OrderServicePartsOf(orders::ControllerPool& pool) {
-  orders::OrderServiceParts parts;
+orders::OrderServiceCallbacks OrderServicePartsOf(
+    orders::ControllerPool& pool) {
+  orders::OrderServiceCallbacks parts;
   parts.find = [&pool](const fleet::InstanceId& instance) {
     return pool.Find(instance);
   };
@@ -199,7 +200,7 @@
       links_(
           executor, LinkOptionsOf(options_),
           [this](std::shared_ptr<link::Call> call, gen::Message first) {
-            return order_service_.Answer(std::move(call), std::move(first));
+            return order_service_.HandleCall(std::move(call), std::move(first));
           },
           link::NoVersions(), clock, log),
       calls_(
@@ -356,7 +357,7 @@
 core::Task<> Front::EnsureHere(gen::EnsureModel load_request) {
   const auto controller =
       pool_.Find(fleet::InstanceId(load_request.engine_instance));
-  co_await controller->Ensure(
+  co_await controller->EnsureLoaded(
       orders::ReadLoadRequest(load_request, clock_.Now()));
 }
 
