--- a/src/orders/engine_controller.cc
+++ b/src/orders/engine_controller.cc
@@ -408,8 +408,9 @@
   const bool may_order =
       leases_.Holds(engine) &&
       leases_.HandoverDelay(engine, HasNoForeignOrders()) == milliseconds(0);
-  if (may_order)
+  if (may_order) {
     last_held_state_ = HeldState{report_.start_time, report_.order_count};
+  }
 }
 
 /**
--- a/src/orders/memory_plan.cc
+++ b/src/orders/memory_plan.cc
@@ -72,8 +72,9 @@
 
 std::int64_t CommittedBytes(const MemoryState& state) {
   std::int64_t taken = 0;
-  for (const EngineOrder& it : state.pending_loads)
+  for (const EngineOrder& it : state.pending_loads) {
     taken += PendingBytes(state, it);
+  }
   for (const fleet::HeldModel& it : state.report->models) {
     taken += ModelBytes(*state.spec, it.model);
     taken += static_cast<std::int64_t>(it.adapters.size()) *
--- a/src/orders/order_service.cc
+++ b/src/orders/order_service.cc
@@ -17,8 +17,9 @@
   load_request.model = core::ModelId(message.model);
   load_request.adapter = core::AdapterId(message.adapter);
   load_request.instance = fleet::InstanceId(message.engine_instance);
-  for (const std::string& it : message.evict)
+  for (const std::string& it : message.evict) {
     load_request.evict.emplace_back(it);
+  }
   for (const gen::ResidentUse& it : message.resident_use) {
     load_request.usage[fleet::PartOf(it)] = fleet::ReadUse(it, now);
   }
