--- a/deploy/soak/soak_caller.cc
+++ b/deploy/soak/soak_caller.cc
@@ -14,7 +14,7 @@
 using platform::kDeadline;
 using platform::kModel;
 using platform::kRequestId;
-using platform::kStamp;
+using platform::kResponseStamp;
 using platform::kTokenCount;
 using routing::RequestKind;
 
@@ -158,8 +158,8 @@
     }
   }
   attempt.end = AttemptEnd::kServed;
-  attempt.spoiled =
-      body != whole || !http::FindHeader(head.headers, kStamp).has_value();
+  attempt.spoiled = body != whole ||
+                    !http::FindHeader(head.headers, kResponseStamp).has_value();
 }
 
 }  // namespace sapphire::deploy::soak
--- a/deploy/soak/soak_engine.cc
+++ b/deploy/soak/soak_engine.cc
@@ -20,7 +20,7 @@
 using platform::kNotRun;
 using platform::kOrganisation;
 using platform::kRequestId;
-using platform::kStamp;
+using platform::kResponseStamp;
 using platform::kTokenCount;
 
 namespace {
@@ -177,7 +177,7 @@
 http::ResponseHead SoakEngine::Mark(const std::string& id) const {
   http::ResponseHead head;
   head.headers.push_back({std::string(kRequestId), id});
-  head.headers.push_back({std::string(kStamp), "soak"});
+  head.headers.push_back({std::string(kResponseStamp), "soak"});
   head.headers.push_back({std::string(kInstance), instance_});
   return head;
 }
--- a/deploy/soak/soak_faults.cc
+++ b/deploy/soak/soak_faults.cc
@@ -209,13 +209,13 @@
   }
   const core::SteadyTime now = clock_.Now();
   record_.store_disturbed.push_back({now, now + fault.length});
-  store_.trouble = fault.kind == FaultKind::kStoreBusy
-                       ? platform::testing::Trouble::kBusy
-                   : fault.kind == FaultKind::kStoreSilent
-                       ? platform::testing::Trouble::kSilent
-                       : platform::testing::Trouble::kAnswerLost;
+  store_.fault = fault.kind == FaultKind::kStoreBusy
+                     ? platform::testing::Fault::kBusy
+                 : fault.kind == FaultKind::kStoreSilent
+                     ? platform::testing::Fault::kSilent
+                     : platform::testing::Fault::kAnswerLost;
   co_await core::SleepFor(fault.length);
-  store_.trouble = platform::testing::Trouble::kNone;
+  store_.fault = platform::testing::Fault::kNone;
 }
 
 core::Task<> SoakWorld::CutStore(Fault fault) {
--- a/src/orders/controller_pool_test.cc
+++ b/src/orders/controller_pool_test.cc
@@ -55,8 +55,8 @@
   TestingEngine& engine_;
 };
 
-core::Task<> LeaveToHolder(const gen::EngineHolder& /*holder*/,
-                           const std::string& /*engine*/) {
+core::Task<> IgnoreReleaseRequest(const gen::EngineHolder& /*holder*/,
+                                  const std::string& /*engine*/) {
   co_return;
 }
 
@@ -78,7 +78,7 @@
         loads(clock),
         peer_table("entries/" + vm, loads, clock, log),
         holders(clock, log),
-        leases(LeaseOf(vm, address), LeaveToHolder, store, clock, log),
+        leases(LeaseOf(vm, address), IgnoreReleaseRequest, store, clock, log),
         pool(
             PoolOf(vm, address),
             [&engine](const std::string&) {
@@ -130,7 +130,7 @@
   }
 
   /** Removes the entry's presence from the peer tables. */
-  void Withdraw(const TestEntry& entry) {
+  void RemovePresence(const TestEntry& entry) {
     const bool is_first = &entry == entries.front().get();
     presences.erase(is_first ? "entries/front-1" : "entries/front-2");
     for (const auto& it : entries) it->peer_table.SetEntries(presences);
@@ -140,7 +140,7 @@
    * Once a second, all entries read the store, renew their leases and maintain
    * their engines.
    */
-  void Pass(seconds time) {
+  void AdvanceTime(seconds time) {
     for (seconds gone{0}; gone < time; gone += seconds(1)) {
       clock.Advance(seconds(1));
       // The store deletes expired leases only when it is called.
@@ -165,7 +165,7 @@
   }
 
   /** @return The entries that hold the engine's lease. */
-  std::vector<TestEntry*> Holding() {
+  std::vector<TestEntry*> LeaseHolders() {
     std::vector<TestEntry*> holding;
     for (const auto& it : entries) {
       if (it->leases.Holds(kEngine)) holding.push_back(it.get());
@@ -214,11 +214,11 @@
  * Guards against models that are permanently refused at an engine without
  * endpoint process.
  */
-BOOST_AUTO_TEST_CASE(OneEntryOrdersAnEngineWithoutAProcessBesideIt) {
+BOOST_AUTO_TEST_CASE(OneEntryControlsEngineWithoutEndpoint) {
   Rig rig;
-  rig.Pass(seconds(10));
-  BOOST_REQUIRE(rig.Holding().size() == 1);
-  BOOST_TEST(rig.EnsureLoaded(*rig.Holding().front()) == "");
+  rig.AdvanceTime(seconds(10));
+  BOOST_REQUIRE(rig.LeaseHolders().size() == 1);
+  BOOST_TEST(rig.EnsureLoaded(*rig.LeaseHolders().front()) == "");
   BOOST_TEST(rig.engine.Holds("a"));
   for (const auto& it : rig.entries) {
     if (it->leases.Holds(kEngine)) continue;
@@ -227,27 +227,27 @@
 }
 
 /** Guards against entries that claim engines of running endpoint processes. */
-BOOST_AUTO_TEST_CASE(AnEngineWithAProcessBesideItIsLeftAlone) {
+BOOST_AUTO_TEST_CASE(EngineWithEndpointIsNotClaimed) {
   Rig rig;
-  EngineLeases endpoint(LeaseOf("side-1", "10.0.0.9:81"), LeaveToHolder,
+  EngineLeases endpoint(LeaseOf("side-1", "10.0.0.9:81"), IgnoreReleaseRequest,
                         rig.store, rig.clock, rig.log);
   endpoint.RequestLease(kEngine);
   RunTask(rig.io, endpoint.RenewOnce());
-  rig.Pass(seconds(12));
-  BOOST_TEST(rig.Holding().empty());
+  rig.AdvanceTime(seconds(12));
+  BOOST_TEST(rig.LeaseHolders().empty());
   // The endpoint process has ended; its lease expires.
-  rig.Pass(seconds(15));
-  BOOST_TEST(rig.Holding().size() == 1);
+  rig.AdvanceTime(seconds(15));
+  BOOST_TEST(rig.LeaseHolders().size() == 1);
 }
 
 /**
  * Guards against an entry that claims an engine again which it has just
  * released to the endpoint process, because its view of the store is stale.
  */
-BOOST_AUTO_TEST_CASE(AReleasedEngineIsNotTakenAgainAtOnce) {
+BOOST_AUTO_TEST_CASE(ReleasedEngineIsNotReclaimedAtOnce) {
   Rig rig;
-  rig.Pass(seconds(10));
-  TestEntry& holder = *rig.Holding().front();
+  rig.AdvanceTime(seconds(10));
+  TestEntry& holder = *rig.LeaseHolders().front();
   const auto old_view = rig.Holders();
   rig.Release(holder);
   BOOST_TEST(rig.store.Keys(fleet::kEngineLeasePrefix).empty());
@@ -261,10 +261,10 @@
  * Guards against interrupted loads: an order in progress ends before the engine
  * gets another holder.
  */
-BOOST_AUTO_TEST_CASE(AnEngineIsReleasedAfterItsOrder) {
+BOOST_AUTO_TEST_CASE(ReleaseWaitsForOrderInProgress) {
   Rig rig;
-  rig.Pass(seconds(10));
-  TestEntry& holder = *rig.Holding().front();
+  rig.AdvanceTime(seconds(10));
+  TestEntry& holder = *rig.LeaseHolders().front();
   rig.engine.load_time = milliseconds(300);
   std::string loaded = "not ended";
   core::Spawn(rig.io.get_executor(), rig.log, "load", [&]() -> core::Task<> {
@@ -289,48 +289,48 @@
  * Guards against engines that nobody can give orders until the lease of a
  * killed and restarted entry expires.
  */
-BOOST_AUTO_TEST_CASE(ARestartedEntryTakesItsEnginesBackAtOnce) {
+BOOST_AUTO_TEST_CASE(RestartedEntryRegainsEnginesAtOnce) {
   Rig rig;
-  rig.Pass(seconds(10));
-  const TestEntry* holder = rig.Holding().front();
+  rig.AdvanceTime(seconds(10));
+  const TestEntry* holder = rig.LeaseHolders().front();
   const bool is_first = holder == rig.entries.front().get();
   rig.entries.erase(rig.entries.begin() + (is_first ? 0 : 1));
   rig.AddEntry(is_first ? "front-1" : "front-2",
                is_first ? "10.0.0.1:81" : "10.0.0.2:81");
-  rig.Pass(seconds(2));
-  BOOST_REQUIRE(rig.Holding().size() == 1);
-  BOOST_TEST(rig.Holding().front() == rig.entries.back().get());
-  BOOST_TEST(rig.EnsureLoaded(*rig.Holding().front()) == "");
+  rig.AdvanceTime(seconds(2));
+  BOOST_REQUIRE(rig.LeaseHolders().size() == 1);
+  BOOST_TEST(rig.LeaseHolders().front() == rig.entries.back().get());
+  BOOST_TEST(rig.EnsureLoaded(*rig.LeaseHolders().front()) == "");
 }
 
 /**
  * Guards against loads that are refused at each planned restart of an entry: it
  * gives orders until it ends, and the next process on its VM continues at once.
  */
-BOOST_AUTO_TEST_CASE(ALeavingEntryOrdersToItsEnd) {
+BOOST_AUTO_TEST_CASE(LeavingEntryGivesOrdersUntilItEnds) {
   Rig rig;
-  rig.Pass(seconds(10));
-  TestEntry& holder = *rig.Holding().front();
+  rig.AdvanceTime(seconds(10));
+  TestEntry& holder = *rig.LeaseHolders().front();
   holder.pool.Leave();
-  rig.Withdraw(holder);
-  rig.Pass(seconds(8));
+  rig.RemovePresence(holder);
+  rig.AdvanceTime(seconds(8));
   BOOST_TEST(rig.EnsureLoaded(holder) == "");
-  rig.Pass(seconds(20));
-  BOOST_REQUIRE(rig.Holding().size() == 1);
-  BOOST_TEST(rig.Holding().front() != &holder);
+  rig.AdvanceTime(seconds(20));
+  BOOST_REQUIRE(rig.LeaseHolders().size() == 1);
+  BOOST_TEST(rig.LeaseHolders().front() != &holder);
 }
 
 /** Guards against an engine whose lease is given back while it restarts. */
-BOOST_AUTO_TEST_CASE(AnEngineThatCrashesIsKept) {
+BOOST_AUTO_TEST_CASE(LeaseOfCrashedEngineIsKept) {
   Rig rig;
-  rig.Pass(seconds(10));
-  TestEntry& holder = *rig.Holding().front();
+  rig.AdvanceTime(seconds(10));
+  TestEntry& holder = *rig.LeaseHolders().front();
   for (const auto& it : rig.entries) {
     it->registry.Remove(fleet::EngineId("i-1"), std::nullopt);
   }
-  rig.Pass(seconds(5));
+  rig.AdvanceTime(seconds(5));
   BOOST_TEST(holder.leases.Holds(kEngine));
-  rig.Pass(seconds(10));
+  rig.AdvanceTime(seconds(10));
   BOOST_TEST(!holder.leases.Holds(kEngine));
 }
 
--- a/src/orders/engine_controller_test.cc
+++ b/src/orders/engine_controller_test.cc
@@ -67,11 +67,11 @@
   explicit Rig(const LeaseOptions& lease = Lease())
       : log({"endpoint", core::VmId("vm-1"), core::ZoneId("z")},
             core::LogLevel::kError, clock),
-        leases(lease, NeverAsked, store, clock, log) {
+        leases(lease, IgnoreReleaseRequest, store, clock, log) {
     configuration.Adopt(MakeConfiguration());
     // An earlier process on this VM holds the lease first, so that
     // HandoverDelay is 0.
-    EngineLeases before(Lease(), NeverAsked, store, clock, log);
+    EngineLeases before(Lease(), IgnoreReleaseRequest, store, clock, log);
     for (EngineLeases* it : {&before, &leases}) {
       it->RequestLease(kEngine);
       RunTask(io, it->RenewOnce());
@@ -88,8 +88,8 @@
     return options;
   }
 
-  static core::Task<> NeverAsked(const gen::EngineHolder& /*holder*/,
-                                 const std::string& /*engine*/) {
+  static core::Task<> IgnoreReleaseRequest(const gen::EngineHolder& /*holder*/,
+                                           const std::string& /*engine*/) {
     co_return;
   }
 
@@ -109,8 +109,8 @@
     load_request.model = core::ModelId(model);
     load_request.instance = engine.instance;
     load_request.deadline = clock.Now() + milliseconds(3000);
-    entry::testing::StartTask(io, Ended(load_request), lost);
-    Pass(milliseconds(100));
+    entry::testing::StartTask(io, EnsureAndGetError(load_request), lost);
+    WaitFor(milliseconds(100));
     std::unique_ptr<EngineController> killed = std::move(controller);
     Restart();
     return killed;
@@ -119,7 +119,8 @@
   /** @return Empty, or the error's name. */
   std::string EnsureLoaded(const std::string& model, milliseconds timeout,
                            const std::string& instance = "i-1") {
-    return RunTask(io, Ended(LoadRequestFor(model, timeout, instance)));
+    return RunTask(io,
+                   EnsureAndGetError(LoadRequestFor(model, timeout, instance)));
   }
 
   std::string EnsureAdapter(const std::string& model,
@@ -127,7 +128,7 @@
                             const std::string& instance) {
     LoadRequest load_request = LoadRequestFor(model, timeout, instance);
     load_request.adapter = core::AdapterId(adapter);
-    return RunTask(io, Ended(std::move(load_request)));
+    return RunTask(io, EnsureAndGetError(std::move(load_request)));
   }
 
   [[nodiscard]] LoadRequest LoadRequestFor(
@@ -140,7 +141,7 @@
     return load_request;
   }
 
-  core::Task<std::string> Ended(LoadRequest load_request) {
+  core::Task<std::string> EnsureAndGetError(LoadRequest load_request) {
     std::string error;
     try {
       co_await controller->EnsureLoaded(std::move(load_request));
@@ -151,7 +152,7 @@
   }
 
   /** Waits in real time. */
-  void Pass(milliseconds time) { RunTask(io, Sleep(time)); }
+  void WaitFor(milliseconds time) { RunTask(io, Sleep(time)); }
 
   static core::Task<bool> Sleep(milliseconds time) {
     co_await core::SleepFor(time);
@@ -171,21 +172,21 @@
   entry::testing::Outcome<std::string> lost;
 };
 
-constexpr milliseconds kEnough{3000};
+constexpr milliseconds kLongTimeout{3000};
 
-fleet::EngineBirth At(int seconds) {
+fleet::EngineBirth StartTimeAt(int seconds) {
   return fleet::EngineBirth(std::chrono::seconds(seconds));
 }
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(AFourthModelTakesTheRoomOfAnUnusedOne) {
+BOOST_AUTO_TEST_CASE(FourthModelReplacesUnusedOne) {
   Rig rig;
   for (const char* it : {"a", "b", "c", "d"}) {
-    BOOST_TEST(rig.EnsureLoaded(it, kEnough) == "");
+    BOOST_TEST(rig.EnsureLoaded(it, kLongTimeout) == "");
     // A model that was just loaded is kept a moment for the callers that waited
     // for it.
-    rig.Pass(milliseconds(600));
+    rig.WaitFor(milliseconds(600));
   }
   BOOST_TEST(rig.engine.Holds("d"));
   BOOST_TEST(!rig.engine.over_memory);
@@ -197,13 +198,13 @@
  * report does not list a model that is still being loaded, so its memory looks
  * free, and the new process orders a fourth model.
  */
-BOOST_AUTO_TEST_CASE(ARestartedProcessCountsTheLoadInProgress) {
+BOOST_AUTO_TEST_CASE(RestartedProcessCountsLoadInProgress) {
   Rig rig;
-  rig.engine.Hold("a");
-  rig.engine.Hold("b");
+  rig.engine.AddModel("a");
+  rig.engine.AddModel("b");
   rig.engine.load_time = milliseconds(400);
   const auto killed = rig.RestartDuringLoad("c");
-  BOOST_TEST(rig.EnsureLoaded("d", kEnough) == "");
+  BOOST_TEST(rig.EnsureLoaded("d", kLongTimeout) == "");
   BOOST_TEST(!rig.engine.over_memory);
 }
 
@@ -212,23 +213,23 @@
  * to an order is lost, the order is carried out late, and meanwhile its memory
  * is given to another model.
  */
-BOOST_AUTO_TEST_CASE(ALostOrderThatIsCarriedOutLateNeverOverfillsTheEngine) {
+BOOST_AUTO_TEST_CASE(LateOrderNeverExceedsMemory) {
   Rig rig;
-  rig.engine.Hold("a");
-  rig.engine.Hold("b");
+  rig.engine.AddModel("a");
+  rig.engine.AddModel("b");
   rig.engine.lose_next_answer = true;
   BOOST_TEST(rig.EnsureLoaded("c", milliseconds(100)) != "");
-  BOOST_TEST(rig.EnsureLoaded("d", kEnough) == "");
-  rig.Pass(milliseconds(500));
+  BOOST_TEST(rig.EnsureLoaded("d", kLongTimeout) == "");
+  rig.WaitFor(milliseconds(500));
   BOOST_TEST(!rig.engine.over_memory);
 }
 
-BOOST_AUTO_TEST_CASE(ALostOrderIsGivenAgainAndItsLateCopyIsVoid) {
+BOOST_AUTO_TEST_CASE(LostOrderIsSentAgainAndLateCopyIsVoid) {
   Rig rig;
   rig.engine.lose_next_answer = true;
-  BOOST_TEST(rig.EnsureLoaded("a", kEnough) == "");
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout) == "");
   BOOST_TEST(rig.engine.orders_submitted == 2);
-  rig.Pass(milliseconds(500));
+  rig.WaitFor(milliseconds(500));
   BOOST_TEST(rig.engine.Holds("a"));
 }
 
@@ -239,7 +240,7 @@
  * engine has restarted; the response, a refusal, then removes the order from
  * the list of open ones a second time.
  */
-BOOST_AUTO_TEST_CASE(ARefusalOfAnOrderThatIsOverAlreadyIsHarmless) {
+BOOST_AUTO_TEST_CASE(RefusalOfFinishedOrderIsHarmless) {
   Rig rig;
   rig.engine.answer_delay = milliseconds(100);
   core::Spawn(rig.io.get_executor(), rig.log, "look",
@@ -247,13 +248,14 @@
   LoadRequest load_request;
   load_request.model = core::ModelId("a");
   load_request.instance = fleet::InstanceId("i-0");
-  load_request.deadline = rig.clock.Now() + kEnough;
+  load_request.deadline = rig.clock.Now() + kLongTimeout;
   entry::testing::Outcome<std::string> refused;
-  entry::testing::StartTask(rig.io, rig.Ended(load_request), refused);
-  rig.Pass(milliseconds(50));
+  entry::testing::StartTask(rig.io, rig.EnsureAndGetError(load_request),
+                            refused);
+  rig.WaitFor(milliseconds(50));
   // Requests the same model: another one would not be queued behind a load of 9
   // s.
-  BOOST_TEST(rig.EnsureLoaded("a", kEnough) == "");
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout) == "");
   BOOST_TEST(*refused.value == "engine_replaced");
 }
 
@@ -262,7 +264,7 @@
  * disk. The engine crashes during a load and restarts at once; the endpoint
  * process waits for the load, which no longer exists.
  */
-BOOST_AUTO_TEST_CASE(AnOrderThatACrashForgotIsGivenUpSoon) {
+BOOST_AUTO_TEST_CASE(OrderLostInCrashFailsSoon) {
   Rig rig;
   rig.engine.load_time = milliseconds(400);
   const auto began = rig.clock.Now();
@@ -271,7 +273,7 @@
                 co_await core::SleepFor(milliseconds(100));
                 rig.engine.Restart();
               });
-  BOOST_TEST(rig.EnsureLoaded("a", kEnough) == "load_failed");
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout) == "load_failed");
   BOOST_TEST((rig.clock.Now() - began < milliseconds(2000)));
 }
 
@@ -279,12 +281,12 @@
  * Entries may still know an earlier instance of the engine; no order is given
  * then.
  */
-BOOST_AUTO_TEST_CASE(AnOrderForAnEarlierStartIsRefused) {
+BOOST_AUTO_TEST_CASE(OrderForEarlierInstanceIsRefused) {
   Rig rig;
   rig.engine.instance = fleet::InstanceId("i-2");
-  BOOST_TEST(rig.EnsureLoaded("a", kEnough) == "engine_replaced");
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout) == "engine_replaced");
   BOOST_TEST(!rig.engine.Holds("a"));
-  BOOST_TEST(rig.EnsureLoaded("a", kEnough, "i-2") == "");
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout, "i-2") == "");
 }
 
 /**
@@ -292,13 +294,15 @@
  * requested instance no longer exists. The engine accepts orders under that id,
  * so the endpoint process has to refuse.
  */
-BOOST_AUTO_TEST_CASE(AnOrderForAnEarlierStartOfTheNameIsRefused) {
+BOOST_AUTO_TEST_CASE(OrderForEarlierStartTimeIsRefused) {
   Rig rig;
-  rig.engine.TellBirth(At(20));
-  BOOST_TEST(rig.EnsureLoaded("a", kEnough, "i-1@10000") == "engine_replaced");
+  rig.engine.SetStartTime(StartTimeAt(20));
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout, "i-1@10000") ==
+             "engine_replaced");
   BOOST_TEST(rig.engine.orders_submitted == 0);
-  BOOST_TEST(rig.EnsureLoaded("a", kEnough, "i-1@20000") == "");
-  BOOST_TEST(rig.EnsureLoaded("b", kEnough, "i-1@10000") == "engine_replaced");
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout, "i-1@20000") == "");
+  BOOST_TEST(rig.EnsureLoaded("b", kLongTimeout, "i-1@10000") ==
+             "engine_replaced");
 }
 
 /**
@@ -307,18 +311,18 @@
  * from 0 and accepts the late copy, as its count matches; meanwhile the memory
  * was given to other models.
  */
-BOOST_AUTO_TEST_CASE(ALateOrderForAnEarlierStartNeverOverfillsTheNewOne) {
+BOOST_AUTO_TEST_CASE(LateOrderForEarlierInstanceNeverExceedsMemory) {
   Rig rig;
-  rig.engine.TellBirth(At(10));
-  BOOST_TEST(rig.EnsureLoaded("a", kEnough, "i-1@10000") == "");
+  rig.engine.SetStartTime(StartTimeAt(10));
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout, "i-1@10000") == "");
   rig.engine.lose_next_answer = true;
-  rig.engine.late_by = milliseconds(700);
+  rig.engine.late_order_delay = milliseconds(700);
   BOOST_TEST(rig.EnsureLoaded("c", milliseconds(100), "i-1@10000") != "");
-  rig.engine.RestartAt(At(20));
-  rig.engine.Hold("b");
-  rig.engine.Hold("d");
-  BOOST_TEST(rig.EnsureLoaded("e", kEnough, "i-1@20000") == "");
-  rig.Pass(milliseconds(1000));
+  rig.engine.RestartAt(StartTimeAt(20));
+  rig.engine.AddModel("b");
+  rig.engine.AddModel("d");
+  BOOST_TEST(rig.EnsureLoaded("e", kLongTimeout, "i-1@20000") == "");
+  rig.WaitFor(milliseconds(1000));
   BOOST_TEST(rig.engine.Holds("e"));
   BOOST_TEST(!rig.engine.over_memory);
 }
@@ -328,19 +332,20 @@
  * restarts under the same id during the load; its new order count has already
  * passed the old one because of another order.
  */
-BOOST_AUTO_TEST_CASE(ARestartUnderItsNameEndsALoad) {
+BOOST_AUTO_TEST_CASE(RestartUnderSameIdFailsLoad) {
   Rig rig;
-  rig.engine.TellBirth(At(10));
+  rig.engine.SetStartTime(StartTimeAt(10));
   rig.engine.load_time = milliseconds(400);
   const auto began = rig.clock.Now();
   core::Spawn(rig.io.get_executor(), rig.log, "crash",
               [&rig]() -> core::Task<> {
                 co_await core::SleepFor(milliseconds(100));
-                rig.engine.RestartAt(At(20));
+                rig.engine.RestartAt(StartTimeAt(20));
               });
-  BOOST_TEST(rig.EnsureLoaded("a", kEnough, "i-1@10000") == "engine_replaced");
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout, "i-1@10000") ==
+             "engine_replaced");
   BOOST_TEST((rig.clock.Now() - began < milliseconds(1000)));
-  BOOST_TEST(rig.EnsureLoaded("a", kEnough, "i-1@20000") == "");
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout, "i-1@20000") == "");
 }
 
 /**
@@ -348,22 +353,22 @@
  * exists. The engine restarts under the same id while the adapter is loaded;
  * the adapter and its model were lost with the earlier instance.
  */
-BOOST_AUTO_TEST_CASE(ARestartUnderItsNameEndsTheLoadOfAnAdapter) {
+BOOST_AUTO_TEST_CASE(RestartUnderSameIdFailsAdapterLoad) {
   Rig rig;
-  rig.engine.TellBirth(At(10));
-  BOOST_TEST(rig.EnsureAdapter("a", "x", kEnough, "i-1@10000") == "");
+  rig.engine.SetStartTime(StartTimeAt(10));
+  BOOST_TEST(rig.EnsureAdapter("a", "x", kLongTimeout, "i-1@10000") == "");
   rig.engine.load_time = milliseconds(400);
   const auto began = rig.clock.Now();
   core::Spawn(rig.io.get_executor(), rig.log, "crash",
               [&rig]() -> core::Task<> {
                 co_await core::SleepFor(milliseconds(100));
-                rig.engine.RestartAt(At(20));
+                rig.engine.RestartAt(StartTimeAt(20));
               });
-  BOOST_TEST(rig.EnsureAdapter("a", "y", kEnough, "i-1@10000") ==
+  BOOST_TEST(rig.EnsureAdapter("a", "y", kLongTimeout, "i-1@10000") ==
              "engine_replaced");
   BOOST_TEST((rig.clock.Now() - began < milliseconds(1000)));
   rig.engine.load_time = milliseconds(60);
-  BOOST_TEST(rig.EnsureAdapter("a", "y", kEnough, "i-1@20000") == "");
+  BOOST_TEST(rig.EnsureAdapter("a", "y", kLongTimeout, "i-1@20000") == "");
 }
 
 /**
@@ -373,18 +378,18 @@
  * from disk, which is worth waiting for; once it has taken longer, waiting
  * requests are refused so that they go elsewhere.
  */
-BOOST_AUTO_TEST_CASE(AnOrderOfTheProcessBeforeCountsAsWork) {
+BOOST_AUTO_TEST_CASE(OrderOfPreviousProcessDelaysRequests) {
   Rig rig;
   rig.engine.load_time = milliseconds(1600);
   const auto killed = rig.RestartDuringLoad("c");
   const auto began = rig.clock.Now();
-  BOOST_TEST(rig.EnsureLoaded("d", kEnough) == "no_capacity");
+  BOOST_TEST(rig.EnsureLoaded("d", kLongTimeout) == "no_capacity");
   const auto waited = rig.clock.Now() - began;
   BOOST_TEST((waited >= kDiskLoad));
   BOOST_TEST((waited < milliseconds(1200)));
-  rig.Pass(milliseconds(1000));
+  rig.WaitFor(milliseconds(1000));
   rig.engine.load_time = milliseconds(60);
-  BOOST_TEST(rig.EnsureLoaded("d", kEnough) == "");
+  BOOST_TEST(rig.EnsureLoaded("d", kLongTimeout) == "");
 }
 
 /**
@@ -393,20 +398,22 @@
  * the weight store. It is told at once that the engine is busy for 9 s, and
  * asks another; callers of the model being loaded wait with the first one.
  */
-BOOST_AUTO_TEST_CASE(ALoadRequestBehindALongLoadIsRefusedAtOnce) {
+BOOST_AUTO_TEST_CASE(LoadRequestBehindLongLoadIsRefusedAtOnce) {
   Rig rig;
   rig.engine.load_time = milliseconds(600);
   entry::testing::Outcome<std::string> first;
   entry::testing::Outcome<std::string> same;
-  entry::testing::StartTask(rig.io, rig.Ended(rig.LoadRequestFor("a", kEnough)),
-                            first);
-  rig.Pass(milliseconds(50));
-  entry::testing::StartTask(rig.io, rig.Ended(rig.LoadRequestFor("a", kEnough)),
-                            same);
+  entry::testing::StartTask(
+      rig.io, rig.EnsureAndGetError(rig.LoadRequestFor("a", kLongTimeout)),
+      first);
+  rig.WaitFor(milliseconds(50));
+  entry::testing::StartTask(
+      rig.io, rig.EnsureAndGetError(rig.LoadRequestFor("a", kLongTimeout)),
+      same);
   const auto began = rig.clock.Now();
-  BOOST_TEST(rig.EnsureLoaded("b", kEnough) == "no_capacity");
+  BOOST_TEST(rig.EnsureLoaded("b", kLongTimeout) == "no_capacity");
   BOOST_TEST((rig.clock.Now() - began < milliseconds(200)));
-  rig.Pass(milliseconds(1000));
+  rig.WaitFor(milliseconds(1000));
   BOOST_TEST(*first.value == "");
   BOOST_TEST(*same.value == "");
   BOOST_TEST(rig.engine.orders_submitted == 1);
@@ -417,10 +424,10 @@
  * The endpoint process relies on the usage in the load request: a model with
  * requests in progress, or requested a moment ago, is kept.
  */
-BOOST_AUTO_TEST_CASE(WhatALoadRequestTellsToBeInUseStays) {
+BOOST_AUTO_TEST_CASE(ModelsInUseAreNotUnloaded) {
   Rig rig;
-  for (const char* it : {"a", "b", "c"}) rig.engine.Hold(it);
-  LoadRequest load_request = rig.LoadRequestFor("d", kEnough);
+  for (const char* it : {"a", "b", "c"}) rig.engine.AddModel(it);
+  LoadRequest load_request = rig.LoadRequestFor("d", kLongTimeout);
   fleet::Usage busy;
   busy.running = 1;
   fleet::Usage fresh;
@@ -430,13 +437,14 @@
   load_request.usage[{core::ModelId("a"), core::AdapterId()}] = busy;
   load_request.usage[{core::ModelId("b"), core::AdapterId()}] = fresh;
   load_request.usage[{core::ModelId("c"), core::AdapterId()}] = asked_for;
-  BOOST_TEST(RunTask(rig.io, rig.Ended(load_request)) == "");
+  BOOST_TEST(RunTask(rig.io, rig.EnsureAndGetError(load_request)) == "");
   BOOST_TEST(rig.engine.Holds("a"));
   BOOST_TEST(rig.engine.Holds("b"));
   BOOST_TEST(!rig.engine.Holds("c"));
   load_request.model = core::ModelId("e");
   load_request.deadline = rig.clock.Now() + milliseconds(300);
-  BOOST_TEST(RunTask(rig.io, rig.Ended(load_request)) == "no_capacity");
+  BOOST_TEST(RunTask(rig.io, rig.EnsureAndGetError(load_request)) ==
+             "no_capacity");
 }
 
 /**
@@ -444,7 +452,7 @@
  * see. The response to an order is lost; the metrics of the endpoint process
  * must show that, and how long the load request took in the end.
  */
-BOOST_AUTO_TEST_CASE(MetricsTellOfLostAnswersAndOfLoadRequests) {
+BOOST_AUTO_TEST_CASE(MetricsCountLostAnswersAndLoadRequests) {
   Rig rig;
   rig.engine.lose_next_answer = true;
   BOOST_TEST(rig.EnsureLoaded("a", milliseconds(2000)).empty());
@@ -465,32 +473,32 @@
  * Guards against loads that are refused after each freeze of the endpoint
  * process: its lease ended, but no other process has given an order.
  */
-BOOST_AUTO_TEST_CASE(AnEngineThatNobodyElseOrderedIsOrderedAtOnceAgain) {
+BOOST_AUTO_TEST_CASE(EngineWithoutForeignOrdersNeedsNoHandoverDelay) {
   LeaseOptions lease = Rig::Lease();
   lease.time_to_live = lease.margin + milliseconds(300);
   lease.handover_gap = std::chrono::hours(1);
   Rig rig(lease);
-  rig.engine.TellBirth(At(10));
-  BOOST_TEST(rig.EnsureLoaded("a", kEnough, "i-1@10000") == "");
-  rig.Pass(milliseconds(400));
-  BOOST_TEST(rig.EnsureLoaded("b", kEnough, "i-1@10000") == "not_holder");
+  rig.engine.SetStartTime(StartTimeAt(10));
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout, "i-1@10000") == "");
+  rig.WaitFor(milliseconds(400));
+  BOOST_TEST(rig.EnsureLoaded("b", kLongTimeout, "i-1@10000") == "not_holder");
   rig.store.LapseLeases();
   RunTask(rig.io, rig.leases.RenewOnce());
-  BOOST_TEST(rig.EnsureLoaded("b", kEnough, "i-1@10000") == "");
+  BOOST_TEST(rig.EnsureLoaded("b", kLongTimeout, "i-1@10000") == "");
 }
 
 /**
  * Guards against alternating orders of two processes: while another process
  * held the lease, the engine accepted an order that this process did not give.
  */
-BOOST_AUTO_TEST_CASE(AnEngineThatAnotherProcessOrderedIsNotOrderedAtOnce) {
+BOOST_AUTO_TEST_CASE(EngineWithForeignOrderNeedsHandoverDelay) {
   LeaseOptions lease = Rig::Lease();
   lease.time_to_live = lease.margin + milliseconds(300);
   lease.handover_gap = std::chrono::hours(1);
   Rig rig(lease);
-  rig.engine.TellBirth(At(10));
-  BOOST_TEST(rig.EnsureLoaded("a", kEnough, "i-1@10000") == "");
-  rig.Pass(milliseconds(400));
+  rig.engine.SetStartTime(StartTimeAt(10));
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout, "i-1@10000") == "");
+  rig.WaitFor(milliseconds(400));
   EngineOrder foreign;
   foreign.kind = OrderKind::kUnload;
   foreign.model = core::ModelId("a");
@@ -500,7 +508,7 @@
   BOOST_TEST((answer == OrderAnswer::kAccepted));
   rig.store.LapseLeases();
   RunTask(rig.io, rig.leases.RenewOnce());
-  BOOST_TEST(rig.EnsureLoaded("b", kEnough, "i-1@10000") == "no_capacity");
+  BOOST_TEST(rig.EnsureLoaded("b", kLongTimeout, "i-1@10000") == "no_capacity");
 }
 
 }  // namespace sapphire::orders
--- a/src/orders/engine_leases_test.cc
+++ b/src/orders/engine_leases_test.cc
@@ -39,7 +39,7 @@
     auto leases = std::make_unique<EngineLeases>(
         options,
         [this](const gen::EngineHolder& holder, const std::string&) {
-          return NoteAsked(holder.vm);
+          return RecordReleaseRequest(holder.vm);
         },
         store, clock, log);
     leases->RequestLease(kEngine);
@@ -53,13 +53,13 @@
     return Start("front-1", "10.0.0.2:81");
   }
 
-  core::Task<> NoteAsked(std::string holder) {
-    asked = std::move(holder);
+  core::Task<> RecordReleaseRequest(std::string holder) {
+    release_requested_from = std::move(holder);
     co_return;
   }
 
   /** @return True if all requested leases are held; false also on a failure. */
-  bool Keep(EngineLeases& leases) {
+  bool Renew(EngineLeases& leases) {
     try {
       return RunTask(io, leases.RenewOnce());
     } catch (const core::Error&) {
@@ -71,16 +71,16 @@
    * Advances the clock; each of `alive` renews its leases once a second, if it
    * can.
    */
-  void Pass(seconds time, std::initializer_list<EngineLeases*> alive) {
+  void AdvanceTime(seconds time, std::initializer_list<EngineLeases*> alive) {
     for (seconds gone{0}; gone < time; gone += seconds(1)) {
       clock.Advance(seconds(1));
-      for (EngineLeases* it : alive) Keep(*it);
-      Check(alive);
+      for (EngineLeases* it : alive) Renew(*it);
+      CheckSingleHolder(alive);
     }
   }
 
   /** Two holders must never be allowed to give orders at the same time. */
-  void Check(std::initializer_list<EngineLeases*> all) const {
+  void CheckSingleHolder(std::initializer_list<EngineLeases*> all) const {
     int may_order = 0;
     for (const EngineLeases* it : all) may_order += MayOrder(*it) ? 1 : 0;
     BOOST_TEST(may_order <= 1);
@@ -103,7 +103,7 @@
   core::Logger log;
   entry::testing::MemoryKeyValue store{clock};
   /** The VM of the holder that got the latest release request. */
-  std::string asked;
+  std::string release_requested_from;
 };
 
 }  // namespace
@@ -112,32 +112,32 @@
  * Guards against an engine that nobody can give orders after its endpoint
  * process has ended.
  */
-BOOST_AUTO_TEST_CASE(AnEntryOrdersAnEngineWhoseProcessIsGone) {
+BOOST_AUTO_TEST_CASE(EntryTakesOverAfterEndpointEnds) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
-  rig.Pass(seconds(5), {endpoint.get()});
+  rig.AdvanceTime(seconds(5), {endpoint.get()});
   BOOST_TEST(rig.MayOrder(*endpoint));
   const auto entry = rig.StartEntry();
-  rig.Pass(seconds(12), {entry.get()});
+  rig.AdvanceTime(seconds(12), {entry.get()});
   BOOST_TEST(!rig.MayOrder(*entry));
-  rig.Pass(seconds(8), {entry.get()});
+  rig.AdvanceTime(seconds(8), {entry.get()});
   BOOST_TEST(rig.MayOrder(*entry));
 }
 
 /**
  * Guards against orders of a process that was paused while its lease expired.
  */
-BOOST_AUTO_TEST_CASE(AProcessThatWakesAfterItsLeaseEndedOrdersNothing) {
+BOOST_AUTO_TEST_CASE(ProcessPausedPastItsLeaseGivesNoOrders) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
-  rig.Pass(seconds(5), {endpoint.get()});
+  rig.AdvanceTime(seconds(5), {endpoint.get()});
   const auto before = rig.FenceOf(*endpoint);
   const auto entry = rig.StartEntry();
-  rig.Pass(seconds(20), {entry.get()});
+  rig.AdvanceTime(seconds(20), {entry.get()});
   BOOST_TEST(!rig.MayOrder(*endpoint));
-  rig.Pass(seconds(5), {entry.get(), endpoint.get()});
+  rig.AdvanceTime(seconds(5), {entry.get(), endpoint.get()});
   BOOST_TEST(!rig.MayOrder(*endpoint));
-  BOOST_TEST(rig.asked == "front-1");
+  BOOST_TEST(rig.release_requested_from == "front-1");
   BOOST_TEST(*rig.FenceOf(*entry) > *before);
 }
 
@@ -145,15 +145,15 @@
  * Guards against alternating orders of two processes: the last order of one
  * holder and the first order of the next are kHandoverGap apart.
  */
-BOOST_AUTO_TEST_CASE(TheNextHolderWaitsForItsTurn) {
+BOOST_AUTO_TEST_CASE(NextHolderWaitsForHandoverGap) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
-  rig.Pass(seconds(5), {endpoint.get()});
+  rig.AdvanceTime(seconds(5), {endpoint.get()});
   const auto entry = rig.StartEntry();
   core::SteadyTime last = rig.clock.Now();
   while (!rig.MayOrder(*entry)) {
     rig.clock.Advance(milliseconds(100));
-    rig.Keep(*entry);
+    rig.Renew(*entry);
     if (rig.MayOrder(*endpoint)) last = rig.clock.Now();
     BOOST_REQUIRE((rig.clock.Now() - last < seconds(60)));
   }
@@ -164,21 +164,21 @@
  * Guards against an engine that stays with an entry after its endpoint process
  * has restarted.
  */
-BOOST_AUTO_TEST_CASE(AReleasedEngineGoesBackToTheProcessBesideIt) {
+BOOST_AUTO_TEST_CASE(ReleasedEngineReturnsToEndpoint) {
   Rig rig;
   const auto entry = rig.StartEntry();
-  rig.Pass(seconds(5), {entry.get()});
+  rig.AdvanceTime(seconds(5), {entry.get()});
   const auto endpoint = rig.StartEndpoint();
-  rig.Pass(seconds(2), {entry.get(), endpoint.get()});
-  BOOST_TEST(rig.asked == "front-1");
+  rig.AdvanceTime(seconds(2), {entry.get(), endpoint.get()});
+  BOOST_TEST(rig.release_requested_from == "front-1");
   RunTask(rig.io, [](EngineLeases& it) -> core::Task<bool> {
     co_await it.Release(kEngine);
     co_return true;
   }(*entry));
-  rig.Keep(*endpoint);
+  rig.Renew(*endpoint);
   BOOST_TEST(endpoint->Holds(kEngine));
   BOOST_TEST(!rig.MayOrder(*endpoint));
-  rig.Pass(seconds(4), {entry.get(), endpoint.get()});
+  rig.AdvanceTime(seconds(4), {entry.get(), endpoint.get()});
   BOOST_TEST(rig.MayOrder(*endpoint));
 }
 
@@ -186,13 +186,13 @@
  * Guards against refused loads after each restart of an endpoint process: no
  * other process can have given orders, as the lease is still valid.
  */
-BOOST_AUTO_TEST_CASE(ARestartedProcessTakesItsLeaseBackAtOnce) {
+BOOST_AUTO_TEST_CASE(RestartedEndpointRegainsLeaseAtOnce) {
   Rig rig;
   auto endpoint = rig.StartEndpoint();
-  rig.Pass(seconds(5), {endpoint.get()});
+  rig.AdvanceTime(seconds(5), {endpoint.get()});
   const auto before = rig.FenceOf(*endpoint);
   endpoint = rig.StartEndpoint();
-  rig.Keep(*endpoint);
+  rig.Renew(*endpoint);
   BOOST_TEST(rig.MayOrder(*endpoint));
   BOOST_TEST(*rig.FenceOf(*endpoint) > *before);
 }
@@ -201,24 +201,24 @@
  * Guards against refused loads at each start: no other process has given orders
  * to an engine that has not accepted any yet.
  */
-BOOST_AUTO_TEST_CASE(AnUntouchedEngineIsOrderedAtOnce) {
+BOOST_AUTO_TEST_CASE(EngineWithoutOrdersNeedsNoHandoverDelay) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
-  rig.Keep(*endpoint);
+  rig.Renew(*endpoint);
   BOOST_TEST((endpoint->HandoverDelay(kEngine, false) > milliseconds(0)));
   BOOST_TEST((endpoint->HandoverDelay(kEngine, true) == milliseconds(0)));
 }
 
 /** Guards against refused loads during an outage of the store. */
-BOOST_AUTO_TEST_CASE(AnOutageOfTheStoreLeavesTheHolderInPlace) {
+BOOST_AUTO_TEST_CASE(HolderKeepsLeaseDuringShortStoreOutage) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
-  rig.Pass(seconds(5), {endpoint.get()});
+  rig.AdvanceTime(seconds(5), {endpoint.get()});
   rig.store.down = true;
-  rig.Pass(seconds(9), {endpoint.get()});
+  rig.AdvanceTime(seconds(9), {endpoint.get()});
   BOOST_TEST(rig.MayOrder(*endpoint));
   rig.store.down = false;
-  rig.Pass(seconds(1), {endpoint.get()});
+  rig.AdvanceTime(seconds(1), {endpoint.get()});
   BOOST_TEST(rig.MayOrder(*endpoint));
 }
 
@@ -226,16 +226,16 @@
  * Guards against orders of two processes after a long outage, during which
  * leases continue to expire.
  */
-BOOST_AUTO_TEST_CASE(ALongOutageEndsTheRightToOrder) {
+BOOST_AUTO_TEST_CASE(HolderLosesLeaseInLongStoreOutage) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
-  rig.Pass(seconds(5), {endpoint.get()});
+  rig.AdvanceTime(seconds(5), {endpoint.get()});
   rig.store.down = true;
-  rig.Pass(seconds(15), {endpoint.get()});
+  rig.AdvanceTime(seconds(15), {endpoint.get()});
   BOOST_TEST(!rig.MayOrder(*endpoint));
   rig.store.down = false;
   const auto entry = rig.StartEntry();
-  rig.Pass(seconds(10), {entry.get(), endpoint.get()});
+  rig.AdvanceTime(seconds(10), {entry.get(), endpoint.get()});
   BOOST_TEST(rig.MayOrder(*entry));
   BOOST_TEST(!rig.MayOrder(*endpoint));
 }
@@ -244,12 +244,12 @@
  * Guards against refused loads after a lapse of the store's leases, if the
  * holder claims its key again before its own lease time ends.
  */
-BOOST_AUTO_TEST_CASE(ALapseThatTheHolderBridgesCostsNoTurn) {
+BOOST_AUTO_TEST_CASE(ReclaimAfterLapseNeedsNoHandoverDelay) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
-  rig.Pass(seconds(5), {endpoint.get()});
+  rig.AdvanceTime(seconds(5), {endpoint.get()});
   rig.store.LapseLeases();
-  rig.Keep(*endpoint);
+  rig.Renew(*endpoint);
   BOOST_TEST(rig.MayOrder(*endpoint));
 }
 
@@ -257,7 +257,7 @@
  * Guards against a lease that is renewed permanently although it is no longer
  * requested.
  */
-BOOST_AUTO_TEST_CASE(ALeaseThatIsNotWantedAnyMoreIsGivenBack) {
+BOOST_AUTO_TEST_CASE(LeaseCancelledDuringClaimIsDeleted) {
   Rig rig;
   const auto entry = rig.StartEntry();
   entry::testing::Outcome<bool> claim;
--- a/src/orders/testing_engine.h
+++ b/src/orders/testing_engine.h
@@ -36,15 +36,16 @@
     Advance();
     if (lose_next_answer) {
       lose_next_answer = false;
-      late_.push_back({order, Now() + late_by});
+      late_orders_.push_back({order, Now() + late_order_delay});
       throw core::Error(core::ErrorCode::kOutcomeUnknown, "no answer");
     }
-    co_return Take(order);
+    co_return ApplyOrder(order);
   }
 
-  /** The next order gets no answer and is carried out `late_by` later. */
+  /** The next order gets no answer and is carried out `late_order_delay` later.
+   */
   bool lose_next_answer = false;
-  std::chrono::milliseconds late_by{300};
+  std::chrono::milliseconds late_order_delay{300};
   std::chrono::milliseconds load_time{60};
   /** How long the engine takes to answer an order. */
   std::chrono::milliseconds answer_delay{0};
@@ -53,7 +54,7 @@
   /** An order exceeded its memory, which crashes a real engine. */
   bool over_memory = false;
 
-  void Hold(const std::string& model) {
+  void AddModel(const std::string& model) {
     fleet::HeldModel held;
     held.model = core::ModelId(model);
     report_.models.push_back(held);
@@ -65,11 +66,11 @@
   void Restart() {
     report_ = EngineReport();
     loading_.reset();
-    late_.clear();
+    late_orders_.clear();
   }
 
   /** Reports this start time from now on. */
-  void TellBirth(fleet::EngineBirth start_time) {
+  void SetStartTime(fleet::EngineBirth start_time) {
     report_.start_time = start_time;
   }
 
@@ -92,21 +93,21 @@
   }
 
  private:
-  struct Late {
+  struct ScheduledOrder {
     EngineOrder order;
     core::SteadyTime at;
   };
 
   static core::SteadyTime Now() { return std::chrono::steady_clock::now(); }
 
-  OrderAnswer Take(const EngineOrder& order) {
+  OrderAnswer ApplyOrder(const EngineOrder& order) {
     const bool other_engine =
         fleet::EngineOf(order.instance) != fleet::EngineOf(instance);
     if (other_engine) return OrderAnswer::kOtherInstance;
     if (order.expected_count != report_.order_count || loading_) {
       return OrderAnswer::kBusy;
     }
-    if (!order.adapter.empty()) return TakeAdapter(order);
+    if (!order.adapter.empty()) return ApplyAdapterOrder(order);
     ++report_.order_count;
     if (order.kind == OrderKind::kUnload) {
       std::erase_if(report_.models,
@@ -115,29 +116,29 @@
     }
     const auto held = static_cast<std::int64_t>(report_.models.size());
     over_memory = over_memory || (held + 1) * model_bytes_ > memory_bytes_;
-    loading_ = Late{order, Now() + load_time};
+    loading_ = ScheduledOrder{order, Now() + load_time};
     report_.order_in_progress = true;
     return OrderAnswer::kAccepted;
   }
 
   /** Adapters load while requests run: the engine does not count as busy. */
-  OrderAnswer TakeAdapter(const EngineOrder& order) {
-    if (HeldOf(order.model) == nullptr) return OrderAnswer::kBusy;
+  OrderAnswer ApplyAdapterOrder(const EngineOrder& order) {
+    if (FindHeldModel(order.model) == nullptr) return OrderAnswer::kBusy;
     ++report_.order_count;
     adapters_.push_back({order, Now() + load_time});
     UpdateLoadingAdapters();
     return OrderAnswer::kAccepted;
   }
 
-  fleet::HeldModel* HeldOf(const core::ModelId& model) {
+  fleet::HeldModel* FindHeldModel(const core::ModelId& model) {
     const auto it =
         std::ranges::find(report_.models, model, &fleet::HeldModel::model);
     return it == report_.models.end() ? nullptr : &*it;
   }
 
   void AdvanceAdapters() {
-    for (const Late& it : std::exchange(adapters_, {})) {
-      fleet::HeldModel* held = HeldOf(it.order.model);
+    for (const ScheduledOrder& it : std::exchange(adapters_, {})) {
+      fleet::HeldModel* held = FindHeldModel(it.order.model);
       if (Now() < it.at) {
         adapters_.push_back(it);
       } else if (held != nullptr) {
@@ -149,22 +150,22 @@
 
   void UpdateLoadingAdapters() {
     report_.loading.clear();
-    for (const Late& it : adapters_) {
+    for (const ScheduledOrder& it : adapters_) {
       report_.loading.push_back({it.order.model, it.order.adapter});
     }
   }
 
   void Advance() {
     AdvanceAdapters();
-    for (const Late& it : std::exchange(late_, {})) {
+    for (const ScheduledOrder& it : std::exchange(late_orders_, {})) {
       if (Now() < it.at) {
-        late_.push_back(it);
+        late_orders_.push_back(it);
       } else {
-        Take(it.order);
+        ApplyOrder(it.order);
       }
     }
     if (!loading_ || Now() < loading_->at) return;
-    Hold(loading_->order.model.value());
+    AddModel(loading_->order.model.value());
     loading_.reset();
     report_.order_in_progress = false;
   }
@@ -172,9 +173,9 @@
   const std::int64_t memory_bytes_;
   const std::int64_t model_bytes_;
   EngineReport report_;
-  std::optional<Late> loading_;
-  std::vector<Late> late_;
-  std::vector<Late> adapters_;
+  std::optional<ScheduledOrder> loading_;
+  std::vector<ScheduledOrder> late_orders_;
+  std::vector<ScheduledOrder> adapters_;
 };
 
 }  // namespace sapphire::orders
