--- a/src/orders/engine_controller_base.h
+++ b/src/orders/engine_controller_base.h
@@ -16,8 +16,8 @@
 #include "orders/controller_metrics_base.h"
 #include "orders/engine_leases_base.h"
 #include "orders/engine_port_base.h"
+#include "orders/fifo_mutex_base.h"
 #include "orders/memory_plan_func.h"
-#include "orders/order_lane_base.h"
 #include "orders/order_time_func.h"
 #include "routing/routing_table_base.h"
 
--- a/src/orders/order_lane.cc
+++ b/src/orders/fifo_mutex.cc
@@ -1,5 +1,5 @@
-/** @file order_lane.cc First-in, first-out mutex for coroutines. */
-#include "orders/order_lane_base.h"
+/** @file fifo_mutex.cc First-in, first-out mutex for coroutines. */
+#include "orders/fifo_mutex_base.h"
 
 namespace sapphire::orders {
 
--- a/src/orders/order_lane_base.h
+++ b/src/orders/fifo_mutex_base.h
@@ -1,6 +1,6 @@
-/** @file order_lane_base.h First-in, first-out mutex for coroutines. */
-#ifndef SAPPHIRE_ORDERS_ORDER_LANE_BASE_H_
-#define SAPPHIRE_ORDERS_ORDER_LANE_BASE_H_
+/** @file fifo_mutex_base.h First-in, first-out mutex for coroutines. */
+#ifndef SAPPHIRE_ORDERS_FIFO_MUTEX_BASE_H_
+#define SAPPHIRE_ORDERS_FIFO_MUTEX_BASE_H_
 
 #include <cstdint>
 
@@ -48,4 +48,4 @@
 
 }  // namespace sapphire::orders
 
-#endif  // SAPPHIRE_ORDERS_ORDER_LANE_BASE_H_
+#endif  // SAPPHIRE_ORDERS_FIFO_MUTEX_BASE_H_
