--- a/src/orders/controller_metrics.cc
+++ b/src/orders/controller_metrics.cc
@@ -18,7 +18,7 @@
  * Bucket bounds in seconds: an adapter takes 10 to 30 ms, a load from the
  * weight store 9 to 20 s.
  */
-const prometheus::Histogram::BucketBoundaries kSeconds = {
+const prometheus::Histogram::BucketBoundaries kLoadRequestBuckets = {
     0.03, 0.1, 0.25, 0.5, 1, 2, 3, 4, 6, 8, 12, 20, 30};
 
 }  // namespace
@@ -52,7 +52,7 @@
   state_->load_requests
       .Add({{"tier", std::string(policy::TierName(tier))},
             {"outcome", std::string(outcome)}},
-           kSeconds)
+           kLoadRequestBuckets)
       .Observe(Seconds(took).count());
 }
 
--- a/src/orders/endpoint.cc
+++ b/src/orders/endpoint.cc
@@ -88,7 +88,7 @@
       metrics_server_(
           executor, options_.metrics_listen, http::ServerLimits(),
           [this](const http::Request&, http::ResponseWriter& writer) {
-            return AnswerMetrics(writer);
+            return HandleMetricsRequest(writer);
           },
           log) {}
 
@@ -141,7 +141,7 @@
              {{"engine", engine}, {"holder", holder.vm}, {"error", failure}});
 }
 
-core::Task<> Endpoint::AnswerMetrics(http::ResponseWriter& writer) {
+core::Task<> Endpoint::HandleMetricsRequest(http::ResponseWriter& writer) {
   http::Response response =
       http::MetricsResponse(metrics_.Text(controller_.Levels()));
   co_await writer.Send(std::move(response));
--- a/src/orders/endpoint_base.h
+++ b/src/orders/endpoint_base.h
@@ -48,7 +48,7 @@
   routing::FollowHooks Hooks();
   OrderServiceCallbacks ServiceCallbacks();
   core::Task<> RequestRelease(gen::EngineHolder holder, std::string engine);
-  core::Task<> AnswerMetrics(http::ResponseWriter& writer);
+  core::Task<> HandleMetricsRequest(http::ResponseWriter& writer);
 
   const EndpointOptions options_;
   const routing::ReadConfiguration read_configuration_;
--- a/src/orders/engine_leases_test.cc
+++ b/src/orders/engine_leases_test.cc
@@ -82,15 +82,16 @@
   /** Two holders must never be allowed to give orders at the same time. */
   void CheckSingleHolder(std::initializer_list<EngineLeases*> all) const {
     int may_order = 0;
-    for (const EngineLeases* it : all) may_order += MayOrder(*it) ? 1 : 0;
+    for (const EngineLeases* it : all) may_order += MayGiveOrders(*it) ? 1 : 0;
     BOOST_TEST(may_order <= 1);
   }
 
-  static bool MayOrder(const EngineLeases& leases) {
-    return FenceOf(leases).has_value();
+  static bool MayGiveOrders(const EngineLeases& leases) {
+    return FencingTokenOf(leases).has_value();
   }
 
-  static std::optional<std::int64_t> FenceOf(const EngineLeases& leases) {
+  static std::optional<std::int64_t> FencingTokenOf(
+      const EngineLeases& leases) {
     try {
       return leases.FencingToken(kEngine, false);
     } catch (const core::Error&) {
@@ -116,12 +117,12 @@
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
   rig.AdvanceTime(seconds(5), {endpoint.get()});
-  BOOST_TEST(rig.MayOrder(*endpoint));
+  BOOST_TEST(rig.MayGiveOrders(*endpoint));
   const auto entry = rig.StartEntry();
   rig.AdvanceTime(seconds(12), {entry.get()});
-  BOOST_TEST(!rig.MayOrder(*entry));
+  BOOST_TEST(!rig.MayGiveOrders(*entry));
   rig.AdvanceTime(seconds(8), {entry.get()});
-  BOOST_TEST(rig.MayOrder(*entry));
+  BOOST_TEST(rig.MayGiveOrders(*entry));
 }
 
 /**
@@ -131,14 +132,14 @@
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
   rig.AdvanceTime(seconds(5), {endpoint.get()});
-  const auto before = rig.FenceOf(*endpoint);
+  const auto before = rig.FencingTokenOf(*endpoint);
   const auto entry = rig.StartEntry();
   rig.AdvanceTime(seconds(20), {entry.get()});
-  BOOST_TEST(!rig.MayOrder(*endpoint));
+  BOOST_TEST(!rig.MayGiveOrders(*endpoint));
   rig.AdvanceTime(seconds(5), {entry.get(), endpoint.get()});
-  BOOST_TEST(!rig.MayOrder(*endpoint));
+  BOOST_TEST(!rig.MayGiveOrders(*endpoint));
   BOOST_TEST(rig.release_requested_from == "front-1");
-  BOOST_TEST(*rig.FenceOf(*entry) > *before);
+  BOOST_TEST(*rig.FencingTokenOf(*entry) > *before);
 }
 
 /**
@@ -151,10 +152,10 @@
   rig.AdvanceTime(seconds(5), {endpoint.get()});
   const auto entry = rig.StartEntry();
   core::SteadyTime last = rig.clock.Now();
-  while (!rig.MayOrder(*entry)) {
+  while (!rig.MayGiveOrders(*entry)) {
     rig.clock.Advance(milliseconds(100));
     rig.Renew(*entry);
-    if (rig.MayOrder(*endpoint)) last = rig.clock.Now();
+    if (rig.MayGiveOrders(*endpoint)) last = rig.clock.Now();
     BOOST_REQUIRE((rig.clock.Now() - last < seconds(60)));
   }
   BOOST_TEST((rig.clock.Now() - last >= kHandoverGap));
@@ -177,9 +178,9 @@
   }(*entry));
   rig.Renew(*endpoint);
   BOOST_TEST(endpoint->Holds(kEngine));
-  BOOST_TEST(!rig.MayOrder(*endpoint));
+  BOOST_TEST(!rig.MayGiveOrders(*endpoint));
   rig.AdvanceTime(seconds(4), {entry.get(), endpoint.get()});
-  BOOST_TEST(rig.MayOrder(*endpoint));
+  BOOST_TEST(rig.MayGiveOrders(*endpoint));
 }
 
 /**
@@ -190,11 +191,11 @@
   Rig rig;
   auto endpoint = rig.StartEndpoint();
   rig.AdvanceTime(seconds(5), {endpoint.get()});
-  const auto before = rig.FenceOf(*endpoint);
+  const auto before = rig.FencingTokenOf(*endpoint);
   endpoint = rig.StartEndpoint();
   rig.Renew(*endpoint);
-  BOOST_TEST(rig.MayOrder(*endpoint));
-  BOOST_TEST(*rig.FenceOf(*endpoint) > *before);
+  BOOST_TEST(rig.MayGiveOrders(*endpoint));
+  BOOST_TEST(*rig.FencingTokenOf(*endpoint) > *before);
 }
 
 /**
@@ -216,10 +217,10 @@
   rig.AdvanceTime(seconds(5), {endpoint.get()});
   rig.store.down = true;
   rig.AdvanceTime(seconds(9), {endpoint.get()});
-  BOOST_TEST(rig.MayOrder(*endpoint));
+  BOOST_TEST(rig.MayGiveOrders(*endpoint));
   rig.store.down = false;
   rig.AdvanceTime(seconds(1), {endpoint.get()});
-  BOOST_TEST(rig.MayOrder(*endpoint));
+  BOOST_TEST(rig.MayGiveOrders(*endpoint));
 }
 
 /**
@@ -232,12 +233,12 @@
   rig.AdvanceTime(seconds(5), {endpoint.get()});
   rig.store.down = true;
   rig.AdvanceTime(seconds(15), {endpoint.get()});
-  BOOST_TEST(!rig.MayOrder(*endpoint));
+  BOOST_TEST(!rig.MayGiveOrders(*endpoint));
   rig.store.down = false;
   const auto entry = rig.StartEntry();
   rig.AdvanceTime(seconds(10), {entry.get(), endpoint.get()});
-  BOOST_TEST(rig.MayOrder(*entry));
-  BOOST_TEST(!rig.MayOrder(*endpoint));
+  BOOST_TEST(rig.MayGiveOrders(*entry));
+  BOOST_TEST(!rig.MayGiveOrders(*endpoint));
 }
 
 /**
@@ -250,7 +251,7 @@
   rig.AdvanceTime(seconds(5), {endpoint.get()});
   rig.store.LapseLeases();
   rig.Renew(*endpoint);
-  BOOST_TEST(rig.MayOrder(*endpoint));
+  BOOST_TEST(rig.MayGiveOrders(*endpoint));
 }
 
 /**
--- a/src/orders/order_time.cc
+++ b/src/orders/order_time.cc
@@ -26,8 +26,9 @@
  * @return How much longer an operation is expected to take that began at
  *   `began` and usually ends at `usual_end`.
  */
-milliseconds ExpectedLeft(core::SteadyTime began, core::SteadyTime usual_end,
-                          core::SteadyTime now) {
+milliseconds ExpectedTimeLeft(core::SteadyTime began,
+                              core::SteadyTime usual_end,
+                              core::SteadyTime now) {
   const auto usual = std::chrono::duration_cast<milliseconds>(usual_end - now);
   if (usual.count() > 0) return usual;
   // An overdue load is likely to take longer still: a load from the weight
@@ -61,8 +62,8 @@
     std::span<const OpenLoadRequest> load_requests, core::SteadyTime now) {
   milliseconds left{0};
   for (const OpenLoadRequest& load_request : load_requests) {
-    left = std::max(left,
-                    ExpectedLeft(load_request.began, load_request.ready, now));
+    left = std::max(
+        left, ExpectedTimeLeft(load_request.began, load_request.ready, now));
   }
   return left;
 }
@@ -78,7 +79,7 @@
     const auto left = std::chrono::duration_cast<milliseconds>(from_disk - now);
     return std::max(left, kMinTimeLeft);
   }
-  return ExpectedLeft(*since, *since + longest.remote, now);
+  return ExpectedTimeLeft(*since, *since + longest.remote, now);
 }
 
 policy::Tier NearestTier(const EngineReport& engine,
