--- a/src/orders/engine_controller.cc
+++ b/src/orders/engine_controller.cc
@@ -227,7 +227,8 @@
     if (now >= deadline) {
       throw Error(ErrorCode::kTimedOut, "the engine is busy with an order");
     }
-    // The order was assumed to be a load from disk, but takes longer than one.
+    // The order is first assumed to be a load from disk; requests are refused
+    // once it takes longer than one.
     const milliseconds left =
         ForeignOrderTimeLeft(foreign_order_since_, FindEngineSpec(), now);
     if (left > kMaxQueueTime) {
@@ -275,7 +276,10 @@
   last_loaded_[{load_request.model, load_request.adapter}] = clock_.Now();
 }
 
-/** Sends an order until the engine reports its effect. */
+/**
+ * Sends an order, again if necessary, and waits until the engine reports its
+ * effect.
+ */
 core::Task<> EngineController::ExecuteOrder(EngineOrder order,
                                             core::SteadyTime deadline) {
   const core::SteadyTime began = clock_.Now();
--- a/src/orders/engine_controller_state.cc
+++ b/src/orders/engine_controller_state.cc
@@ -79,7 +79,7 @@
                                : AdapterFits(state, order.model);
 }
 
-/** @param excluded Order that is not counted among the open loads. */
+/** @param excluded Order that is not counted among the pending loads. */
 MemoryState EngineController::BuildMemoryState(
     const EngineOrder& excluded) const {
   MemoryState state;
