--- a/src/orders/controller_metrics.cc
+++ b/src/orders/controller_metrics.cc
@@ -1,4 +1,4 @@
-/** @file controller_metrics.cc What the process beside an engine counts. */
+/** @file controller_metrics.cc Metrics of the controllers of engines. */
 #include <prometheus/text_serializer.h>
 
 #include <string>
@@ -14,8 +14,11 @@
 
 using Seconds = std::chrono::duration<double>;
 
-/** An adapter takes 10 to 30 ms, a load from the weight store 9 to 20 s. */
-const prometheus::Histogram::BucketBoundaries kSeconds = {
+/**
+ * Bucket bounds in seconds: an adapter takes 10 to 30 ms, a load from the
+ * weight store 9 to 20 s.
+ */
+const prometheus::Histogram::BucketBoundaries kLoadRequestBuckets = {
     0.03, 0.1, 0.25, 0.5, 1, 2, 3, 4, 6, 8, 12, 20, 30};
 
 }  // namespace
@@ -49,12 +52,12 @@
   state_->load_requests
       .Add({{"tier", std::string(policy::TierName(tier))},
             {"outcome", std::string(outcome)}},
-           kSeconds)
+           kLoadRequestBuckets)
       .Observe(Seconds(took).count());
 }
 
-void ControllerMetrics::OrderGiven(std::string_view kind,
-                                   std::string_view answer) {
+void ControllerMetrics::OrderSubmitted(std::string_view kind,
+                                       std::string_view answer) {
   state_->orders
       .Add({{"kind", std::string(kind)}, {"answer", std::string(answer)}})
       .Increment();
--- a/src/orders/controller_pool_test.cc
+++ b/src/orders/controller_pool_test.cc
@@ -1,4 +1,4 @@
-/** @file controller_pool_test.cc Tests of entries that order engines. */
+/** @file controller_pool_test.cc Tests of entries that control engines. */
 #define BOOST_TEST_MODULE controller_pool
 #include <boost/asio/io_context.hpp>
 #include <boost/test/unit_test.hpp>
@@ -42,21 +42,21 @@
   return configuration;
 }
 
-/** The engine of the test behind a port of its own. */
+/** A port to the engine that the entries of the test share. */
 class SharedPort final : public EnginePort {
  public:
   explicit SharedPort(TestingEngine& engine) : engine_(engine) {}
   core::Task<EngineReport> Report() override { return engine_.Report(); }
-  core::Task<OrderAnswer> Give(EngineOrder order) override {
-    return engine_.Give(std::move(order));
+  core::Task<OrderAnswer> Submit(EngineOrder order) override {
+    return engine_.Submit(std::move(order));
   }
 
  private:
   TestingEngine& engine_;
 };
 
-core::Task<> LeaveToHolder(const gen::EngineHolder& /*holder*/,
-                           const std::string& /*engine*/) {
+core::Task<> IgnoreReleaseRequest(const gen::EngineHolder& /*holder*/,
+                                  const std::string& /*engine*/) {
   co_return;
 }
 
@@ -67,7 +67,7 @@
   return options;
 }
 
-/** One entry's part in ordering engines. */
+/** The parts of one entry that control engines. */
 struct TestEntry {
   TestEntry(const std::string& vm, const std::string& address,
             external::KeyValueStore& store, TestingEngine& engine,
@@ -78,7 +78,7 @@
         loads(clock),
         peer_table("entries/" + vm, loads, clock, log),
         holders(clock, log),
-        leases(LeaseOf(vm, address), LeaveToHolder, store, clock, log),
+        leases(LeaseOf(vm, address), IgnoreReleaseRequest, store, clock, log),
         pool(
             PoolOf(vm, address),
             [&engine](const std::string&) {
@@ -91,7 +91,7 @@
     PoolOptions options;
     options.vm = vm;
     options.address = address;
-    options.busy_look_interval = milliseconds(5);
+    options.busy_poll_interval = milliseconds(5);
     return options;
   }
 
@@ -104,7 +104,7 @@
   ControllerPool pool;
 };
 
-/** Entries, an engine and the store; time passes only when the test lets it. */
+/** Entries, an engine and the store, on a manual clock. */
 struct Rig {
   Rig()
       : log({"entry", core::VmId("vm"), core::ZoneId("z")},
@@ -129,22 +129,24 @@
     for (const auto& it : entries) it->peer_table.SetEntries(presences);
   }
 
-  /** The entry's presence ends. */
-  void Withdraw(const TestEntry& entry) {
+  /** Removes the entry's presence from the peer tables. */
+  void RemovePresence(const TestEntry& entry) {
     const bool is_first = &entry == entries.front().get();
     presences.erase(is_first ? "entries/front-1" : "entries/front-2");
     for (const auto& it : entries) it->peer_table.SetEntries(presences);
   }
 
-  /** Second by second all entries follow the store, keep their leases and look
-   * after their engines. */
-  void Pass(seconds time) {
+  /**
+   * Once a second, all entries read the store, renew their leases and maintain
+   * their engines.
+   */
+  void AdvanceTime(seconds time) {
     for (seconds gone{0}; gone < time; gone += seconds(1)) {
       clock.Advance(seconds(1));
-      // Leases end with calls to the store.
+      // The store deletes expired leases only when it is called.
       RunTask(io, store.List(""));
       for (const auto& it : entries) {
-        RunTask(io, it->leases.KeepOnce());
+        RunTask(io, it->leases.RenewOnce());
         it->holders.ReplaceAll(Holders());
         it->pool.Maintain();
       }
@@ -162,8 +164,8 @@
     return holders;
   }
 
-  /** @return The entries that the engine is ordered from. */
-  std::vector<TestEntry*> Holding() {
+  /** @return The entries that hold the engine's lease. */
+  std::vector<TestEntry*> LeaseHolders() {
     std::vector<TestEntry*> holding;
     for (const auto& it : entries) {
       if (it->leases.Holds(kEngine)) holding.push_back(it.get());
@@ -172,7 +174,7 @@
   }
 
   /** @return Empty, or the error's name. */
-  std::string Ensure(TestEntry& entry) {
+  std::string EnsureLoaded(TestEntry& entry) {
     return RunTask(io, [](Rig& rig, TestEntry& it) -> core::Task<std::string> {
       LoadRequest load_request;
       load_request.model = kModel;
@@ -181,7 +183,7 @@
       std::string error;
       try {
         const auto controller = it.pool.Find(kInstance);
-        co_await controller->Ensure(load_request);
+        co_await controller->EnsureLoaded(load_request);
       } catch (const core::Error& e) {
         error = core::InfoOf(e.code()).name;
       }
@@ -208,55 +210,61 @@
 
 }  // namespace
 
-/** Guards against models that are refused for good at an engine which has no
- * process beside it. */
-BOOST_AUTO_TEST_CASE(OneEntryOrdersAnEngineWithoutAProcessBesideIt) {
+/**
+ * Guards against models that are permanently refused at an engine without
+ * endpoint process.
+ */
+BOOST_AUTO_TEST_CASE(OneEntryControlsEngineWithoutEndpoint) {
   Rig rig;
-  rig.Pass(seconds(10));
-  BOOST_REQUIRE(rig.Holding().size() == 1);
-  BOOST_TEST(rig.Ensure(*rig.Holding().front()) == "");
+  rig.AdvanceTime(seconds(10));
+  BOOST_REQUIRE(rig.LeaseHolders().size() == 1);
+  BOOST_TEST(rig.EnsureLoaded(*rig.LeaseHolders().front()) == "");
   BOOST_TEST(rig.engine.Holds("a"));
   for (const auto& it : rig.entries) {
     if (it->leases.Holds(kEngine)) continue;
-    BOOST_TEST(rig.Ensure(*it) == "not_holder");
+    BOOST_TEST(rig.EnsureLoaded(*it) == "not_holder");
   }
 }
 
-/** Guards against entries that take engines from the processes beside them. */
-BOOST_AUTO_TEST_CASE(AnEngineWithAProcessBesideItIsLeftAlone) {
+/** Guards against entries that claim engines of running endpoint processes. */
+BOOST_AUTO_TEST_CASE(EngineWithEndpointIsNotClaimed) {
   Rig rig;
-  EngineLeases endpoint(LeaseOf("side-1", "10.0.0.9:81"), LeaveToHolder,
+  EngineLeases endpoint(LeaseOf("side-1", "10.0.0.9:81"), IgnoreReleaseRequest,
                         rig.store, rig.clock, rig.log);
-  endpoint.Want(kEngine);
-  RunTask(rig.io, endpoint.KeepOnce());
-  rig.Pass(seconds(12));
-  BOOST_TEST(rig.Holding().empty());
-  // The process is gone; its lease ends.
-  rig.Pass(seconds(15));
-  BOOST_TEST(rig.Holding().size() == 1);
+  endpoint.RequestLease(kEngine);
+  RunTask(rig.io, endpoint.RenewOnce());
+  rig.AdvanceTime(seconds(12));
+  BOOST_TEST(rig.LeaseHolders().empty());
+  // The endpoint process has ended; its lease expires.
+  rig.AdvanceTime(seconds(15));
+  BOOST_TEST(rig.LeaseHolders().size() == 1);
 }
 
-/** Guards against an entry that takes an engine back which it has just given to
- * the process beside it, as its view of the store is old. */
-BOOST_AUTO_TEST_CASE(AReleasedEngineIsNotTakenAgainAtOnce) {
+/**
+ * Guards against an entry that claims an engine again which it has just
+ * released to the endpoint process, because its view of the store is stale.
+ */
+BOOST_AUTO_TEST_CASE(ReleasedEngineIsNotReclaimedAtOnce) {
   Rig rig;
-  rig.Pass(seconds(10));
-  TestEntry& holder = *rig.Holding().front();
+  rig.AdvanceTime(seconds(10));
+  TestEntry& holder = *rig.LeaseHolders().front();
   const auto old_view = rig.Holders();
   rig.Release(holder);
   BOOST_TEST(rig.store.Keys(fleet::kEngineLeasePrefix).empty());
   holder.holders.ReplaceAll(old_view);
   holder.pool.Maintain();
-  BOOST_TEST(holder.leases.Wanted().empty());
-  BOOST_TEST(rig.Ensure(holder) == "not_holder");
+  BOOST_TEST(holder.leases.RequestedEngines().empty());
+  BOOST_TEST(rig.EnsureLoaded(holder) == "not_holder");
 }
 
-/** Guards against loads that are cut short: an order in progress ends before
- * the engine changes hands. */
-BOOST_AUTO_TEST_CASE(AnEngineIsReleasedAfterItsOrder) {
+/**
+ * Guards against interrupted loads: an order in progress ends before the engine
+ * gets another holder.
+ */
+BOOST_AUTO_TEST_CASE(ReleaseWaitsForOrderInProgress) {
   Rig rig;
-  rig.Pass(seconds(10));
-  TestEntry& holder = *rig.Holding().front();
+  rig.AdvanceTime(seconds(10));
+  TestEntry& holder = *rig.LeaseHolders().front();
   rig.engine.load_time = milliseconds(300);
   std::string loaded = "not ended";
   core::Spawn(rig.io.get_executor(), rig.log, "load", [&]() -> core::Task<> {
@@ -265,7 +273,7 @@
     load_request.model = kModel;
     load_request.instance = kInstance;
     load_request.deadline = rig.clock.Now() + seconds(60);
-    co_await controller->Ensure(load_request);
+    co_await controller->EnsureLoaded(load_request);
     loaded = "";
   });
   RunTask(rig.io, []() -> core::Task<bool> {
@@ -277,48 +285,52 @@
   BOOST_TEST(rig.engine.Holds("a"));
 }
 
-/** Guards against engines that nobody orders for as long as the lease of an
- * entry lasts that was killed and started again. */
-BOOST_AUTO_TEST_CASE(ARestartedEntryTakesItsEnginesBackAtOnce) {
+/**
+ * Guards against engines that nobody can give orders until the lease of a
+ * killed and restarted entry expires.
+ */
+BOOST_AUTO_TEST_CASE(RestartedEntryRegainsEnginesAtOnce) {
   Rig rig;
-  rig.Pass(seconds(10));
-  const TestEntry* holder = rig.Holding().front();
+  rig.AdvanceTime(seconds(10));
+  const TestEntry* holder = rig.LeaseHolders().front();
   const bool is_first = holder == rig.entries.front().get();
   rig.entries.erase(rig.entries.begin() + (is_first ? 0 : 1));
   rig.AddEntry(is_first ? "front-1" : "front-2",
                is_first ? "10.0.0.1:81" : "10.0.0.2:81");
-  rig.Pass(seconds(2));
-  BOOST_REQUIRE(rig.Holding().size() == 1);
-  BOOST_TEST(rig.Holding().front() == rig.entries.back().get());
-  BOOST_TEST(rig.Ensure(*rig.Holding().front()) == "");
+  rig.AdvanceTime(seconds(2));
+  BOOST_REQUIRE(rig.LeaseHolders().size() == 1);
+  BOOST_TEST(rig.LeaseHolders().front() == rig.entries.back().get());
+  BOOST_TEST(rig.EnsureLoaded(*rig.LeaseHolders().front()) == "");
 }
 
-/** Guards against loads that are refused at each planned restart of an entry:
- * it orders to its end, and the next process on its VM goes on at once. */
-BOOST_AUTO_TEST_CASE(ALeavingEntryOrdersToItsEnd) {
+/**
+ * Guards against loads that are refused at each planned restart of an entry: it
+ * gives orders until it ends, and the next process on its VM continues at once.
+ */
+BOOST_AUTO_TEST_CASE(LeavingEntryGivesOrdersUntilItEnds) {
   Rig rig;
-  rig.Pass(seconds(10));
-  TestEntry& holder = *rig.Holding().front();
+  rig.AdvanceTime(seconds(10));
+  TestEntry& holder = *rig.LeaseHolders().front();
   holder.pool.Leave();
-  rig.Withdraw(holder);
-  rig.Pass(seconds(8));
-  BOOST_TEST(rig.Ensure(holder) == "");
-  rig.Pass(seconds(20));
-  BOOST_REQUIRE(rig.Holding().size() == 1);
-  BOOST_TEST(rig.Holding().front() != &holder);
+  rig.RemovePresence(holder);
+  rig.AdvanceTime(seconds(8));
+  BOOST_TEST(rig.EnsureLoaded(holder) == "");
+  rig.AdvanceTime(seconds(20));
+  BOOST_REQUIRE(rig.LeaseHolders().size() == 1);
+  BOOST_TEST(rig.LeaseHolders().front() != &holder);
 }
 
-/** Guards against an engine that is given up while it restarts. */
-BOOST_AUTO_TEST_CASE(AnEngineThatCrashesIsKept) {
+/** Guards against an engine whose lease is given back while it restarts. */
+BOOST_AUTO_TEST_CASE(LeaseOfCrashedEngineIsKept) {
   Rig rig;
-  rig.Pass(seconds(10));
-  TestEntry& holder = *rig.Holding().front();
+  rig.AdvanceTime(seconds(10));
+  TestEntry& holder = *rig.LeaseHolders().front();
   for (const auto& it : rig.entries) {
     it->registry.Remove(fleet::EngineId("i-1"), std::nullopt);
   }
-  rig.Pass(seconds(5));
+  rig.AdvanceTime(seconds(5));
   BOOST_TEST(holder.leases.Holds(kEngine));
-  rig.Pass(seconds(10));
+  rig.AdvanceTime(seconds(10));
   BOOST_TEST(!holder.leases.Holds(kEngine));
 }
 
--- a/src/orders/engine_controller_test.cc
+++ b/src/orders/engine_controller_test.cc
@@ -1,7 +1,7 @@
-/** @file engine_controller_test.cc Tests of the orders to one engine.
+/** @file engine_controller_test.cc Tests of the controller of one engine.
  *
- * The engine has room for three models, as the engines of the operators'
- * sheets.
+ * The engine has memory for three models, like the engines in the operators'
+ * data sheets.
  */
 #define BOOST_TEST_MODULE engine_controller
 #include <boost/asio/io_context.hpp>
@@ -57,23 +57,24 @@
   ControllerOptions options;
   options.engine_address = kEngine;
   options.service = kService;
-  options.busy_look_interval = milliseconds(5);
-  options.look_interval = milliseconds(10);
+  options.busy_poll_interval = milliseconds(5);
+  options.poll_interval = milliseconds(10);
   return options;
 }
 
-/** A controller beside a testing engine. */
+/** A controller and its testing engine. */
 struct Rig {
   explicit Rig(const LeaseOptions& lease = Lease())
       : log({"endpoint", core::VmId("vm-1"), core::ZoneId("z")},
             core::LogLevel::kError, clock),
-        leases(lease, NeverAsked, store, clock, log) {
+        leases(lease, IgnoreReleaseRequest, store, clock, log) {
     configuration.Adopt(MakeConfiguration());
-    // A process before on this VM, so that there is no turn to wait for.
-    EngineLeases before(Lease(), NeverAsked, store, clock, log);
+    // An earlier process on this VM holds the lease first, so that
+    // HandoverDelay is 0.
+    EngineLeases before(Lease(), IgnoreReleaseRequest, store, clock, log);
     for (EngineLeases* it : {&before, &leases}) {
-      it->Want(kEngine);
-      RunTask(io, it->KeepOnce());
+      it->RequestLease(kEngine);
+      RunTask(io, it->RenewOnce());
     }
     Restart();
   }
@@ -82,41 +83,44 @@
     LeaseOptions options;
     options.self.vm = "vm-1";
     options.self.address = "10.0.0.1:81";
-    options.turn_gap = milliseconds(0);
+    options.handover_gap = milliseconds(0);
     options.time_to_live = std::chrono::hours(1);
     return options;
   }
 
-  static core::Task<> NeverAsked(const gen::EngineHolder& /*holder*/,
-                                 const std::string& /*engine*/) {
+  static core::Task<> IgnoreReleaseRequest(const gen::EngineHolder& /*holder*/,
+                                           const std::string& /*engine*/) {
     co_return;
   }
 
-  /** A new process in the place of the one before. */
+  /** Replaces the controller, as a restart of the process would. */
   void Restart() {
     controller = std::make_unique<EngineController>(
         Options(), engine, leases, configuration, metrics, clock, log);
   }
 
-  /** The process is killed while its engine loads a model, and started again.
-   * @return What is left of the killed one. */
+  /**
+   * Kills the process while its engine loads a model, and restarts it.
+   * @return The controller of the killed process.
+   */
   std::unique_ptr<EngineController> RestartDuringLoad(
       const std::string& model) {
     LoadRequest load_request;
     load_request.model = core::ModelId(model);
     load_request.instance = engine.instance;
     load_request.deadline = clock.Now() + milliseconds(3000);
-    entry::testing::StartTask(io, Ended(load_request), lost);
-    Pass(milliseconds(100));
+    entry::testing::StartTask(io, EnsureAndGetError(load_request), lost);
+    WaitFor(milliseconds(100));
     std::unique_ptr<EngineController> killed = std::move(controller);
     Restart();
     return killed;
   }
 
   /** @return Empty, or the error's name. */
-  std::string Ensure(const std::string& model, milliseconds timeout,
-                     const std::string& instance = "i-1") {
-    return RunTask(io, Ended(LoadRequestFor(model, timeout, instance)));
+  std::string EnsureLoaded(const std::string& model, milliseconds timeout,
+                           const std::string& instance = "i-1") {
+    return RunTask(io,
+                   EnsureAndGetError(LoadRequestFor(model, timeout, instance)));
   }
 
   std::string EnsureAdapter(const std::string& model,
@@ -124,7 +128,7 @@
                             const std::string& instance) {
     LoadRequest load_request = LoadRequestFor(model, timeout, instance);
     load_request.adapter = core::AdapterId(adapter);
-    return RunTask(io, Ended(std::move(load_request)));
+    return RunTask(io, EnsureAndGetError(std::move(load_request)));
   }
 
   [[nodiscard]] LoadRequest LoadRequestFor(
@@ -137,18 +141,18 @@
     return load_request;
   }
 
-  core::Task<std::string> Ended(LoadRequest load_request) {
+  core::Task<std::string> EnsureAndGetError(LoadRequest load_request) {
     std::string error;
     try {
-      co_await controller->Ensure(std::move(load_request));
+      co_await controller->EnsureLoaded(std::move(load_request));
     } catch (const core::Error& e) {
       error = core::InfoOf(e.code()).name;
     }
     co_return error;
   }
 
-  /** Lets real time pass. */
-  void Pass(milliseconds time) { RunTask(io, Sleep(time)); }
+  /** Waits in real time. */
+  void WaitFor(milliseconds time) { RunTask(io, Sleep(time)); }
 
   static core::Task<bool> Sleep(milliseconds time) {
     co_await core::SleepFor(time);
@@ -168,74 +172,75 @@
   entry::testing::Outcome<std::string> lost;
 };
 
-constexpr milliseconds kEnough{3000};
+constexpr milliseconds kLongTimeout{3000};
 
-fleet::EngineBirth At(int seconds) {
+fleet::EngineBirth StartTimeAt(int seconds) {
   return fleet::EngineBirth(std::chrono::seconds(seconds));
 }
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(AFourthModelTakesTheRoomOfAnUnusedOne) {
+BOOST_AUTO_TEST_CASE(FourthModelReplacesUnusedOne) {
   Rig rig;
   for (const char* it : {"a", "b", "c", "d"}) {
-    BOOST_TEST(rig.Ensure(it, kEnough) == "");
-    // What was just loaded stays a moment for those who waited for it.
-    rig.Pass(milliseconds(600));
+    BOOST_TEST(rig.EnsureLoaded(it, kLongTimeout) == "");
+    // A model that was just loaded is kept a moment for the callers that waited
+    // for it.
+    rig.WaitFor(milliseconds(600));
   }
   BOOST_TEST(rig.engine.Holds("d"));
   BOOST_TEST(!rig.engine.over_memory);
 }
 
 /**
- * An engine crashes and everything on it is lost.
- * The endpoint process is killed while its engine loads a model and started
- * again. The engine's report does not list a model that is still loading, so
- * its room looks free, and the new process orders a fourth model onto it.
+ * Guards against an engine crash in which all its models are lost. The endpoint
+ * process is killed while its engine loads a model, and restarted. The engine's
+ * report does not list a model that is still being loaded, so its memory looks
+ * free, and the new process orders a fourth model.
  */
-BOOST_AUTO_TEST_CASE(ARestartedProcessCountsTheLoadInProgress) {
+BOOST_AUTO_TEST_CASE(RestartedProcessCountsLoadInProgress) {
   Rig rig;
-  rig.engine.Hold("a");
-  rig.engine.Hold("b");
+  rig.engine.AddModel("a");
+  rig.engine.AddModel("b");
   rig.engine.load_time = milliseconds(400);
   const auto killed = rig.RestartDuringLoad("c");
-  BOOST_TEST(rig.Ensure("d", kEnough) == "");
+  BOOST_TEST(rig.EnsureLoaded("d", kLongTimeout) == "");
   BOOST_TEST(!rig.engine.over_memory);
 }
 
 /**
- * An engine crashes and everything on it is lost.
- * The answer to an order is lost, the order is carried out later, and in the
- * meantime the room that it takes is given to another model.
+ * Guards against an engine crash in which all its models are lost. The response
+ * to an order is lost, the order is carried out late, and meanwhile its memory
+ * is given to another model.
  */
-BOOST_AUTO_TEST_CASE(ALostOrderThatIsCarriedOutLateNeverOverfillsTheEngine) {
+BOOST_AUTO_TEST_CASE(LateOrderNeverExceedsMemory) {
   Rig rig;
-  rig.engine.Hold("a");
-  rig.engine.Hold("b");
+  rig.engine.AddModel("a");
+  rig.engine.AddModel("b");
   rig.engine.lose_next_answer = true;
-  BOOST_TEST(rig.Ensure("c", milliseconds(100)) != "");
-  BOOST_TEST(rig.Ensure("d", kEnough) == "");
-  rig.Pass(milliseconds(500));
+  BOOST_TEST(rig.EnsureLoaded("c", milliseconds(100)) != "");
+  BOOST_TEST(rig.EnsureLoaded("d", kLongTimeout) == "");
+  rig.WaitFor(milliseconds(500));
   BOOST_TEST(!rig.engine.over_memory);
 }
 
-BOOST_AUTO_TEST_CASE(ALostOrderIsGivenAgainAndItsLateCopyIsVoid) {
+BOOST_AUTO_TEST_CASE(LostOrderIsSentAgainAndLateCopyIsVoid) {
   Rig rig;
   rig.engine.lose_next_answer = true;
-  BOOST_TEST(rig.Ensure("a", kEnough) == "");
-  BOOST_TEST(rig.engine.orders_given == 2);
-  rig.Pass(milliseconds(500));
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout) == "");
+  BOOST_TEST(rig.engine.orders_submitted == 2);
+  rig.WaitFor(milliseconds(500));
   BOOST_TEST(rig.engine.Holds("a"));
 }
 
 /**
- * An endpoint process ends with spoiled memory, and its engine wakes no model
- * until it is started again.
- * While the answer to an order is on its way, a look at the engine finds that
- * order over, as the engine has restarted; then the answer, a refusal, takes
- * the order off the list of open ones a second time.
+ * Guards against a crash of the endpoint process from corrupted memory, after
+ * which its engine loads no model until the process is restarted. While the
+ * response to an order is pending, a poll finds the order finished, as the
+ * engine has restarted; the response, a refusal, then removes the order from
+ * the list of open ones a second time.
  */
-BOOST_AUTO_TEST_CASE(ARefusalOfAnOrderThatIsOverAlreadyIsHarmless) {
+BOOST_AUTO_TEST_CASE(RefusalOfFinishedOrderIsHarmless) {
   Rig rig;
   rig.engine.answer_delay = milliseconds(100);
   core::Spawn(rig.io.get_executor(), rig.log, "look",
@@ -243,21 +248,23 @@
   LoadRequest load_request;
   load_request.model = core::ModelId("a");
   load_request.instance = fleet::InstanceId("i-0");
-  load_request.deadline = rig.clock.Now() + kEnough;
+  load_request.deadline = rig.clock.Now() + kLongTimeout;
   entry::testing::Outcome<std::string> refused;
-  entry::testing::StartTask(rig.io, rig.Ended(load_request), refused);
-  rig.Pass(milliseconds(50));
-  // The same model: another one is not queued behind a load of 9 s.
-  BOOST_TEST(rig.Ensure("a", kEnough) == "");
+  entry::testing::StartTask(rig.io, rig.EnsureAndGetError(load_request),
+                            refused);
+  rig.WaitFor(milliseconds(50));
+  // Requests the same model: another one would not be queued behind a load of 9
+  // s.
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout) == "");
   BOOST_TEST(*refused.value == "engine_replaced");
 }
 
 /**
- * Callers of all models on an engine's disk are refused for 30 s.
- * The engine crashes in the middle of a load and is back at once; the process
- * beside it waits for the load that nobody carries out any more.
+ * Guards against 30 s of refusals for callers of all models on an engine's
+ * disk. The engine crashes during a load and restarts at once; the endpoint
+ * process waits for the load, which no longer exists.
  */
-BOOST_AUTO_TEST_CASE(AnOrderThatACrashForgotIsGivenUpSoon) {
+BOOST_AUTO_TEST_CASE(OrderLostInCrashFailsSoon) {
   Rig rig;
   rig.engine.load_time = milliseconds(400);
   const auto began = rig.clock.Now();
@@ -266,180 +273,189 @@
                 co_await core::SleepFor(milliseconds(100));
                 rig.engine.Restart();
               });
-  BOOST_TEST(rig.Ensure("a", kEnough) == "load_failed");
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout) == "load_failed");
   BOOST_TEST((rig.clock.Now() - began < milliseconds(2000)));
 }
 
-/** Entries may still know the engine's last start: nothing is ordered then. */
-BOOST_AUTO_TEST_CASE(AnOrderForAnEarlierStartIsRefused) {
+/**
+ * Entries may still know an earlier instance of the engine; no order is given
+ * then.
+ */
+BOOST_AUTO_TEST_CASE(OrderForEarlierInstanceIsRefused) {
   Rig rig;
   rig.engine.instance = fleet::InstanceId("i-2");
-  BOOST_TEST(rig.Ensure("a", kEnough) == "engine_replaced");
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout) == "engine_replaced");
   BOOST_TEST(!rig.engine.Holds("a"));
-  BOOST_TEST(rig.Ensure("a", kEnough, "i-2") == "");
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout, "i-2") == "");
 }
 
 /**
- * The same where the engine keeps its name: only the time of its start tells
- * that what the entry means is gone. It takes orders under that name, so the
- * process beside it has to refuse.
+ * The same for an engine that keeps its id: only its start time shows that the
+ * requested instance no longer exists. The engine accepts orders under that id,
+ * so the endpoint process has to refuse.
  */
-BOOST_AUTO_TEST_CASE(AnOrderForAnEarlierStartOfTheNameIsRefused) {
+BOOST_AUTO_TEST_CASE(OrderForEarlierStartTimeIsRefused) {
   Rig rig;
-  rig.engine.TellBirth(At(20));
-  BOOST_TEST(rig.Ensure("a", kEnough, "i-1@10000") == "engine_replaced");
-  BOOST_TEST(rig.engine.orders_given == 0);
-  BOOST_TEST(rig.Ensure("a", kEnough, "i-1@20000") == "");
-  BOOST_TEST(rig.Ensure("b", kEnough, "i-1@10000") == "engine_replaced");
+  rig.engine.SetStartTime(StartTimeAt(20));
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout, "i-1@10000") ==
+             "engine_replaced");
+  BOOST_TEST(rig.engine.orders_submitted == 0);
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout, "i-1@20000") == "");
+  BOOST_TEST(rig.EnsureLoaded("b", kLongTimeout, "i-1@10000") ==
+             "engine_replaced");
 }
 
 /**
- * An engine crashes and everything on it is lost.
- * The answer to an order is lost; the engine starts again under its name,
- * counts its orders anew and takes the late copy, as its number fits; the room
- * was given to other models meanwhile.
+ * Guards against an engine crash in which all its models are lost. The response
+ * to an order is lost; the engine restarts under the same id, counts its orders
+ * from 0 and accepts the late copy, as its count matches; meanwhile the memory
+ * was given to other models.
  */
-BOOST_AUTO_TEST_CASE(ALateOrderForAnEarlierStartNeverOverfillsTheNewOne) {
+BOOST_AUTO_TEST_CASE(LateOrderForEarlierInstanceNeverExceedsMemory) {
   Rig rig;
-  rig.engine.TellBirth(At(10));
-  BOOST_TEST(rig.Ensure("a", kEnough, "i-1@10000") == "");
+  rig.engine.SetStartTime(StartTimeAt(10));
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout, "i-1@10000") == "");
   rig.engine.lose_next_answer = true;
-  rig.engine.late_by = milliseconds(700);
-  BOOST_TEST(rig.Ensure("c", milliseconds(100), "i-1@10000") != "");
-  rig.engine.RestartAt(At(20));
-  rig.engine.Hold("b");
-  rig.engine.Hold("d");
-  BOOST_TEST(rig.Ensure("e", kEnough, "i-1@20000") == "");
-  rig.Pass(milliseconds(1000));
+  rig.engine.late_order_delay = milliseconds(700);
+  BOOST_TEST(rig.EnsureLoaded("c", milliseconds(100), "i-1@10000") != "");
+  rig.engine.RestartAt(StartTimeAt(20));
+  rig.engine.AddModel("b");
+  rig.engine.AddModel("d");
+  BOOST_TEST(rig.EnsureLoaded("e", kLongTimeout, "i-1@20000") == "");
+  rig.WaitFor(milliseconds(1000));
   BOOST_TEST(rig.engine.Holds("e"));
   BOOST_TEST(!rig.engine.over_memory);
 }
 
 /**
- * Callers of a model wait for a load that nobody carries out.
- * The engine starts again under its name in the middle of it; its order count,
- * which starts anew, has passed the old one already by an order of another.
+ * Guards against callers that wait for a load that no longer exists. The engine
+ * restarts under the same id during the load; its new order count has already
+ * passed the old one because of another order.
  */
-BOOST_AUTO_TEST_CASE(ARestartUnderItsNameEndsALoad) {
+BOOST_AUTO_TEST_CASE(RestartUnderSameIdFailsLoad) {
   Rig rig;
-  rig.engine.TellBirth(At(10));
+  rig.engine.SetStartTime(StartTimeAt(10));
   rig.engine.load_time = milliseconds(400);
   const auto began = rig.clock.Now();
   core::Spawn(rig.io.get_executor(), rig.log, "crash",
               [&rig]() -> core::Task<> {
                 co_await core::SleepFor(milliseconds(100));
-                rig.engine.RestartAt(At(20));
+                rig.engine.RestartAt(StartTimeAt(20));
               });
-  BOOST_TEST(rig.Ensure("a", kEnough, "i-1@10000") == "engine_replaced");
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout, "i-1@10000") ==
+             "engine_replaced");
   BOOST_TEST((rig.clock.Now() - began < milliseconds(1000)));
-  BOOST_TEST(rig.Ensure("a", kEnough, "i-1@20000") == "");
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout, "i-1@20000") == "");
 }
 
 /**
- * Callers of an adapter wait for a load that nobody carries out.
- * The engine starts again under its name while the adapter loads: the adapter,
- * and the model that it belongs to, are gone with the start before.
+ * Guards against callers that wait for the load of an adapter that no longer
+ * exists. The engine restarts under the same id while the adapter is loaded;
+ * the adapter and its model were lost with the earlier instance.
  */
-BOOST_AUTO_TEST_CASE(ARestartUnderItsNameEndsTheLoadOfAnAdapter) {
+BOOST_AUTO_TEST_CASE(RestartUnderSameIdFailsAdapterLoad) {
   Rig rig;
-  rig.engine.TellBirth(At(10));
-  BOOST_TEST(rig.EnsureAdapter("a", "x", kEnough, "i-1@10000") == "");
+  rig.engine.SetStartTime(StartTimeAt(10));
+  BOOST_TEST(rig.EnsureAdapter("a", "x", kLongTimeout, "i-1@10000") == "");
   rig.engine.load_time = milliseconds(400);
   const auto began = rig.clock.Now();
   core::Spawn(rig.io.get_executor(), rig.log, "crash",
               [&rig]() -> core::Task<> {
                 co_await core::SleepFor(milliseconds(100));
-                rig.engine.RestartAt(At(20));
+                rig.engine.RestartAt(StartTimeAt(20));
               });
-  BOOST_TEST(rig.EnsureAdapter("a", "y", kEnough, "i-1@10000") ==
+  BOOST_TEST(rig.EnsureAdapter("a", "y", kLongTimeout, "i-1@10000") ==
              "engine_replaced");
   BOOST_TEST((rig.clock.Now() - began < milliseconds(1000)));
   rig.engine.load_time = milliseconds(60);
-  BOOST_TEST(rig.EnsureAdapter("a", "y", kEnough, "i-1@20000") == "");
+  BOOST_TEST(rig.EnsureAdapter("a", "y", kLongTimeout, "i-1@20000") == "");
 }
 
 /**
- * After everything was stopped, callers of a model wait until their patience is
- * over, beside idle engines.
- * An engine still loads what the process before had ordered, and takes no order
- * meanwhile. It may be a load from disk, worth the wait; once it has taken
- * longer than that, those who wait are told to go elsewhere.
+ * Guards against callers that wait until they time out, next to idle engines,
+ * after everything was stopped. An engine still carries out a load that the
+ * previous process ordered, and accepts no order meanwhile. It may be a load
+ * from disk, which is worth waiting for; once it has taken longer, waiting
+ * requests are refused so that they go elsewhere.
  */
-BOOST_AUTO_TEST_CASE(AnOrderOfTheProcessBeforeCountsAsWork) {
+BOOST_AUTO_TEST_CASE(OrderOfPreviousProcessDelaysRequests) {
   Rig rig;
   rig.engine.load_time = milliseconds(1600);
   const auto killed = rig.RestartDuringLoad("c");
   const auto began = rig.clock.Now();
-  BOOST_TEST(rig.Ensure("d", kEnough) == "no_capacity");
+  BOOST_TEST(rig.EnsureLoaded("d", kLongTimeout) == "no_capacity");
   const auto waited = rig.clock.Now() - began;
   BOOST_TEST((waited >= kDiskLoad));
   BOOST_TEST((waited < milliseconds(1200)));
-  rig.Pass(milliseconds(1000));
+  rig.WaitFor(milliseconds(1000));
   rig.engine.load_time = milliseconds(60);
-  BOOST_TEST(rig.Ensure("d", kEnough) == "");
+  BOOST_TEST(rig.EnsureLoaded("d", kLongTimeout) == "");
 }
 
 /**
- * Callers wait until their patience is over, beside idle engines.
- * Their entry has not heard yet that another one has a model loaded here from
- * the weight store. Told at once that the engine is busy for 9 s, it asks
- * another; callers of the model on its way wait with the first.
+ * Guards against callers that wait until they time out, next to idle engines.
+ * Their entry does not know yet that another one has a model loaded here from
+ * the weight store. It is told at once that the engine is busy for 9 s, and
+ * asks another; callers of the model being loaded wait with the first one.
  */
-BOOST_AUTO_TEST_CASE(ALoadRequestBehindALongLoadIsRefusedAtOnce) {
+BOOST_AUTO_TEST_CASE(LoadRequestBehindLongLoadIsRefusedAtOnce) {
   Rig rig;
   rig.engine.load_time = milliseconds(600);
   entry::testing::Outcome<std::string> first;
   entry::testing::Outcome<std::string> same;
-  entry::testing::StartTask(rig.io, rig.Ended(rig.LoadRequestFor("a", kEnough)),
-                            first);
-  rig.Pass(milliseconds(50));
-  entry::testing::StartTask(rig.io, rig.Ended(rig.LoadRequestFor("a", kEnough)),
-                            same);
+  entry::testing::StartTask(
+      rig.io, rig.EnsureAndGetError(rig.LoadRequestFor("a", kLongTimeout)),
+      first);
+  rig.WaitFor(milliseconds(50));
+  entry::testing::StartTask(
+      rig.io, rig.EnsureAndGetError(rig.LoadRequestFor("a", kLongTimeout)),
+      same);
   const auto began = rig.clock.Now();
-  BOOST_TEST(rig.Ensure("b", kEnough) == "no_capacity");
+  BOOST_TEST(rig.EnsureLoaded("b", kLongTimeout) == "no_capacity");
   BOOST_TEST((rig.clock.Now() - began < milliseconds(200)));
-  rig.Pass(milliseconds(1000));
+  rig.WaitFor(milliseconds(1000));
   BOOST_TEST(*first.value == "");
   BOOST_TEST(*same.value == "");
-  BOOST_TEST(rig.engine.orders_given == 1);
+  BOOST_TEST(rig.engine.orders_submitted == 1);
 }
 
 /**
- * Callers of a model wait for it to be loaded again in the middle of its use.
- * The process beside the engine goes by what the load request tells of use:
- * what is in progress, or was asked for a moment ago, stays.
+ * Guards against callers that wait for a model to be reloaded while it is used.
+ * The endpoint process relies on the usage in the load request: a model with
+ * requests in progress, or requested a moment ago, is kept.
  */
-BOOST_AUTO_TEST_CASE(WhatALoadRequestTellsToBeInUseStays) {
+BOOST_AUTO_TEST_CASE(ModelsInUseAreNotUnloaded) {
   Rig rig;
-  for (const char* it : {"a", "b", "c"}) rig.engine.Hold(it);
-  LoadRequest load_request = rig.LoadRequestFor("d", kEnough);
+  for (const char* it : {"a", "b", "c"}) rig.engine.AddModel(it);
+  LoadRequest load_request = rig.LoadRequestFor("d", kLongTimeout);
   fleet::Usage busy;
   busy.running = 1;
   fleet::Usage fresh;
   fresh.last_begun = rig.clock.Now();
   fleet::Usage asked_for;
   asked_for.demand = 0.5;
-  load_request.use[{core::ModelId("a"), core::AdapterId()}] = busy;
-  load_request.use[{core::ModelId("b"), core::AdapterId()}] = fresh;
-  load_request.use[{core::ModelId("c"), core::AdapterId()}] = asked_for;
-  BOOST_TEST(RunTask(rig.io, rig.Ended(load_request)) == "");
+  load_request.usage[{core::ModelId("a"), core::AdapterId()}] = busy;
+  load_request.usage[{core::ModelId("b"), core::AdapterId()}] = fresh;
+  load_request.usage[{core::ModelId("c"), core::AdapterId()}] = asked_for;
+  BOOST_TEST(RunTask(rig.io, rig.EnsureAndGetError(load_request)) == "");
   BOOST_TEST(rig.engine.Holds("a"));
   BOOST_TEST(rig.engine.Holds("b"));
   BOOST_TEST(!rig.engine.Holds("c"));
   load_request.model = core::ModelId("e");
   load_request.deadline = rig.clock.Now() + milliseconds(300);
-  BOOST_TEST(RunTask(rig.io, rig.Ended(load_request)) == "no_capacity");
+  BOOST_TEST(RunTask(rig.io, rig.EnsureAndGetError(load_request)) ==
+             "no_capacity");
 }
 
 /**
- * Callers are refused for seconds and on-call engineers see no reason.
- * The engine is given an order whose answer is lost; the metrics of the process
- * beside it must tell that, and how long the load request took in the end.
+ * Guards against refusals for seconds whose reason on-call engineers cannot
+ * see. The response to an order is lost; the metrics of the endpoint process
+ * must show that, and how long the load request took in the end.
  */
-BOOST_AUTO_TEST_CASE(MetricsTellOfLostAnswersAndOfLoadRequests) {
+BOOST_AUTO_TEST_CASE(MetricsCountLostAnswersAndLoadRequests) {
   Rig rig;
   rig.engine.lose_next_answer = true;
-  BOOST_TEST(rig.Ensure("a", milliseconds(2000)).empty());
+  BOOST_TEST(rig.EnsureLoaded("a", milliseconds(2000)).empty());
   const std::string text = rig.metrics.Text(rig.controller->Levels());
   const auto has = [&text](const std::string& line) {
     return text.find(line) != std::string::npos;
@@ -453,42 +469,46 @@
   BOOST_TEST(has("sapphire_controller_level{name=\"config_version\"} 1"));
 }
 
-/** Guards against loads that are refused after each freeze of the process
- * beside an engine: its lease ended, but nobody else has given an order. */
-BOOST_AUTO_TEST_CASE(AnEngineThatNobodyElseOrderedIsOrderedAtOnceAgain) {
+/**
+ * Guards against loads that are refused after each freeze of the endpoint
+ * process: its lease ended, but no other process has given an order.
+ */
+BOOST_AUTO_TEST_CASE(EngineWithoutForeignOrdersNeedsNoHandoverDelay) {
   LeaseOptions lease = Rig::Lease();
   lease.time_to_live = lease.margin + milliseconds(300);
-  lease.turn_gap = std::chrono::hours(1);
+  lease.handover_gap = std::chrono::hours(1);
   Rig rig(lease);
-  rig.engine.TellBirth(At(10));
-  BOOST_TEST(rig.Ensure("a", kEnough, "i-1@10000") == "");
-  rig.Pass(milliseconds(400));
-  BOOST_TEST(rig.Ensure("b", kEnough, "i-1@10000") == "not_holder");
+  rig.engine.SetStartTime(StartTimeAt(10));
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout, "i-1@10000") == "");
+  rig.WaitFor(milliseconds(400));
+  BOOST_TEST(rig.EnsureLoaded("b", kLongTimeout, "i-1@10000") == "not_holder");
   rig.store.LapseLeases();
-  RunTask(rig.io, rig.leases.KeepOnce());
-  BOOST_TEST(rig.Ensure("b", kEnough, "i-1@10000") == "");
+  RunTask(rig.io, rig.leases.RenewOnce());
+  BOOST_TEST(rig.EnsureLoaded("b", kLongTimeout, "i-1@10000") == "");
 }
 
-/** Guards against orders of two processes by turns: while this one's lease was
- * another's, the engine has accepted an order that is not from here. */
-BOOST_AUTO_TEST_CASE(AnEngineThatAnotherProcessOrderedIsNotOrderedAtOnce) {
+/**
+ * Guards against alternating orders of two processes: while another process
+ * held the lease, the engine accepted an order that this process did not give.
+ */
+BOOST_AUTO_TEST_CASE(EngineWithForeignOrderNeedsHandoverDelay) {
   LeaseOptions lease = Rig::Lease();
   lease.time_to_live = lease.margin + milliseconds(300);
-  lease.turn_gap = std::chrono::hours(1);
+  lease.handover_gap = std::chrono::hours(1);
   Rig rig(lease);
-  rig.engine.TellBirth(At(10));
-  BOOST_TEST(rig.Ensure("a", kEnough, "i-1@10000") == "");
-  rig.Pass(milliseconds(400));
+  rig.engine.SetStartTime(StartTimeAt(10));
+  BOOST_TEST(rig.EnsureLoaded("a", kLongTimeout, "i-1@10000") == "");
+  rig.WaitFor(milliseconds(400));
   EngineOrder foreign;
   foreign.kind = OrderKind::kUnload;
   foreign.model = core::ModelId("a");
   foreign.instance = fleet::InstanceId("i-1@10000");
   foreign.expected_count = 1;
-  const auto answer = RunTask(rig.io, rig.engine.Give(foreign));
+  const auto answer = RunTask(rig.io, rig.engine.Submit(foreign));
   BOOST_TEST((answer == OrderAnswer::kAccepted));
   rig.store.LapseLeases();
-  RunTask(rig.io, rig.leases.KeepOnce());
-  BOOST_TEST(rig.Ensure("b", kEnough, "i-1@10000") == "no_capacity");
+  RunTask(rig.io, rig.leases.RenewOnce());
+  BOOST_TEST(rig.EnsureLoaded("b", kLongTimeout, "i-1@10000") == "no_capacity");
 }
 
 }  // namespace sapphire::orders
--- a/src/orders/engine_leases_base.h
+++ b/src/orders/engine_leases_base.h
@@ -1,5 +1,5 @@
-/** @file engine_leases_base.h Keeps this process the only one that orders an
- * engine. */
+/** @file engine_leases_base.h Leases that let only one process at a time give
+ * orders to an engine. */
 #ifndef SAPPHIRE_ORDERS_ENGINE_LEASES_BASE_H_
 #define SAPPHIRE_ORDERS_ENGINE_LEASES_BASE_H_
 
@@ -20,119 +20,131 @@
 namespace sapphire::orders {
 
 struct LeaseOptions {
-  /** This process, as others are told. */
+  /** How this process identifies itself to others. */
   gen::EngineHolder self;
-  /** Longer than outages of the store usually last: without its lease the
-   * process gives no orders. */
+  /**
+   * Longer than outages of the store usually last: without its lease the
+   * process gives no orders.
+   */
   std::chrono::milliseconds time_to_live{15'000};
   std::chrono::milliseconds renew_pause{3000};
   std::chrono::milliseconds retry_pause{1000};
-  /** No order is sent this long before the lease ends: it may be on its way for
-   * as long. */
+  /**
+   * No order is sent this long before the lease ends, as an order may take as
+   * long to arrive.
+   */
   std::chrono::milliseconds margin{1500};
-  /** Orders of two VMs to one engine have to be this far apart. */
-  std::chrono::milliseconds turn_gap{3000};
+  /** Minimum time between orders of two VMs to one engine. */
+  std::chrono::milliseconds handover_gap{3000};
 };
 
 /**
- * The leases of the engines that this process orders: one key an engine, all
- * under one lease of the store. Others may take an engine once its key is gone;
- * this process counts its time from before each renewal was sent, so it stops
- * first. A key's revision is the fencing token of all orders under it.
+ * The leases of the engines that this process controls: one key per engine, all
+ * under one lease of the store. Another process may claim an engine once its
+ * key no longer exists. This process counts the lease time from before each
+ * renewal was sent, so it stops giving orders before the key is deleted. A
+ * key's revision is the fencing token of all orders under it.
  *
- * One thread.
+ * Used on one thread.
  */
 class EngineLeases {
  public:
-  /** Asks the holder on another VM to give the engine up; returns when it has,
-   * or can't be asked. */
-  using AskRelease = std::function<core::Task<>(const gen::EngineHolder& holder,
-                                                const std::string& engine)>;
+  /**
+   * Asks the holder on another VM to release the engine; completes when the
+   * engine is released or the holder cannot be reached.
+   */
+  using RequestRelease = std::function<core::Task<>(
+      const gen::EngineHolder& holder, const std::string& engine)>;
 
   /** @pre All references outlive the leases. */
-  EngineLeases(LeaseOptions options, AskRelease ask_release,
+  EngineLeases(LeaseOptions options, RequestRelease request_release,
                external::KeyValueStore& store, const core::Clock& clock,
                const core::Logger& log);
 
-  /** Takes and renews the leases that are wanted, for as long as the process
-   * runs. */
+  /** Claims and renews the requested leases for as long as the process runs. */
   core::Task<> Run();
 
-  /** One round of Run. @return True if all that is wanted is held. */
-  core::Task<bool> KeepOnce();
+  /**
+   * Runs one round of Run.
+   * @return True if all requested leases are held.
+   */
+  core::Task<bool> RenewOnce();
 
-  /** Lets what is held run out. */
+  /** Stops all renewals, so that the held leases expire. */
   void StopRenewing() { renewing_ = false; }
 
-  /** Has the engine's lease taken and kept. */
-  void Want(const std::string& engine);
+  /** Requests the engine's lease, which Run then claims and renews. */
+  void RequestLease(const std::string& engine);
 
   /** Gives the lease back. @pre No order under it is open. */
   core::Task<> Release(std::string engine);
 
-  /** Stops asking for a lease that another process has. */
-  void Forget(const std::string& engine);
+  /** Stops requesting a lease that another process holds. */
+  void CancelRequest(const std::string& engine);
 
-  /** @return The engines whose leases are wanted here. */
-  [[nodiscard]] std::vector<std::string> Wanted() const;
+  /** @return The engines whose leases are requested. */
+  [[nodiscard]] std::vector<std::string> RequestedEngines() const;
 
-  /** @return True if the lease is held now, whatever its turn. */
+  /** @return True if the lease is held now, even if HandoverDelay is not yet 0.
+   */
   [[nodiscard]] bool Holds(const std::string& engine) const;
 
   /**
-   * @param untouched The engine is known to have accepted no order of another
-   *   process, so there is none to keep apart from.
-   * @return How long to wait before an order may be sent; 0: now.
+   * @param no_foreign_orders The engine is known to have accepted no order of
+   * another process, so no time between orders has to be kept.
+   * @return How long to wait before an order may be sent; 0: it may be sent
+   *   now.
    * @throws core::Error kNotHolder if the lease is not held.
    */
-  [[nodiscard]] std::chrono::milliseconds TurnLeft(const std::string& engine,
-                                                   bool untouched) const;
+  [[nodiscard]] std::chrono::milliseconds HandoverDelay(
+      const std::string& engine, bool no_foreign_orders) const;
 
   /**
    * @return The fencing token of an order that is sent now.
    * @throws core::Error kNotHolder if no order may be sent now.
    */
-  [[nodiscard]] std::int64_t Fence(const std::string& engine,
-                                   bool untouched) const;
+  [[nodiscard]] std::int64_t FencingToken(const std::string& engine,
+                                          bool no_foreign_orders) const;
 
  private:
-  struct Held {
-    /** Of the lease's key; 0: not held. */
+  struct LeaseState {
+    /** Revision of the engine's key; 0: not held. */
     std::int64_t revision = 0;
-    /** Lease of the store that the key was written under. */
+    /** Lease of the store under which the key was written. */
     std::string lease;
-    /** End of a lease of the store that can't be renewed any more. */
+    /** When the store lease ends, if it can no longer be renewed. */
     core::SteadyTime ended_lease_until;
-    core::SteadyTime turn;
-    /** Another VM was seen to hold it. */
-    bool was_others = false;
+    core::SteadyTime orders_allowed_from;
+    /** Another VM has been seen to hold the lease. */
+    bool was_held_elsewhere = false;
   };
 
-  core::Task<> KeepStoreLease();
+  core::Task<> RenewStoreLease();
   core::Task<bool> TryClaim(std::string engine);
   core::Task<bool> Claim(std::string engine);
-  core::Task<bool> Keep(std::string engine, std::int64_t revision,
-                        bool same_vm);
+  core::Task<bool> CompleteClaim(std::string engine, std::int64_t revision,
+                                 bool same_vm);
   core::Task<external::CasResult> WriteKey(std::string engine,
                                            std::int64_t expected);
-  void NoteHeld(const std::string& engine, std::int64_t revision, bool same_vm);
-  void NoteLeaseEnded();
-  void NoteFailure(const std::string& failure);
-  [[nodiscard]] core::SteadyTime ValidUntil(const Held& held) const;
-  [[nodiscard]] const Held& Require(const std::string& engine) const;
+  void RecordHeld(const std::string& engine, std::int64_t revision,
+                  bool same_vm);
+  void RecordLeaseEnd();
+  void LogFailureChange(const std::string& failure);
+  [[nodiscard]] core::SteadyTime ValidUntil(const LeaseState& held) const;
+  [[nodiscard]] const LeaseState& RequireHeld(const std::string& engine) const;
 
   const LeaseOptions options_;
-  const AskRelease ask_release_;
+  const RequestRelease request_release_;
   external::KeyValueStore& store_;
   const core::Clock& clock_;
   const core::Logger& log_;
-  std::map<std::string, Held> engines_;
+  std::map<std::string, LeaseState> engines_;
   /** Lease of the store; empty: none. */
   std::string lease_;
-  /** How long it lasts after each renewal. */
-  std::chrono::milliseconds granted_{0};
+  /** Duration of the store lease after each renewal. */
+  std::chrono::milliseconds granted_duration_{0};
   core::SteadyTime valid_until_;
-  core::Signal wanted_changed_;
+  core::Signal requests_changed_;
   bool failing_ = false;
   bool renewing_ = true;
 };
--- a/src/orders/engine_leases_test.cc
+++ b/src/orders/engine_leases_test.cc
@@ -20,10 +20,9 @@
 using std::chrono::seconds;
 
 const std::string kEngine("10.0.0.1:80");
-constexpr milliseconds kTurnGap{3000};
+constexpr milliseconds kHandoverGap{3000};
 
-/** The process beside the engine, an entry, and their store. Time passes only
- * when the test lets it. */
+/** The endpoint process, an entry and their store, on a manual clock. */
 struct Rig {
   Rig()
       : log({"entry", core::VmId("vm"), core::ZoneId("z")},
@@ -36,14 +35,14 @@
     LeaseOptions options;
     options.self.vm = vm;
     options.self.address = address;
-    options.turn_gap = kTurnGap;
+    options.handover_gap = kHandoverGap;
     auto leases = std::make_unique<EngineLeases>(
         options,
         [this](const gen::EngineHolder& holder, const std::string&) {
-          return NoteAsked(holder.vm);
+          return RecordReleaseRequest(holder.vm);
         },
         store, clock, log);
-    leases->Want(kEngine);
+    leases->RequestLease(kEngine);
     return leases;
   }
 
@@ -54,43 +53,47 @@
     return Start("front-1", "10.0.0.2:81");
   }
 
-  core::Task<> NoteAsked(std::string holder) {
-    asked = std::move(holder);
+  core::Task<> RecordReleaseRequest(std::string holder) {
+    release_requested_from = std::move(holder);
     co_return;
   }
 
-  /** @return True if all that is wanted is held; false also on a failure. */
-  bool Keep(EngineLeases& leases) {
+  /** @return True if all requested leases are held; false also on a failure. */
+  bool Renew(EngineLeases& leases) {
     try {
-      return RunTask(io, leases.KeepOnce());
+      return RunTask(io, leases.RenewOnce());
     } catch (const core::Error&) {
       return false;
     }
   }
 
-  /** Lets time pass; each of them renews once a second, as far as it can. */
-  void Pass(seconds time, std::initializer_list<EngineLeases*> alive) {
+  /**
+   * Advances the clock; each of `alive` renews its leases once a second, if it
+   * can.
+   */
+  void AdvanceTime(seconds time, std::initializer_list<EngineLeases*> alive) {
     for (seconds gone{0}; gone < time; gone += seconds(1)) {
       clock.Advance(seconds(1));
-      for (EngineLeases* it : alive) Keep(*it);
-      Check(alive);
+      for (EngineLeases* it : alive) Renew(*it);
+      CheckSingleHolder(alive);
     }
   }
 
-  /** Two holders never may order at the same time. */
-  void Check(std::initializer_list<EngineLeases*> all) const {
+  /** Two holders must never be allowed to give orders at the same time. */
+  void CheckSingleHolder(std::initializer_list<EngineLeases*> all) const {
     int may_order = 0;
-    for (const EngineLeases* it : all) may_order += MayOrder(*it) ? 1 : 0;
+    for (const EngineLeases* it : all) may_order += MayGiveOrders(*it) ? 1 : 0;
     BOOST_TEST(may_order <= 1);
   }
 
-  static bool MayOrder(const EngineLeases& leases) {
-    return FenceOf(leases).has_value();
+  static bool MayGiveOrders(const EngineLeases& leases) {
+    return FencingTokenOf(leases).has_value();
   }
 
-  static std::optional<std::int64_t> FenceOf(const EngineLeases& leases) {
+  static std::optional<std::int64_t> FencingTokenOf(
+      const EngineLeases& leases) {
     try {
-      return leases.Fence(kEngine, false);
+      return leases.FencingToken(kEngine, false);
     } catch (const core::Error&) {
       return std::nullopt;
     }
@@ -100,148 +103,169 @@
   core::ManualClock clock;
   core::Logger log;
   entry::testing::MemoryKeyValue store{clock};
-  /** Who was last asked to give the engine up. */
-  std::string asked;
+  /** The VM of the holder that got the latest release request. */
+  std::string release_requested_from;
 };
 
 }  // namespace
 
-/** Guards against an engine that nobody can order once its process is gone. */
-BOOST_AUTO_TEST_CASE(AnEntryOrdersAnEngineWhoseProcessIsGone) {
+/**
+ * Guards against an engine that nobody can give orders after its endpoint
+ * process has ended.
+ */
+BOOST_AUTO_TEST_CASE(EntryTakesOverAfterEndpointEnds) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
-  rig.Pass(seconds(5), {endpoint.get()});
-  BOOST_TEST(rig.MayOrder(*endpoint));
+  rig.AdvanceTime(seconds(5), {endpoint.get()});
+  BOOST_TEST(rig.MayGiveOrders(*endpoint));
   const auto entry = rig.StartEntry();
-  rig.Pass(seconds(12), {entry.get()});
-  BOOST_TEST(!rig.MayOrder(*entry));
-  rig.Pass(seconds(8), {entry.get()});
-  BOOST_TEST(rig.MayOrder(*entry));
+  rig.AdvanceTime(seconds(12), {entry.get()});
+  BOOST_TEST(!rig.MayGiveOrders(*entry));
+  rig.AdvanceTime(seconds(8), {entry.get()});
+  BOOST_TEST(rig.MayGiveOrders(*entry));
 }
 
-/** Guards against orders of a process that was frozen while its lease ended. */
-BOOST_AUTO_TEST_CASE(AProcessThatWakesAfterItsLeaseEndedOrdersNothing) {
+/**
+ * Guards against orders of a process that was paused while its lease expired.
+ */
+BOOST_AUTO_TEST_CASE(ProcessPausedPastItsLeaseGivesNoOrders) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
-  rig.Pass(seconds(5), {endpoint.get()});
-  const auto before = rig.FenceOf(*endpoint);
+  rig.AdvanceTime(seconds(5), {endpoint.get()});
+  const auto before = rig.FencingTokenOf(*endpoint);
   const auto entry = rig.StartEntry();
-  rig.Pass(seconds(20), {entry.get()});
-  BOOST_TEST(!rig.MayOrder(*endpoint));
-  rig.Pass(seconds(5), {entry.get(), endpoint.get()});
-  BOOST_TEST(!rig.MayOrder(*endpoint));
-  BOOST_TEST(rig.asked == "front-1");
-  BOOST_TEST(*rig.FenceOf(*entry) > *before);
+  rig.AdvanceTime(seconds(20), {entry.get()});
+  BOOST_TEST(!rig.MayGiveOrders(*endpoint));
+  rig.AdvanceTime(seconds(5), {entry.get(), endpoint.get()});
+  BOOST_TEST(!rig.MayGiveOrders(*endpoint));
+  BOOST_TEST(rig.release_requested_from == "front-1");
+  BOOST_TEST(*rig.FencingTokenOf(*entry) > *before);
 }
 
-/** Guards against orders by turns: the last one of the process before and the
- * first one of the next are apart. */
-BOOST_AUTO_TEST_CASE(TheNextHolderWaitsForItsTurn) {
+/**
+ * Guards against alternating orders of two processes: the last order of one
+ * holder and the first order of the next are kHandoverGap apart.
+ */
+BOOST_AUTO_TEST_CASE(NextHolderWaitsForHandoverGap) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
-  rig.Pass(seconds(5), {endpoint.get()});
+  rig.AdvanceTime(seconds(5), {endpoint.get()});
   const auto entry = rig.StartEntry();
   core::SteadyTime last = rig.clock.Now();
-  while (!rig.MayOrder(*entry)) {
+  while (!rig.MayGiveOrders(*entry)) {
     rig.clock.Advance(milliseconds(100));
-    rig.Keep(*entry);
-    if (rig.MayOrder(*endpoint)) last = rig.clock.Now();
+    rig.Renew(*entry);
+    if (rig.MayGiveOrders(*endpoint)) last = rig.clock.Now();
     BOOST_REQUIRE((rig.clock.Now() - last < seconds(60)));
   }
-  BOOST_TEST((rig.clock.Now() - last >= kTurnGap));
+  BOOST_TEST((rig.clock.Now() - last >= kHandoverGap));
 }
 
-/** Guards against an engine that stays with an entry after its own process is
- * back. */
-BOOST_AUTO_TEST_CASE(AReleasedEngineGoesBackToTheProcessBesideIt) {
+/**
+ * Guards against an engine that stays with an entry after its endpoint process
+ * has restarted.
+ */
+BOOST_AUTO_TEST_CASE(ReleasedEngineReturnsToEndpoint) {
   Rig rig;
   const auto entry = rig.StartEntry();
-  rig.Pass(seconds(5), {entry.get()});
+  rig.AdvanceTime(seconds(5), {entry.get()});
   const auto endpoint = rig.StartEndpoint();
-  rig.Pass(seconds(2), {entry.get(), endpoint.get()});
-  BOOST_TEST(rig.asked == "front-1");
+  rig.AdvanceTime(seconds(2), {entry.get(), endpoint.get()});
+  BOOST_TEST(rig.release_requested_from == "front-1");
   RunTask(rig.io, [](EngineLeases& it) -> core::Task<bool> {
     co_await it.Release(kEngine);
     co_return true;
   }(*entry));
-  rig.Keep(*endpoint);
+  rig.Renew(*endpoint);
   BOOST_TEST(endpoint->Holds(kEngine));
-  BOOST_TEST(!rig.MayOrder(*endpoint));
-  rig.Pass(seconds(4), {entry.get(), endpoint.get()});
-  BOOST_TEST(rig.MayOrder(*endpoint));
+  BOOST_TEST(!rig.MayGiveOrders(*endpoint));
+  rig.AdvanceTime(seconds(4), {entry.get(), endpoint.get()});
+  BOOST_TEST(rig.MayGiveOrders(*endpoint));
 }
 
-/** Guards against refused loads after each restart of the process beside an
- * engine: nobody else can have ordered, as its lease still stands. */
-BOOST_AUTO_TEST_CASE(ARestartedProcessTakesItsLeaseBackAtOnce) {
+/**
+ * Guards against refused loads after each restart of an endpoint process: no
+ * other process can have given orders, as the lease is still valid.
+ */
+BOOST_AUTO_TEST_CASE(RestartedEndpointRegainsLeaseAtOnce) {
   Rig rig;
   auto endpoint = rig.StartEndpoint();
-  rig.Pass(seconds(5), {endpoint.get()});
-  const auto before = rig.FenceOf(*endpoint);
+  rig.AdvanceTime(seconds(5), {endpoint.get()});
+  const auto before = rig.FencingTokenOf(*endpoint);
   endpoint = rig.StartEndpoint();
-  rig.Keep(*endpoint);
-  BOOST_TEST(rig.MayOrder(*endpoint));
-  BOOST_TEST(*rig.FenceOf(*endpoint) > *before);
+  rig.Renew(*endpoint);
+  BOOST_TEST(rig.MayGiveOrders(*endpoint));
+  BOOST_TEST(*rig.FencingTokenOf(*endpoint) > *before);
 }
 
-/** Guards against refused loads at each start: nobody has ordered an engine
- * that has accepted no order yet. */
-BOOST_AUTO_TEST_CASE(AnUntouchedEngineIsOrderedAtOnce) {
+/**
+ * Guards against refused loads at each start: no other process has given orders
+ * to an engine that has not accepted any yet.
+ */
+BOOST_AUTO_TEST_CASE(EngineWithoutOrdersNeedsNoHandoverDelay) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
-  rig.Keep(*endpoint);
-  BOOST_TEST((endpoint->TurnLeft(kEngine, false) > milliseconds(0)));
-  BOOST_TEST((endpoint->TurnLeft(kEngine, true) == milliseconds(0)));
+  rig.Renew(*endpoint);
+  BOOST_TEST((endpoint->HandoverDelay(kEngine, false) > milliseconds(0)));
+  BOOST_TEST((endpoint->HandoverDelay(kEngine, true) == milliseconds(0)));
 }
 
-/** Guards against refused loads while the store is away. */
-BOOST_AUTO_TEST_CASE(AnOutageOfTheStoreLeavesTheHolderInPlace) {
+/** Guards against refused loads during an outage of the store. */
+BOOST_AUTO_TEST_CASE(HolderKeepsLeaseDuringShortStoreOutage) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
-  rig.Pass(seconds(5), {endpoint.get()});
+  rig.AdvanceTime(seconds(5), {endpoint.get()});
   rig.store.down = true;
-  rig.Pass(seconds(9), {endpoint.get()});
-  BOOST_TEST(rig.MayOrder(*endpoint));
+  rig.AdvanceTime(seconds(9), {endpoint.get()});
+  BOOST_TEST(rig.MayGiveOrders(*endpoint));
   rig.store.down = false;
-  rig.Pass(seconds(1), {endpoint.get()});
-  BOOST_TEST(rig.MayOrder(*endpoint));
+  rig.AdvanceTime(seconds(1), {endpoint.get()});
+  BOOST_TEST(rig.MayGiveOrders(*endpoint));
 }
 
-/** Guards against orders of two processes after a long outage in which leases
- * went on to run out. */
-BOOST_AUTO_TEST_CASE(ALongOutageEndsTheRightToOrder) {
+/**
+ * Guards against orders of two processes after a long outage, during which
+ * leases continue to expire.
+ */
+BOOST_AUTO_TEST_CASE(HolderLosesLeaseInLongStoreOutage) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
-  rig.Pass(seconds(5), {endpoint.get()});
+  rig.AdvanceTime(seconds(5), {endpoint.get()});
   rig.store.down = true;
-  rig.Pass(seconds(15), {endpoint.get()});
-  BOOST_TEST(!rig.MayOrder(*endpoint));
+  rig.AdvanceTime(seconds(15), {endpoint.get()});
+  BOOST_TEST(!rig.MayGiveOrders(*endpoint));
   rig.store.down = false;
   const auto entry = rig.StartEntry();
-  rig.Pass(seconds(10), {entry.get(), endpoint.get()});
-  BOOST_TEST(rig.MayOrder(*entry));
-  BOOST_TEST(!rig.MayOrder(*endpoint));
+  rig.AdvanceTime(seconds(10), {entry.get(), endpoint.get()});
+  BOOST_TEST(rig.MayGiveOrders(*entry));
+  BOOST_TEST(!rig.MayGiveOrders(*endpoint));
 }
 
-/** Guards against refused loads after a lapse that the holder has bridged. */
-BOOST_AUTO_TEST_CASE(ALapseThatTheHolderBridgesCostsNoTurn) {
+/**
+ * Guards against refused loads after a lapse of the store's leases, if the
+ * holder claims its key again before its own lease time ends.
+ */
+BOOST_AUTO_TEST_CASE(ReclaimAfterLapseNeedsNoHandoverDelay) {
   Rig rig;
   const auto endpoint = rig.StartEndpoint();
-  rig.Pass(seconds(5), {endpoint.get()});
+  rig.AdvanceTime(seconds(5), {endpoint.get()});
   rig.store.LapseLeases();
-  rig.Keep(*endpoint);
-  BOOST_TEST(rig.MayOrder(*endpoint));
+  rig.Renew(*endpoint);
+  BOOST_TEST(rig.MayGiveOrders(*endpoint));
 }
 
-/** Guards against a lease that is renewed for good though nobody wants it. */
-BOOST_AUTO_TEST_CASE(ALeaseThatIsNotWantedAnyMoreIsGivenBack) {
+/**
+ * Guards against a lease that is renewed permanently although it is no longer
+ * requested.
+ */
+BOOST_AUTO_TEST_CASE(LeaseCancelledDuringClaimIsDeleted) {
   Rig rig;
   const auto entry = rig.StartEntry();
   entry::testing::Outcome<bool> claim;
-  entry::testing::StartTask(rig.io, entry->KeepOnce(), claim);
+  entry::testing::StartTask(rig.io, entry->RenewOnce(), claim);
   rig.io.restart();
   rig.io.run_one();
-  entry->Forget(kEngine);
+  entry->CancelRequest(kEngine);
   while (!claim.value && !claim.failure) rig.io.run_one();
   BOOST_TEST(rig.store.Keys("engine-leases/").empty());
 }
--- a/src/orders/testing_engine.h
+++ b/src/orders/testing_engine.h
@@ -1,4 +1,5 @@
-/** @file testing_engine.h An engine in memory that keeps the order protocol. */
+/** @file testing_engine.h In-memory engine for tests that implements the order
+ * protocol. */
 #ifndef SAPPHIRE_ORDERS_TESTING_ENGINE_H_
 #define SAPPHIRE_ORDERS_TESTING_ENGINE_H_
 
@@ -16,7 +17,9 @@
 
 namespace sapphire::orders {
 
-/** One thread. Loads take real time; what is lost or late is switched. */
+/**
+ * Loads take real time; tests switch on losses and delays. Used on one thread.
+ */
 class TestingEngine final : public EnginePort {
  public:
   TestingEngine(std::int64_t memory_bytes, std::int64_t model_bytes)
@@ -27,50 +30,57 @@
     co_return report_;
   }
 
-  core::Task<OrderAnswer> Give(EngineOrder order) override {
-    ++orders_given;
+  core::Task<OrderAnswer> Submit(EngineOrder order) override {
+    ++orders_submitted;
     co_await core::SleepFor(answer_delay);
     Advance();
     if (lose_next_answer) {
       lose_next_answer = false;
-      late_.push_back({order, Now() + late_by});
+      late_orders_.push_back({order, Now() + late_order_delay});
       throw core::Error(core::ErrorCode::kOutcomeUnknown, "no answer");
     }
-    co_return Take(order);
+    co_return ApplyOrder(order);
   }
 
-  /** The next order gets no answer and is carried out `late_by` later. */
+  /** The next order gets no answer and is carried out `late_order_delay` later.
+   */
   bool lose_next_answer = false;
-  std::chrono::milliseconds late_by{300};
+  std::chrono::milliseconds late_order_delay{300};
   std::chrono::milliseconds load_time{60};
   /** How long the engine takes to answer an order. */
   std::chrono::milliseconds answer_delay{0};
   fleet::InstanceId instance{"i-1"};
-  int orders_given = 0;
-  /** It was ordered over its memory, which crashes a real one. */
+  int orders_submitted = 0;
+  /** An order exceeded its memory, which crashes a real engine. */
   bool over_memory = false;
 
-  void Hold(const std::string& model) {
+  void AddModel(const std::string& model) {
     fleet::HeldModel held;
     held.model = core::ModelId(model);
     report_.models.push_back(held);
   }
 
-  /** Crashes and is back at once, empty; reports do not tell its start. */
+  /**
+   * Crashes and restarts at once, empty; reports do not contain its start time.
+   */
   void Restart() {
     report_ = EngineReport();
     loading_.reset();
-    late_.clear();
+    late_orders_.clear();
   }
 
-  /** Tells from now on that it started then. */
-  void TellBirth(fleet::EngineBirth born) { report_.born = born; }
+  /** Reports this start time from now on. */
+  void SetStartTime(fleet::EngineBirth start_time) {
+    report_.start_time = start_time;
+  }
 
-  /** Crashes and is back at once under its name, empty and counting anew. What
-   * is late on its way still arrives. */
-  void RestartAt(fleet::EngineBirth born) {
+  /**
+   * Crashes and restarts at once under the same id, empty and with an order
+   * count of 0. Delayed orders still arrive.
+   */
+  void RestartAt(fleet::EngineBirth start_time) {
     report_ = EngineReport();
-    report_.born = born;
+    report_.start_time = start_time;
     loading_.reset();
     adapters_.clear();
   }
@@ -83,21 +93,21 @@
   }
 
  private:
-  struct Late {
+  struct ScheduledOrder {
     EngineOrder order;
     core::SteadyTime at;
   };
 
   static core::SteadyTime Now() { return std::chrono::steady_clock::now(); }
 
-  OrderAnswer Take(const EngineOrder& order) {
+  OrderAnswer ApplyOrder(const EngineOrder& order) {
     const bool other_engine =
         fleet::EngineOf(order.instance) != fleet::EngineOf(instance);
     if (other_engine) return OrderAnswer::kOtherInstance;
     if (order.expected_count != report_.order_count || loading_) {
       return OrderAnswer::kBusy;
     }
-    if (!order.adapter.empty()) return TakeAdapter(order);
+    if (!order.adapter.empty()) return ApplyAdapterOrder(order);
     ++report_.order_count;
     if (order.kind == OrderKind::kUnload) {
       std::erase_if(report_.models,
@@ -106,56 +116,56 @@
     }
     const auto held = static_cast<std::int64_t>(report_.models.size());
     over_memory = over_memory || (held + 1) * model_bytes_ > memory_bytes_;
-    loading_ = Late{order, Now() + load_time};
+    loading_ = ScheduledOrder{order, Now() + load_time};
     report_.order_in_progress = true;
     return OrderAnswer::kAccepted;
   }
 
-  /** An adapter loads beside requests: its engine does not count as busy. */
-  OrderAnswer TakeAdapter(const EngineOrder& order) {
-    if (HeldOf(order.model) == nullptr) return OrderAnswer::kBusy;
+  /** Adapters load while requests run: the engine does not count as busy. */
+  OrderAnswer ApplyAdapterOrder(const EngineOrder& order) {
+    if (FindHeldModel(order.model) == nullptr) return OrderAnswer::kBusy;
     ++report_.order_count;
     adapters_.push_back({order, Now() + load_time});
-    ShowComing();
+    UpdateLoadingAdapters();
     return OrderAnswer::kAccepted;
   }
 
-  fleet::HeldModel* HeldOf(const core::ModelId& model) {
+  fleet::HeldModel* FindHeldModel(const core::ModelId& model) {
     const auto it =
         std::ranges::find(report_.models, model, &fleet::HeldModel::model);
     return it == report_.models.end() ? nullptr : &*it;
   }
 
   void AdvanceAdapters() {
-    for (const Late& it : std::exchange(adapters_, {})) {
-      fleet::HeldModel* held = HeldOf(it.order.model);
+    for (const ScheduledOrder& it : std::exchange(adapters_, {})) {
+      fleet::HeldModel* held = FindHeldModel(it.order.model);
       if (Now() < it.at) {
         adapters_.push_back(it);
       } else if (held != nullptr) {
         held->adapters.insert(it.order.adapter);
       }
     }
-    ShowComing();
+    UpdateLoadingAdapters();
   }
 
-  void ShowComing() {
-    report_.coming.clear();
-    for (const Late& it : adapters_) {
-      report_.coming.push_back({it.order.model, it.order.adapter});
+  void UpdateLoadingAdapters() {
+    report_.loading.clear();
+    for (const ScheduledOrder& it : adapters_) {
+      report_.loading.push_back({it.order.model, it.order.adapter});
     }
   }
 
   void Advance() {
     AdvanceAdapters();
-    for (const Late& it : std::exchange(late_, {})) {
+    for (const ScheduledOrder& it : std::exchange(late_orders_, {})) {
       if (Now() < it.at) {
-        late_.push_back(it);
+        late_orders_.push_back(it);
       } else {
-        Take(it.order);
+        ApplyOrder(it.order);
       }
     }
     if (!loading_ || Now() < loading_->at) return;
-    Hold(loading_->order.model.value());
+    AddModel(loading_->order.model.value());
     loading_.reset();
     report_.order_in_progress = false;
   }
@@ -163,9 +173,9 @@
   const std::int64_t memory_bytes_;
   const std::int64_t model_bytes_;
   EngineReport report_;
-  std::optional<Late> loading_;
-  std::vector<Late> late_;
-  std::vector<Late> adapters_;
+  std::optional<ScheduledOrder> loading_;
+  std::vector<ScheduledOrder> late_orders_;
+  std::vector<ScheduledOrder> adapters_;
 };
 
 }  // namespace sapphire::orders
