--- a/src/entry/claim.cc
+++ b/src/entry/claim.cc
@@ -1,4 +1,5 @@
-/** @file claim.cc Claims as keys and values of the key-value service. */
+/** @file claim.cc Encodes claims as keys and values of the key-value service.
+ */
 #include <fmt/format.h>
 
 #include <array>
@@ -16,8 +17,8 @@
 
 constexpr std::array<std::string_view, 3> kStateNames = {"claimed", "void",
                                                          "done"};
-/** Two seeds make 128 bits: a clash of keys within a service is not expected
- * in the project's life, and the fingerprint would still show it. */
+/** Two seeds give 128 bits: a collision of keys within a service is not
+ * expected in the project's life, and the fingerprint would still reveal it. */
 constexpr std::uint64_t kSecondSeed = 0x5a5a;
 
 ClaimState StateNamed(std::string_view name) {
@@ -33,7 +34,8 @@
       .count();
 }
 
-/** Bodies may be any bytes, JSON strings may not: they go percent-encoded. */
+/** Bodies may hold any bytes, JSON strings may not, so bodies are
+ * percent-encoded. */
 boost::json::object EncodeAnswer(const StoredAnswer& answer) {
   return {{"status", answer.head.status},
           {"content_type", answer.head.content_type},
--- a/src/entry/claim_func.h
+++ b/src/entry/claim_func.h
@@ -1,4 +1,5 @@
-/** @file claim_func.h Claims as keys and values of the key-value service. */
+/** @file claim_func.h Encodes claims as keys and values of the key-value
+ * service. */
 #ifndef SAPPHIRE_ENTRY_CLAIM_FUNC_H_
 #define SAPPHIRE_ENTRY_CLAIM_FUNC_H_
 
@@ -12,12 +13,13 @@
 
 constexpr std::string_view kClaimPrefix = "claims/";
 
-/** @return `claims/SERVICE/HASH`, by owner, service and the caller's key. */
+/** @return `claims/SERVICE/HASH`; the hash covers the owner and the idempotency
+ * key. */
 std::string ClaimKey(const gen::Run& run);
 
 std::string EncodeClaim(const Claim& claim);
 
-/** @throws core::Error kMalformedRequest naming the field. */
+/** @throws core::Error kMalformedRequest that names the field. */
 Claim DecodeClaim(std::string_view json);
 
 }  // namespace sapphire::entry
--- a/src/entry/claim_store.cc
+++ b/src/entry/claim_store.cc
@@ -1,4 +1,5 @@
-/** @file claim_store.cc Claims in the key-value service. */
+/** @file claim_store.cc Acquires and settles claims in the key-value service.
+ */
 #include <algorithm>
 #include <utility>
 
@@ -46,15 +47,16 @@
       failure = e;
     }
     if (!IsPlatformFault(*failure)) throw Error(*failure);
-    // A write whose answer was lost may stand, or may land later. Trying again
-    // with the same attempt settles both: the key has one first writer.
+    // A write whose answer was lost may have taken effect or may do so later.
+    // Retrying with the same attempt covers both cases, since only the first
+    // write of the key succeeds.
     if (failure->code() == ErrorCode::kPlatformUnknownOutcome) may_stand = true;
     if (clock_.Now() + options_.retry_pause >= end) break;
     co_await core::SleepFor(options_.retry_pause);
   }
   if (may_stand) {
-    // It will never be dispatched. Left as it is, the caller's resend would be
-    // told "outcome unknown" for a request that certainly did not run.
+    // The request will not be dispatched. If the claim stayed, a resend would
+    // get "outcome unknown" for a request that certainly did not run.
     claim.state = ClaimState::kVoid;
     co_await Settle(std::move(key), std::move(claim));
   }
@@ -136,13 +138,14 @@
   co_return settled;
 }
 
-/** @return True once the key shows this claim's end, or another's claim. */
+/** @return True once the key holds this claim's final state or another claim.
+ */
 Task<bool> ClaimStore::TrySettle(std::string key, std::string value,
                                  Claim claim) {
   const auto entry = co_await store_.Get(key);
   if (!entry) {
-    // Nothing stands yet, but our lost write may still land. A void claim in
-    // its place makes it fail: it expects the key to be absent.
+    // The key is absent, but the lost write may still take effect. A void claim
+    // in its place makes that write fail, as it expects the key to be absent.
     if (claim.state != ClaimState::kVoid) co_return true;
     co_return (co_await store_.CompareAndSwap(key, 0, value, "")).swapped;
   }
--- a/src/entry/claim_store_base.h
+++ b/src/entry/claim_store_base.h
@@ -1,4 +1,5 @@
-/** @file claim_store_base.h Claims in the key-value service. */
+/** @file claim_store_base.h Acquires and settles claims in the key-value
+ * service. */
 #ifndef SAPPHIRE_ENTRY_CLAIM_STORE_BASE_H_
 #define SAPPHIRE_ENTRY_CLAIM_STORE_BASE_H_
 
@@ -17,26 +18,28 @@
 namespace sapphire::entry {
 
 struct ClaimStoreOptions {
-  /** How long a claim is tried while the service does not answer. */
+  /** How long Acquire retries while the service does not answer. */
   std::chrono::milliseconds patience{1500};
   std::chrono::milliseconds retry_pause{50};
-  /** How long a settled claim is written in the background. */
+  /** How long Settle retries in the background. */
   std::chrono::milliseconds settle_limit{600'000};
-  /** Values above this are not written: the answer is then not kept. */
+  /** Values above this size are not written; the answer is then dropped from
+   * the claim. */
   std::size_t max_value_bytes = 900'000;
 };
 
-/** What stands at a claim's key after Acquire. */
+/** The claim stored at the key after Acquire. */
 struct AcquireResult {
-  /** True: `claim` is ours, and nobody else can hold it. */
+  /** True if this attempt holds the claim exclusively. */
   bool acquired = false;
   Claim claim;
   std::int64_t revision = 0;
 };
 
 /**
- * Takes and settles claims. The key's first writer wins: entries may disagree
- * on a request's home, be frozen, or act on a resend at the same moment.
+ * Acquires and settles claims. The first writer of the key wins, since entries
+ * may disagree on a request's primary entry, be frozen, or handle a resend at
+ * the same moment.
  */
 class ClaimStore {
  public:
@@ -46,20 +49,21 @@
              const core::Logger& log);
 
   /**
-   * Creates `claim` at `key` unless another stands there; takes over a void
-   * one. A lost answer is settled by reading back the claim's attempt.
-   * @throws core::Error kPlatformUnavailable: the outcome could not be learnt
-   *   in time. The caller must not dispatch; a claim that was or will yet be
-   *   written is voided in the background.
+   * Creates `claim` at `key` unless another exists there; takes over a void
+   * one. If the answer to a write is lost, reading back the claim's attempt
+   * shows whether the write took effect.
+   * @throws core::Error kPlatformUnavailable: the outcome is still unknown at
+   *   the deadline. The caller must not dispatch; a claim that was written or
+   *   still will be is voided in the background.
    * @pre The coroutine runs on a strand.
    */
   core::Task<AcquireResult> Acquire(std::string key, Claim claim,
                                     core::SteadyTime deadline);
 
   /**
-   * Writes how an acquired claim ended: once now, and if that fails in the
-   * background until it stands. While a run's end is not written, resends are
-   * told that the outcome is unknown.
+   * Writes the final state of an acquired claim: once now and, if that fails,
+   * in the background until it succeeds. Until it is written, resends get an
+   * unknown outcome.
    * @pre The coroutine runs on a strand.
    */
   core::Task<> Settle(std::string key, Claim claim);
@@ -69,7 +73,7 @@
   core::Task<bool> TrySettle(std::string key, std::string value, Claim claim);
   core::Task<bool> TrySettleOnce(std::string key, std::string value,
                                  Claim claim);
-  /** Remembers an attempt of ours that never was nor will be dispatched. */
+  /** Records an own attempt that was not and will not be dispatched. */
   void NoteVoided(const core::AttemptId& attempt);
   [[nodiscard]] bool IsVoid(const Claim& claim) const;
   core::Task<AcquireResult> TryAcquire(std::string key, Claim claim);
@@ -80,7 +84,7 @@
   const core::Clock& clock_;
   const core::Logger& log_;
   mutable std::mutex voided_mutex_;
-  /** Voided here, but perhaps not yet in the key-value service. */
+  /** Attempts voided here, but possibly not yet in the key-value service. */
   std::set<core::AttemptId> voided_;
 };
 
--- a/src/entry/claim_type.h
+++ b/src/entry/claim_type.h
@@ -1,5 +1,5 @@
-/** @file claim_type.h Claims: who runs a non-idempotent request, and how it
- * ended. */
+/** @file claim_type.h Claims: which entry runs a non-idempotent request, and
+ * its outcome. */
 #ifndef SAPPHIRE_ENTRY_CLAIM_TYPE_H_
 #define SAPPHIRE_ENTRY_CLAIM_TYPE_H_
 
@@ -14,28 +14,29 @@
 namespace sapphire::entry {
 
 enum class ClaimState {
-  kClaimed,  ///< It may run, or may have run.
-  kVoid,     ///< It certainly has not run; a resend may claim it anew.
+  kClaimed,  ///< The request may be running or may have run.
+  kVoid,     ///< It certainly has not run; a resend may claim it again.
   kDone,     ///< It has run.
 };
 
-/** A whole answer, kept for callers who did not get it. */
+/** A complete answer, kept for callers that did not receive it. */
 struct StoredAnswer {
   gen::RunHead head;
   std::string body;
 };
 
-/** The value of one `claims/...` key. */
+/** Value of one `claims/...` key. */
 struct Claim {
-  /** Random for each try to claim: tells our own write from another's. */
+  /** Random per attempt; distinguishes this entry's own write from others. */
   core::AttemptId attempt;
-  /** The entry that runs it. */
+  /** The entry that runs the request. */
   core::VmId home;
   ClaimState state = ClaimState::kClaimed;
-  /** Of the request: the same key with other work is refused. */
+  /** Fingerprint of the request; the same key with another request is refused.
+   */
   std::int64_t fingerprint = 0;
   core::WallTime created;
-  /** Only if done, and only if it fits the platform's values. */
+  /** Set only if done and within the platform's limit on values. */
   std::optional<StoredAnswer> answer;
 };
 
--- a/src/entry/directory.cc
+++ b/src/entry/directory.cc
@@ -1,4 +1,4 @@
-/** @file directory.cc Follows the VM list and the endpoints' reports. */
+/** @file directory.cc Polls the VM list and receives endpoint reports. */
 #include <algorithm>
 #include <exception>
 #include <set>
@@ -15,22 +15,24 @@
 using core::LogCategory;
 using core::LogLevel;
 
-/** Successful reads in a row that must miss a VM before it can be gone. */
+/** Successful reads in a row that must miss a VM before it counts as removed.
+ */
 constexpr int kGoneReads = 3;
 constexpr core::Millis kFirstBackoff{100};
 constexpr core::Millis kProbeTimeout{1000};
 
-/** One VM of the list, and what this entry has seen of it. */
+/** One VM of the list and its state as observed by this entry. */
 struct TrackedVm {
   external::VmRecord record;
   int missed_reads = 0;
   core::SteadyTime missing_since;
-  /** Entries: it did not answer when last tried. */
+  /** For entries: the last attempt to reach it failed. */
   bool unreachable = false;
   bool probing = false;
 };
 
-/** @return Half to all of `backoff`: spreads retries after a common failure. */
+/** @return A random time from half of `backoff` up to all of it, which spreads
+ * retries after a common failure. */
 core::Millis Jittered(core::Millis backoff) {
   const auto half = std::max<std::int64_t>(backoff.count() / 2, 1);
   return core::Millis(half + core::RandomPositive() % half);
@@ -90,9 +92,10 @@
   std::uint64_t revision = 0;
   std::map<core::VmId, TrackedVm> vms;
   std::map<core::EndpointId, KnownEndpoint> endpoints;
-  /** VMs with a FollowEndpoint running: one each, also if a VM comes back. */
+  /** VMs with a running FollowEndpoint: at most one each, also if a VM returns.
+   */
   std::set<core::VmId> followers;
-  /** Endpoints that have reported or failed to since the start. */
+  /** Endpoints that have reported or have failed to since the start. */
   std::set<core::VmId> tried;
   std::map<core::VmId, std::shared_ptr<link::Call>> calls;
   std::vector<std::function<void()>> change_listeners;
@@ -126,9 +129,9 @@
 }
 
 core::Task<> Directory::State::ReadListOnce() {
-  // Failure: the list's service is down. It shows as an error or an empty
-  // list. The last list stays in use: links tell of lost VMs meanwhile, and
-  // nobody is declared gone on the strength of a read that failed.
+  // Failure: the list's service is down, which shows as an error or an empty
+  // list. The last list stays in use: lost links reveal lost VMs meanwhile, and
+  // no VM counts as removed because of a failed read.
   std::vector<external::VmRecord> records;
   try {
     records = co_await vm_list.Read();
@@ -155,17 +158,17 @@
 std::vector<core::VmId> Directory::State::CollectGone(
     const std::set<core::VmId>& shown) {
   std::vector<core::VmId> gone;
-  // Failure: a list service that restarted or lags shows too little. It shows
-  // as this very entry missing, though it was shown before. Such a list is
-  // not believed about others.
+  // Failure: a list service that has restarted or lags returns an incomplete
+  // list. This entry itself is then missing from it, though it was listed
+  // before. Such a list does not count as evidence that other VMs are gone.
   if (self_seen && !shown.contains(options.self)) return gone;
   for (auto& [vm, tracked] : vms) {
     if (shown.contains(vm)) continue;
     if (tracked.missed_reads++ == 0) tracked.missing_since = clock.Now();
     if (tracked.missed_reads < kGoneReads) continue;
     if (clock.Now() - tracked.missing_since < options.gone_grace) continue;
-    // Failure: the list drops a VM that still runs and may hold a replica. Its
-    // link is up: as long as it is, the VM is not gone, whatever the list says.
+    // Failure: the list drops a VM that still runs and may hold a replica. As
+    // long as its link is up, the VM does not count as removed.
     const auto it = endpoints.find(core::EndpointId(vm.value()));
     if (it != endpoints.end() && it->second.connected) continue;
     gone.push_back(vm);
@@ -265,8 +268,8 @@
     gen::Message message = co_await call->Receive(options.report_timeout);
     if (!message.__isset.endpoint_report) continue;
     // Failure: a VM was replaced and its address reused, but the list still
-    // shows the old one. It shows as a report under another name. Orders for
-    // the old VM must not reach the new one.
+    // shows the old one. The report then carries another name. Orders for the
+    // old VM must not reach the new one.
     if (message.endpoint_report.endpoint != vm.value()) {
       throw core::Error(
           core::ErrorCode::kLinkLost,
@@ -343,8 +346,8 @@
 }
 
 core::Task<> Directory::State::Probe(core::VmId vm, std::string address) {
-  // Any answer shows that the process runs, a refusal too: entries have no
-  // reports to give.
+  // Any answer shows that the process runs, even a refusal: entries have no
+  // reports to send.
   bool up = true;
   try {
     const auto call = co_await links.Open(address, SubscribeMessage());
@@ -417,8 +420,8 @@
     if (self ? state_->self_leaving : tracked.unreachable) continue;
     entries.push_back({vm, record.zone, record.link_address});
   }
-  // Failure: the list lags behind this entry's own start, or is down. An entry
-  // that does not know itself could serve nothing.
+  // Failure: the list lags behind this entry's own start, or is down. Without
+  // itself in the list, the entry could serve nothing.
   if (!self_listed && !state_->self_leaving) {
     entries.push_back({state_->options.self, core::ZoneId(), ""});
   }
--- a/src/entry/directory_base.h
+++ b/src/entry/directory_base.h
@@ -1,4 +1,5 @@
-/** @file directory_base.h What this entry knows of the fleet. */
+/** @file directory_base.h Service discovery: the endpoints and entries that
+ * this entry knows. */
 #ifndef SAPPHIRE_ENTRY_DIRECTORY_BASE_H_
 #define SAPPHIRE_ENTRY_DIRECTORY_BASE_H_
 
@@ -25,14 +26,14 @@
   core::EndpointId id;
   std::string address;
   gen::EndpointReport report;
-  /** When the report came. */
+  /** When the report was received. */
   core::SteadyTime reported_at;
-  /** False once its link is lost. */
+  /** False once the link is lost. */
   bool connected = false;
-  /** As the platform's list or the endpoint itself says. */
+  /** Set by the platform's list or by the endpoint's own report. */
   bool leaving = false;
-  /** Grows with each change of any endpoint: tells newer from older when
-   * listeners on several threads are told out of order. */
+  /** Increases with each change of any endpoint, so that listeners called out
+   * of order on several threads can tell newer from older. */
   std::uint64_t revision = 0;
 };
 
@@ -46,21 +47,22 @@
 struct DirectoryOptions {
   core::VmId self;
   std::chrono::milliseconds list_interval{1000};
-  /** A VM missing from the list for this long counts as gone. */
+  /** A VM missing from the list for this long counts as removed. */
   std::chrono::milliseconds gone_grace{10000};
-  /** Longest pause between two tries to subscribe to one endpoint. */
+  /** Longest pause between two attempts to subscribe to one endpoint. */
   std::chrono::milliseconds max_backoff{2000};
-  /** Without a report for this long an endpoint is subscribed to anew. */
+  /** After this long without a report the endpoint is subscribed to again. */
   std::chrono::milliseconds report_timeout{10000};
-  /** With more entries than this, only those noted as unreachable are probed:
-   * a full mesh of links costs each entry more than its share of traffic. */
+  /** With more entries than this, only those marked as unreachable are probed:
+   * a full mesh of links would cost each entry more than its share of traffic.
+   */
   std::size_t max_probed_entries = 32;
 };
 
 /**
- * Follows the platform's VM list and subscribes to each endpoint's reports.
- * The list may lag, and its service may be down: the last list stays in use,
- * and a lost link is acted on at once.
+ * Polls the platform's VM list and subscribes to each endpoint's reports. The
+ * list may lag, and its service may be down: the last list then stays in use.
+ * A lost link takes effect immediately.
  */
 class Directory {
  public:
@@ -73,7 +75,7 @@
   Directory(const Directory&) = delete;
   Directory& operator=(const Directory&) = delete;
 
-  /** Begins to follow the list. */
+  /** Starts polling the list. */
   void Start();
   void Stop();
 
@@ -82,15 +84,15 @@
   [[nodiscard]] std::optional<KnownEndpoint> Find(
       const core::EndpointId& id) const;
 
-  /** @return Live entries that are not leaving, always including this one
-   * unless this one leaves. */
+  /** @return Live entries that are not leaving; includes this one unless it is
+   * leaving itself. */
   [[nodiscard]] std::vector<KnownEntry> Entries() const;
 
-  /** Drops an entry from Entries until the list next shows it with a link up:
-   * a home that can't be reached is passed over. */
+  /** Excludes an entry from Entries until a probe reaches it again, so that an
+   * unreachable primary entry is skipped. */
   void NoteUnreachable(const core::VmId& entry);
 
-  /** Marks this entry as leaving: others are preferred as homes. */
+  /** Marks this entry as leaving and excludes it from Entries. */
   void NoteSelfLeaving();
 
   /** Calls `listener` after any change; on any thread, must not block. */
@@ -100,8 +102,8 @@
    * changed; on any thread, must not block. */
   void OnEndpoint(std::function<void(const KnownEndpoint&)> listener);
 
-  /** @return True once each endpoint of the list has reported or failed to:
-   * before that an entry that has just started knows too little to refuse. */
+  /** @return True once each endpoint of the list has reported or has failed to.
+   * Before that an entry that has just started knows too little to refuse. */
   [[nodiscard]] bool settled() const;
 
   /** @return Every VM of the list, also those that can't be reached. */
@@ -110,11 +112,12 @@
   /** @return True unless every read of the list so far has failed. */
   [[nodiscard]] bool list_seen() const;
 
-  /** @return True if the list shows this VM, or did until a grace ago. */
+  /** @return True if the list shows this VM, or did less than `gone_grace` ago.
+   */
   [[nodiscard]] bool Lists(const core::VmId& vm) const;
 
-  /** Calls `listener` once for each VM that the list showed and shows no
-   * longer, for `grace` on end: the VM is gone for good. */
+  /** Calls `listener` once for each VM that has been missing from the list for
+   * `gone_grace` without a break and counts as removed. */
   void OnGone(std::function<void(const core::VmId&)> listener);
 
  private:
--- a/src/entry/directory_test.cc
+++ b/src/entry/directory_test.cc
@@ -1,4 +1,5 @@
-/** @file directory_test.cc The directory under a lagging or silent list. */
+/** @file directory_test.cc Tests the directory with a lagging or failing list.
+ */
 #define BOOST_TEST_MODULE entry_directory
 #include <boost/test/unit_test.hpp>
 
@@ -49,8 +50,8 @@
   std::unique_ptr<FakeEntry> entry;
 };
 
-// The platform's list is down for a long time. Nothing has happened to the
-// endpoints: they must stay in use, and none may be taken for gone.
+// The platform's list is down for a long time while the endpoints are healthy.
+// They must stay in use, and none may count as removed.
 BOOST_AUTO_TEST_CASE(ListThatIsDownChangesNothing) {
   Fleet fleet;
   std::atomic<int> gone{0};
@@ -61,8 +62,8 @@
   BOOST_TEST(gone == 0);
 }
 
-// The list lags and goes on showing an endpoint whose VM has died. Its link
-// tells at once: new requests must not be sent there meanwhile.
+// The list lags and still shows an endpoint whose VM has died. The lost link
+// must mark it as disconnected immediately.
 BOOST_AUTO_TEST_CASE(LostLinkCountsWhileTheListLags) {
   Fleet fleet;
   fleet.left->node().Close();
@@ -72,8 +73,8 @@
   BOOST_TEST(!known->connected);
 }
 
-// A link breaks for a moment and the endpoint is well. It must be taken into
-// use again without anybody's help.
+// A link breaks briefly while the endpoint is healthy. It must be reconnected
+// without intervention.
 BOOST_AUTO_TEST_CASE(EndpointThatComesBackIsUsedAgain) {
   Fleet fleet;
   const std::string address = fleet.left->address();
@@ -86,9 +87,9 @@
   fleet.threads.Stop();
 }
 
-// A VM is reclaimed while it holds a grant. The list drops it in the end; its
-// grant must be ended then, or its model's limit stays used up for ever. The
-// other VM's grant and the fence counter must stay as they are.
+// A VM is reclaimed while it holds a grant. Once the list drops it, its grant
+// must be removed, or it counts against the model's limit for ever. The other
+// VM's grant and the fence counter must not change.
 BOOST_AUTO_TEST_CASE(GrantsOfAVmThatIsGoneAreEnded) {
   Fleet fleet;
   fleet.store.Put(kLedgerKey, kLedger);
@@ -103,8 +104,9 @@
   BOOST_TEST(value.find("\"next_fence\":3") != std::string::npos);
 }
 
-// The list drops a VM that runs and holds a replica. Ending its grant would
-// let the model be loaded once more than decided: the live link forbids it.
+// The list drops a VM that runs and holds a replica. Removing its grant would
+// let the model be loaded once more than the limit allows, so the grant must
+// stay while the link is up.
 BOOST_AUTO_TEST_CASE(VmWithALiveLinkIsNotGone) {
   Fleet fleet;
   fleet.store.Put(kLedgerKey, kLedger);
@@ -114,8 +116,8 @@
   BOOST_TEST(fleet.Connected() == 2);
 }
 
-// The list's service restarts and for a while shows a few VMs only, not even
-// this entry. Such a list proves nothing about VMs it leaves out.
+// The list's service restarts and for a while shows only a few VMs, not even
+// this entry. VMs missing from such a list must not count as removed.
 BOOST_AUTO_TEST_CASE(ListWithoutThisEntryIsNotBelieved) {
   Fleet fleet;
   fleet.store.Put(kLedgerKey, kLedger);
@@ -126,8 +128,8 @@
   BOOST_TEST(GrantHolders(fleet.store.Find(kLedgerKey)->value).size() == 2U);
 }
 
-// A VM was replaced and its address given to another, while the list still
-// shows the old one there. Orders for the old one must not reach the new one.
+// A VM was replaced and its address reused by another, while the list still
+// shows the old one. Orders for the old VM must not reach the new one.
 BOOST_AUTO_TEST_CASE(EndpointUnderAnotherNameIsNotTaken) {
   Fleet fleet;
   fleet.list.Add("old", external::VmRole::kEndpoint, fleet.right->address());
@@ -137,9 +139,8 @@
   BOOST_TEST(fleet.Connected() == 2);
 }
 
-// An entry stops answering while the list shows it as live. Homes ranked there
-// would fail request after request: it is passed over, and comes back once it
-// answers.
+// An entry stops answering while the list shows it as live. Requests sent to it
+// as a primary entry would all fail, so it must be excluded until it answers.
 BOOST_AUTO_TEST_CASE(EntryThatDoesNotAnswerIsPassedOver) {
   Fleet fleet;
   FakeEntry other(fleet.threads, "entry-2", fleet.list, fleet.store,
--- a/src/entry/home.cc
+++ b/src/entry/home.cc
@@ -1,4 +1,4 @@
-/** @file home.cc The home role: requests coming and going. */
+/** @file home.cc Admission, withdrawal and release of requests. */
 #include <algorithm>
 #include <optional>
 #include <utility>
@@ -14,19 +14,20 @@
 
 using core::ErrorCode;
 
-/** Hint to callers where nothing better is known. */
+/** Default retry hint to callers. */
 constexpr core::Millis kRetryAfter{1000};
-/** How long Serve waits for PlaceDone before it looks at the link again. */
+/** How long Serve waits for PlaceDone before it checks the link again. */
 constexpr core::Millis kServeRound{60000};
-/** How long the first requests of a new home wait for the quarantine. */
+/** How long the first requests after a start wait for the first read of the
+ * quarantine. */
 constexpr core::Millis kQuarantineGrace{500};
 constexpr core::Millis kQuarantinePoll{10};
-/** Sweeps between two full decisions for models that have waiters. */
+/** Number of sweeps from one full evaluation of all waiters to the next. */
 constexpr int kSweepsPerDecision = 5;
 
 }  // namespace
 
-/** A slot held at an endpoint, freed once. */
+/** A slot at an endpoint of a model, freed exactly once. */
 class HeldSlot final : public Placement {
  public:
   HeldSlot(std::shared_ptr<Home::State> state, core::ModelId model, Grant grant)
@@ -85,8 +86,8 @@
 
 namespace {
 
-/** Takes the request back if its coroutine ends while it waits: the caller
- * has gone, and its slot or place in the queue would stay taken. */
+/** Withdraws the request if its coroutine is destroyed while it waits, since
+ * its slot or queue position would stay occupied otherwise. */
 class WithdrawGuard {
  public:
   explicit WithdrawGuard(std::function<void()> withdraw)
@@ -279,8 +280,8 @@
     const core::OwnerId& owner = waiter->queued().owner;
     queue.owners[owner].share = ShareOf(*current, owner);
     CheckRoom(queue, owner);
-    // Alone it is decided for below. Behind others it only has to be told if
-    // its turn will come too late: now, not when its time is up.
+    // A request that waits alone is decided on below. One behind others is
+    // refused right now if its turn would come after its deadline.
     if (!queue.waiters.empty() && !IsStarting()) {
       const int ahead = WaitingAhead(queue, waiter->queued().priority);
       const auto decision = Consult(*current, model, queue, *waiter, ahead);
@@ -365,8 +366,8 @@
 namespace {
 
 /**
- * Failure: a home starts and is sent a request that killed two engines under
- * the home before it. Its first requests wait for the first read of the
+ * Failure: an entry starts and gets a request that crashed two engines under
+ * the previous primary entry. The first requests wait for the first read of the
  * quarantine, for a bounded time.
  */
 core::Task<> AwaitQuarantine(const Home::State& state) {
@@ -399,17 +400,18 @@
                                        std::get<Grant>(waiter->result()));
 }
 
-/** Waits for the placer to be done, or for its end. */
+/** Waits for PlaceDone from the placing entry, or for the loss of its link. */
 core::Task<gen::RunResult::type> AwaitDone(std::shared_ptr<link::Call> call) {
   while (true) {
     try {
-      // Read before looking whether the call has ended: PlaceDone may have
-      // come just before the end, and a crash it tells of must be counted.
+      // Receives before checking whether the call has ended: PlaceDone may have
+      // arrived just before the end, and a crash it reports must be counted.
       const gen::Message message = co_await call->Receive(kServeRound);
       if (message.__isset.place_done) co_return message.place_done.result;
     } catch (const core::Error& e) {
-      // Failure: the placing entry dies or is cut off. It shows as a lost
-      // link; its slot is freed, since the endpoint counts for itself.
+      // Failure: the placing entry dies or is partitioned, which shows as a
+      // lost link. The slot is freed, since the endpoint counts its own running
+      // requests.
       if (e.code() != ErrorCode::kTimedOut) break;
     }
   }
@@ -460,8 +462,8 @@
 }
 
 core::Task<> Home::Serve(std::shared_ptr<link::Call> call, gen::Place request) {
-  // Named, not a temporary of the co_await below: GCC 12 destroys a closure
-  // twice there, and with it the call.
+  // A named object, not a temporary of the co_await below: GCC 12 destroys such
+  // a closure twice, and the call with it.
   std::function<bool()> abandoned = [call] { return call->ended(); };
   const std::unique_ptr<Placement> placement =
       co_await PlaceIn(state_, std::move(request), std::move(abandoned));
--- a/src/entry/home_base.h
+++ b/src/entry/home_base.h
@@ -1,4 +1,5 @@
-/** @file home_base.h The home role: one queue and one load decision a model. */
+/** @file home_base.h Schedules the requests of the models that this entry is
+ * the primary entry of: one queue and one load decision per model. */
 #ifndef SAPPHIRE_ENTRY_HOME_BASE_H_
 #define SAPPHIRE_ENTRY_HOME_BASE_H_
 
@@ -26,38 +27,41 @@
 struct HomeOptions {
   core::VmId self;
   core::ZoneId zone;
-  /** Requests that may wait for one model. */
+  /** Most requests that may wait for one model. */
   int max_queue = 512;
-  /** Shards of state, each under its own lock. */
+  /** Number of state shards, each under its own lock. */
   int shards = 16;
-  /** How often waiting requests are checked for deadlines that passed. */
+  /** Interval between checks of waiting requests for expired deadlines. */
   std::chrono::milliseconds sweep_interval{20};
-  /** How often the ledgers of this entry's services are looked through. */
+  /** Interval between scans of this entry's service ledgers for stale grants.
+   */
   std::chrono::milliseconds ledger_interval{15000};
-  /** A grant's VM missing from the list for this long counts as gone. */
+  /** A grant's VM that is missing from the list for this long counts as
+   * removed. */
   std::chrono::milliseconds gone_grace{30000};
-  /** Told of each cold start: the tier loaded from and what its request waited
-   * from arrival to placement. On any thread; must not block. */
+  /** Called for each cold start with the tier loaded from and the request's
+   * wait from arrival to placement. On any thread; must not block. */
   std::function<void(policy::Tier, std::chrono::milliseconds)> cold_start_seen;
 };
 
-/** A place granted to a request; holds a slot until Done or destruction. */
+/** The endpoint granted to a request; holds a slot until Done or destruction.
+ */
 class Placement {
  public:
   virtual ~Placement() = default;
   [[nodiscard]] virtual const gen::Placed& placed() const = 0;
-  /** Frees the slot and tells the home how the run went. */
+  /** Frees the slot and reports the run's result to the scheduler. */
   virtual void Done(gen::RunResult::type result) = 0;
 };
 
 /**
- * Places requests for the models this entry is home to: queues them, decides
- * with policy::DecidePlacement, orders loads with EnsureModel, and counts the
- * crashes of each request fingerprint.
+ * Places the requests of the models that this entry is the primary entry of:
+ * queues them, decides with policy::DecidePlacement, orders loads with
+ * EnsureModel, and counts the crashes of each request fingerprint.
  */
 class Home {
  public:
-  /** @pre All references outlive the home. */
+  /** @pre All references outlive the object. */
   Home(const core::Executor& executor, HomeOptions options,
        contract::ConfigHolder& config, Directory& directory,
        link::LinkNode& links, external::KeyValueStore& store,
@@ -69,17 +73,17 @@
 
   /**
    * Waits until the request can run at an endpoint.
-   * @param abandoned Says whether the caller has gone, so that its request
-   *   leaves the queue; any thread, must not block; may be empty.
-   * @throws core::Error a refusal (nothing ran), at once when it is known.
+   * @param abandoned Returns true once the caller has disconnected; its request
+   *   then leaves the queue. Any thread, must not block; may be empty.
+   * @throws core::Error a refusal (nothing ran), as soon as it is known.
    */
   core::Task<std::unique_ptr<Placement>> Place(
       gen::Place request, std::function<bool()> abandoned = nullptr);
 
   /**
    * Picks an endpoint of a plain service: connected, not leaving, in this zone
-   * if there is one, with the fewest requests outstanding from this entry.
-   * @throws core::Error kNoEndpoint at once if there is none.
+   * if possible, with the fewest requests outstanding from this entry.
+   * @throws core::Error kNoEndpoint immediately if there is none.
    */
   core::Task<std::unique_ptr<Placement>> PlaceService(
       core::ServiceId service, core::OwnerId owner,
--- a/src/entry/home_decide.cc
+++ b/src/entry/home_decide.cc
@@ -1,4 +1,4 @@
-/** @file home_decide.cc The home's decisions for the waiters of one model. */
+/** @file home_decide.cc Scheduling decisions for the waiters of one model. */
 #include <algorithm>
 #include <limits>
 #include <utility>
@@ -14,12 +14,12 @@
 using policy::PlacementAction;
 
 constexpr core::Millis kRetryAfter{1000};
-/** A new entry waits this long for the endpoints' first reports before it
- * refuses for lack of them. */
+/** After its start an entry waits this long for the endpoints' first reports
+ * before it refuses requests for lack of endpoints. */
 constexpr core::Millis kStartGrace{2000};
-/** Least time of a load for callers that come again: behind those who wait. */
+/** Least time given to a load that is started for callers' retries. */
 constexpr core::Millis kRetryLoadTime{30000};
-/** How long a failed load is given as the reason of refusals. */
+/** How long a failed load is reported as the reason of refusals. */
 constexpr std::chrono::seconds kLoadErrorTold{10};
 
 std::int64_t AdapterBytes(const contract::Model& model,
@@ -38,7 +38,8 @@
   return it->second.max_replicas;
 }
 
-/** @return What the caller is told: the failed load, where that is why. */
+/** @return The refusal for the caller: a recent load failure if there was one,
+ * else the decision's own reason. */
 core::Error RefusalOf(const ModelQueue& queue,
                       const policy::PlacementDecision& decision,
                       core::SteadyTime now) {
@@ -49,7 +50,7 @@
     return core::Error(decision.refusal, "", retry_after);
   }
   const core::Error& cause = *queue.last_load_error;
-  // Only the load's outcome may be unknown; the request has not run.
+  // Only the outcome of the load may be unknown; the request has not run.
   const bool load_unknown = cause.outcome() == core::Outcome::kUnknown;
   const ErrorCode code = load_unknown ? ErrorCode::kLoadFailed : cause.code();
   return core::Error(code, cause.what(), retry_after);
@@ -171,8 +172,8 @@
     if (step == Step::kEnded) continue;
     decided.insert(waiter.get());
     if (step == Step::kHeldAlone) continue;
-    // A suspect waits for an idle replica: placing others meanwhile could keep
-    // it from ever finding one.
+    // A suspect waits for an idle replica. Placing others meanwhile could
+    // starve it.
     if (IsSuspect(*waiter)) return;
     held.insert(class_of(*waiter));
   }
@@ -285,9 +286,9 @@
   const auto address = fleet.AddressOf(decision.endpoint);
   if (!address) return Step::kHeld;
   const crash::Verdict verdict = quarantine->Judge(request.fingerprint);
-  // Failure: copies of one request are sent at once and kill an engine each
-  // before the first crash is known. Until one has run to its end, no more
-  // engines run it than may die of it.
+  // Failure: copies of one request are sent at once and each crashes an engine
+  // before the first crash is known. Until one copy has completed, copies run
+  // on no more engines than the quarantine lets one request crash.
   const bool harmless =
       !verdict.IsSuspect() && queue.harmless.contains(request.fingerprint);
   if (verdict.dispatch == policy::DispatchVerdict::kWaitForCopies &&
@@ -342,9 +343,9 @@
   if (queue.loads.contains(LoadKey(decision.endpoint, adapter))) {
     return Step::kHeld;
   }
-  // Failure: endpoints fail one load after the other, and every try takes
-  // store bandwidth from loads that could succeed. Tries after a failure are
-  // held to a fraction of the requests that came.
+  // Failure: endpoints fail one load after the other, and every attempt takes
+  // store bandwidth from loads that could succeed. Attempts after a failure are
+  // limited to a fraction of the requests that arrived.
   if (queue.failed_loads_in_row > 0 && !policy::TakeRetry(queue.retries)) {
     Refuse(queue, waiter,
            core::Error(ErrorCode::kLoadFailed, "the retry budget is used up",
@@ -362,7 +363,7 @@
                                const std::shared_ptr<Waiter>& waiter,
                                const policy::PlacementDecision& decision,
                                std::vector<LoadOrder>& orders) {
-  // Nobody waits for it: one at a time.
+  // No request waits for this load, so at most one runs at a time.
   if (!queue.loads.empty()) return;
   if (queue.failed_loads_in_row > 0 && !policy::TakeRetry(queue.retries)) {
     return;
--- a/src/entry/home_load.cc
+++ b/src/entry/home_load.cc
@@ -1,4 +1,4 @@
-/** @file home_load.cc The home's load orders to endpoints. */
+/** @file home_load.cc Orders endpoints to load models. */
 #include <algorithm>
 #include <optional>
 #include <utility>
@@ -12,19 +12,19 @@
 
 using core::ErrorCode;
 
-/** A load is given at least this long, however short its requests' time. */
+/** Least time given to a load, however short the deadlines of its requests. */
 constexpr core::Millis kLeastLoadTime{1000};
-/** What the endpoint's answer may take beyond the time it was given. */
+/** Time the endpoint's answer may take beyond the time given to the load. */
 constexpr core::Millis kAnswerMargin{500};
 
-/** @return True if the answer doesn't speak against the endpoint: the load goes
- * on beyond the time it was given, or all its slots are taken right now. */
+/** @return True if the error is no fault of the endpoint: the load continues
+ * beyond the time it was given, or all load slots are taken right now. */
 bool IsOnlySlow(ErrorCode code) {
   return code == ErrorCode::kTimedOut || code == ErrorCode::kDeadlineTooShort ||
          code == ErrorCode::kQueueFull;
 }
 
-/** @return How long an endpoint is left alone after this answer. */
+/** @return How long an endpoint is excluded from loads after this error. */
 core::Millis AvoidFor(ErrorCode code) {
   switch (code) {
     case ErrorCode::kLeaving:
@@ -151,14 +151,14 @@
 
 void Home::State::NoteLoadFailure(ModelQueue& queue, const LoadOrder& order,
                                   const core::Error& failure) {
-  // Failure: the weight store is slow and a load outlasts everyone who waited
-  // for it. The report shows it still loading; left alone, the endpoint would
-  // be passed over just when the load is about to succeed.
+  // Failure: the weight store is slow, and a load outlasts every request that
+  // waited for it. The report shows it still loading. Excluding the endpoint
+  // would skip it just when the load is about to succeed.
   const bool goes_on = IsOnlySlow(failure.code()) &&
                        fleet.HasReplica(order.endpoint, order.model);
   if (goes_on && failure.code() != ErrorCode::kQueueFull) return;
   const core::SteadyTime now = clock.Now();
-  // A failed adapter load doesn't speak against the model at the endpoint.
+  // A failed adapter load does not exclude the endpoint for the base model.
   const core::AdapterId adapter =
       order.base_there ? order.adapter : core::AdapterId();
   queue.avoid_until[{order.endpoint, adapter}] = now + AvoidFor(failure.code());
--- a/src/entry/home_state_base.h
+++ b/src/entry/home_state_base.h
@@ -1,4 +1,4 @@
-/** @file home_state_base.h What the home holds: shards of model queues. */
+/** @file home_state_base.h State of the scheduler: shards of model queues. */
 #ifndef SAPPHIRE_ENTRY_HOME_STATE_BASE_H_
 #define SAPPHIRE_ENTRY_HOME_STATE_BASE_H_
 
@@ -22,9 +22,10 @@
 
 namespace sapphire::entry {
 
-/** Kept alive by its own coroutines and by every placement. */
+/** Shared state, kept alive by its own coroutines and by every placement. */
 struct Home::State : std::enable_shared_from_this<Home::State> {
-  /** Queues of the models that hash to it; never held over a co_await. */
+  /** Queues of the models that hash to this shard. The lock is never held over
+   * a co_await. */
   struct Shard {
     std::mutex mutex;
     std::unordered_map<core::ModelId, ModelQueue> queues;
@@ -35,16 +36,16 @@
         link::LinkNode& links_arg, external::KeyValueStore& store_arg,
         const core::Clock& clock_arg, const core::Logger& log_arg);
 
-  /** Listens to the directory and the configuration; starts the sweep. */
+  /** Subscribes to the directory and the configuration; starts the sweep. */
   void Start();
   void Stop();
 
-  // Requests coming and going: home.cc.
+  // Admission, withdrawal and release of requests: home.cc.
 
-  /** Queues a request and decides for it. @throws core::Error if refused. */
+  /** Queues a request and decides on it. @throws core::Error if refused. */
   std::shared_ptr<Waiter> Admit(gen::Place request,
                                 std::function<bool()> abandoned);
-  /** Takes back a request nobody waits for, granted or not. */
+  /** Removes a request that nobody waits for, granted or not. */
   void Withdraw(const std::shared_ptr<Waiter>& waiter);
   void Release(const core::ModelId& model, std::int64_t slot_id,
                gen::RunResult::type result);
@@ -57,26 +58,26 @@
 
   // Decisions: home_decide.cc.
 
-  /** Decides anew for the waiters of one model. */
+  /** Decides again on the waiters of one model. */
   void Evaluate(const core::ModelId& id);
   void EvaluateAll();
   void Decide(const contract::Config& config, const contract::Model& model,
               ModelQueue& queue, std::vector<LoadOrder>& orders);
-  /** What one decision means for the waiters behind. */
+  /** Outcome of one decision, and what it means for the waiters behind. */
   enum class Step {
-    kEnded,     ///< It no longer waits.
-    kHeld,      ///< It waits, and so do all of its class.
-    kHeldAlone  ///< It waits for a reason of its own.
+    kEnded,     ///< The waiter was granted a slot or refused.
+    kHeld,      ///< It waits, and so do all waiters of its class.
+    kHeldAlone  ///< It waits for a reason that concerns only itself.
   };
   Step DecideOne(const contract::Config& config, const contract::Model& model,
                  ModelQueue& queue, const std::shared_ptr<Waiter>& waiter,
                  int ahead, std::vector<LoadOrder>& orders);
   /**
-   * Refuses those who wait but can't be served in their time where they stand.
-   * Failure: only the first of a queue was decided on, so the others were held
-   * until their deadline though their fate was known long before. Places are
-   * counted for the caller's good: an owner behind others may be served by
-   * share before its place in the whole queue.
+   * Refuses waiters that can't be served in time at their position in the
+   * queue. Failure: only the first waiter was decided on, so that the others
+   * waited until their deadline although their refusal was certain long before.
+   * The position is estimated low: an owner behind others may be served by its
+   * share earlier than its position in the whole queue says.
    */
   void RefuseHopeless(const contract::Config& current,
                       const contract::Model& model, ModelQueue& queue);
@@ -92,7 +93,8 @@
             const std::shared_ptr<Waiter>& waiter,
             const policy::PlacementDecision& decision,
             std::vector<LoadOrder>& orders);
-  /** Loads for callers that come again, when this one has too little time. */
+  /** Starts a load for the caller's retry when the remaining time is too short
+   * for this request. */
   void LoadForRetry(const contract::Model& model, ModelQueue& queue,
                     const std::shared_ptr<Waiter>& waiter,
                     const policy::PlacementDecision& decision,
@@ -104,11 +106,12 @@
   void CountPlaced(const Waiter& waiter, core::SteadyTime now);
   void Refuse(ModelQueue& queue, const std::shared_ptr<Waiter>& waiter,
               const core::Error& error);
-  /** Takes a waiter out of the queue, with what is reserved for it. */
+  /** Removes a waiter and its endpoint reservation. @return False if it was not
+   * queued. */
   bool Dequeue(ModelQueue& queue, Waiter& waiter);
-  /** Keeps `endpoint` clear until the waiter leaves the queue. */
+  /** Reserves `endpoint` for the waiter until it leaves the queue. */
   void ReserveFor(Waiter& waiter, const core::EndpointId& endpoint);
-  /** Ends what is abandoned, out of time or quarantined meanwhile. */
+  /** Refuses waiters that were abandoned, timed out or got quarantined. */
   void EndOverdue(ModelQueue& queue);
   core::Millis KeepAlive(const contract::Config& config,
                          const ModelQueue& queue, const core::ModelId& model,
@@ -120,7 +123,7 @@
 
   void StartLoad(const LoadOrder& order);
   core::Task<> OrderLoad(LoadOrder order);
-  /** @throws core::Error if the endpoint does not say that it is loaded. */
+  /** @throws core::Error unless the endpoint confirms that it is loaded. */
   core::Task<> SendLoad(LoadOrder order, core::SteadyTime started);
   void EndLoad(const LoadOrder& order, core::SteadyTime started,
                const core::Error* failure);
--- a/src/entry/ledger_cleanup.cc
+++ b/src/entry/ledger_cleanup.cc
@@ -1,4 +1,4 @@
-/** @file ledger_cleanup.cc Ends the grants of VMs that are gone. */
+/** @file ledger_cleanup.cc Removes the grants of removed VMs. */
 #include <algorithm>
 #include <boost/json.hpp>
 
@@ -111,9 +111,9 @@
   }
   const std::lock_guard lock(mutex_);
   if (gone_.contains(vm)) return true;
-  // A holder that this entry never saw listed: the VM went while this entry
-  // was not there. A grant is only taken by a VM that the list showed, so it
-  // is gone once the list has had time to catch up.
+  // This entry never saw the holder listed: the VM was removed while this entry
+  // did not run. Only a listed VM takes a grant, so the VM counts as removed
+  // once the list has had time to catch up.
   const auto it = missing_since_.try_emplace(vm, clock_.Now()).first;
   return clock_.Now() - it->second >= options_.gone_grace;
 }
@@ -129,7 +129,8 @@
                  "ledger_cleanup_failed",
                  {{"service", service}, {"error", e.what()}});
     }
-    // The next sweep tries again; a service that is down isn't asked for all.
+    // The next sweep retries. The sweep ends here, so that a key-value service
+    // that is down is not called for every ledger.
     if (failed) co_return;
   }
 }
--- a/src/entry/ledger_cleanup_base.h
+++ b/src/entry/ledger_cleanup_base.h
@@ -1,4 +1,4 @@
-/** @file ledger_cleanup_base.h Ends the grants of VMs that are gone. */
+/** @file ledger_cleanup_base.h Removes the grants of removed VMs. */
 #ifndef SAPPHIRE_ENTRY_LEDGER_CLEANUP_BASE_H_
 #define SAPPHIRE_ENTRY_LEDGER_CLEANUP_BASE_H_
 
@@ -26,23 +26,24 @@
 /** @return The VMs that hold a grant in the value of a `ledger/` key. */
 std::set<core::VmId> GrantHolders(const std::string& ledger);
 
-/** @return The value without the grants of `vm`, all else unchanged; nothing
- * if it holds none. */
+/** @return The value without the grants of `vm`, all else unchanged; nothing if
+ * `vm` holds none. */
 std::optional<std::string> WithoutGrantsOf(const std::string& ledger,
                                            const core::VmId& vm);
 
 struct LedgerCleanupOptions {
   core::VmId self;
   std::chrono::milliseconds interval{15000};
-  /** A holder missing from the list for this long counts as gone. */
+  /** A holder missing from the list for this long counts as removed. */
   std::chrono::milliseconds gone_grace{30000};
 };
 
 /**
- * A grant has no time to live, so that a paused holder can't lose it and load
- * all the same. It outlives its VM: the home entry of each service removes the
- * grants of VMs that the platform's list no longer shows. Two entries doing so
- * at once is harmless, since each removes by compare-and-swap.
+ * Removes the grants of VMs that the platform's list no longer shows. A grant
+ * has no time to live, since a paused holder could lose it and load all the
+ * same, and therefore outlives its VM. The primary entry of each service does
+ * the cleanup; two entries doing so at once is harmless, as each removes by
+ * compare-and-swap.
  */
 class LedgerCleanup : public std::enable_shared_from_this<LedgerCleanup> {
  public:
@@ -55,8 +56,8 @@
   void Start();
   void Stop() { stopped_ = true; }
 
-  /** Looks at every service this entry is home to; also called at intervals,
-   * which finds VMs that went while no entry watched. */
+  /** Scans the ledger of every service that this entry is the primary entry of.
+   * Also runs at intervals to find VMs that were removed while no entry ran. */
   core::Task<> Sweep();
 
  private:
@@ -74,8 +75,8 @@
   const core::Clock& clock_;
   const core::Logger& log_;
   std::atomic<bool> stopped_{false};
-  /** VMs the list showed and shows no longer. */
   std::mutex mutex_;
+  /** VMs that the list showed before and no longer shows. */
   std::set<core::VmId> gone_;
   std::map<core::VmId, core::SteadyTime> missing_since_;
 };
