--- a/src/entry/answer_sink.cc
+++ b/src/entry/answer_sink.cc
@@ -1,4 +1,4 @@
-/** @file answer_sink.cc Where an answer goes as it comes. */
+/** @file answer_sink.cc Receivers of an answer, part by part. */
 #include <utility>
 
 #include "entry/answer_sink_base.h"
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** An answer longer than this is passed on before it is whole. */
+/** An answer longer than this is sent before it is complete. */
 constexpr std::size_t kMaxHeldBytes = 4 * 1024 * 1024;
 
 }  // namespace
--- a/src/entry/answer_sink_base.h
+++ b/src/entry/answer_sink_base.h
@@ -1,4 +1,4 @@
-/** @file answer_sink_base.h Where an answer goes as it comes. */
+/** @file answer_sink_base.h Receivers of an answer, part by part. */
 #ifndef SAPPHIRE_ENTRY_ANSWER_SINK_BASE_H_
 #define SAPPHIRE_ENTRY_ANSWER_SINK_BASE_H_
 
@@ -12,7 +12,7 @@
 
 namespace sapphire::entry {
 
-/** Takes one answer: a head, parts, an end. */
+/** Receives one answer: a head, parts, an end. */
 class AnswerSink {
  public:
   virtual ~AnswerSink() = default;
@@ -21,21 +21,21 @@
   virtual core::Task<> Part(std::string data) = 0;
   virtual core::Task<> End() = 0;
 
-  /** Forgets what came so far. @pre Not started(). */
+  /** Discards what was received so far. @pre Not started(). */
   virtual void Reset() = 0;
 
-  /** @return True once something was passed on that can't be taken back: the
-   * request can't be tried again without the receiver noticing. */
+  /** @return True once something was sent irrevocably, so that the receiver
+   * would notice a retry. */
   [[nodiscard]] virtual bool started() const = 0;
 
-  /** @return True if nobody waits for the answer any more. Any thread. */
+  /** @return True once nobody waits for the answer any more. Any thread. */
   [[nodiscard]] virtual bool abandoned() const { return false; }
 };
 
 /**
- * Passes an answer on to an HTTP caller. A streamed one goes out from its first
- * part on; any other is held until it is whole, so that it can be tried again,
- * unless it grows over a limit.
+ * Sends an answer to an HTTP caller. A streamed answer is sent from its first
+ * part on. Any other is buffered until it is complete, so that the request can
+ * be retried, unless it exceeds a size limit.
  */
 class HttpSink final : public AnswerSink {
  public:
@@ -59,7 +59,8 @@
   std::string held_;
 };
 
-/** Passes an answer on over a link, numbered so that a gap shows. */
+/** Sends an answer over a link, with numbered parts so that a gap is detected.
+ */
 class CallSink final : public AnswerSink {
  public:
   explicit CallSink(std::shared_ptr<link::Call> call);
--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -17,10 +17,10 @@
 
 constexpr milliseconds kVoidTimeout{1000};
 constexpr milliseconds kVoidPause{100};
-/** How soon a caller who left is noticed. */
+/** Interval between checks whether the caller has disconnected. */
 constexpr milliseconds kAbandonedPoll{250};
 
-/** Checks that the parts of an answer are all there, in order. */
+/** Checks that all parts of an answer arrive, in order. */
 class WholenessCheck {
  public:
   void Add(const gen::Chunk& chunk) {
@@ -43,8 +43,8 @@
   gen::RunEnd totals_;
 };
 
-/** Waits in steps for the next part, so that a caller who leaves before there
- * is one does not keep an engine busy.
+/** Polls while it waits for the next part, so that a caller that disconnects
+ * before then does not keep an engine busy.
  * @throws core::Error, http::TransportError */
 Task<gen::Message> NextPart(link::Call& call, core::SteadyTime deadline,
                             const AnswerSink& sink, const core::Clock& clock) {
@@ -65,7 +65,7 @@
   }
 }
 
-/** Passes the answer on until its end.
+/** Forwards the answer to `sink` until its end.
  * @throws core::Error, http::TransportError */
 Task<> Relay(link::Call& call, core::SteadyTime deadline, AnswerSink& sink,
              const core::Clock& clock) {
@@ -97,8 +97,8 @@
           incarnation};
 }
 
-/** @return The open call, or nothing if the other side can't be reached; then
- * not a byte of the request was sent. */
+/** @return The open call, or null if the peer is unreachable; no byte of the
+ * request was sent then. */
 Task<std::shared_ptr<link::Call>> TryOpen(link::LinkNode& links,
                                           std::string address,
                                           gen::Message first) {
@@ -121,7 +121,7 @@
     const gen::Message answer = co_await call->Receive(kVoidTimeout);
     if (answer.__isset.attempt_state) co_return answer.attempt_state;
   } catch (const Error&) {
-    // No answer: asked again until the deadline.
+    // No answer: VoidAttempt retries until the deadline.
   }
   co_return std::nullopt;
 }
--- a/src/entry/attempt_func.h
+++ b/src/entry/attempt_func.h
@@ -15,26 +15,26 @@
 
 namespace sapphire::entry {
 
-/** How a dispatch ended. */
+/** Outcome of a dispatch. */
 enum class AttemptEnd {
   kCompleted,
-  kNotStarted,  ///< Certain: the other side never started it.
-  kCrashed,     ///< The engine died while it ran.
-  kUnknown,     ///< It may have run, or may still run.
-  kSinkGone,    ///< Whoever wanted the answer has left.
+  kNotStarted,  ///< The peer certainly never started it.
+  kCrashed,     ///< The engine crashed while it ran.
+  kUnknown,     ///< It may have run or may still be running.
+  kSinkGone,    ///< The receiver of the answer has disconnected.
 };
 
 struct AttemptResult {
   AttemptEnd end = AttemptEnd::kUnknown;
   /** Why it did not complete. */
   std::optional<core::Error> error;
-  /** The process it was sent to, 0 if it was not sent. */
+  /** Incarnation of the process it was sent to; 0 if it was not sent. */
   std::int64_t incarnation = 0;
 };
 
 /**
- * Sends `run` to the process at `address` and passes its answer on. Proves by
- * sequence numbers and totals that the answer is whole.
+ * Sends `run` to the process at `address` and forwards its answer to `sink`.
+ * Verifies by sequence numbers and totals that the answer is complete.
  * @pre The coroutine runs on a strand.
  */
 core::Task<AttemptResult> RunAttempt(link::LinkNode& links, std::string address,
@@ -43,18 +43,18 @@
                                      const core::Clock& clock);
 
 /**
- * Asks the process that an attempt was sent to whether it ever started, and
- * has it refuse a late copy. Tries until `deadline`.
- * @param incarnation The process it was sent to: another one at the same
- *   address knows nothing of what its predecessor started.
- * @return True only if it is certain that the attempt never ran and never will.
+ * Asks the process that an attempt was sent to whether it started it, and makes
+ * it refuse a late copy. Retries until `deadline`.
+ * @param incarnation The process it was sent to: a successor at the same
+ * address does not know what its predecessor started.
+ * @return True only if the attempt certainly never ran and never will.
  */
 core::Task<bool> VoidAttempt(link::LinkNode& links, std::string address,
                              std::string attempt_id, std::int64_t incarnation,
                              core::SteadyTime deadline,
                              const core::Clock& clock);
 
-/** @return What is left until `deadline`, never below zero. */
+/** @return The time left until `deadline`, never below zero. */
 std::chrono::milliseconds Remaining(const core::Clock& clock,
                                     core::SteadyTime deadline);
 
--- a/src/entry/caller_request.cc
+++ b/src/entry/caller_request.cc
@@ -1,4 +1,4 @@
-/** @file caller_request.cc Reads callers' HTTP requests. */
+/** @file caller_request.cc Parses callers' HTTP requests. */
 #include <algorithm>
 #include <boost/json.hpp>
 #include <charconv>
@@ -18,7 +18,7 @@
 constexpr std::string_view kServicesPrefix = "/services/";
 constexpr std::size_t kMaxTokenLength = 128;
 constexpr int kMaxPriority = 100;
-/** Prompts that share this many first bytes likely share cached prefixes. */
+/** Prompts that share this many leading bytes likely share a cached prefix. */
 constexpr std::size_t kPrefixBytes = 256;
 
 [[noreturn]] void BadHeader(std::string_view name, const std::string& what) {
@@ -84,7 +84,8 @@
   return value->get_bool();
 }
 
-/** @return What engines cache prefixes of: the prompt or the messages. */
+/** @return The text whose prefixes engines cache: the prompt or the messages.
+ */
 std::string PromptText(const boost::json::object& body,
                        std::string_view field) {
   const boost::json::value* value = body.if_contains(field);
@@ -130,7 +131,7 @@
   out.prefix_hash = static_cast<std::int64_t>(core::HashOf(prefix) >> 1);
 }
 
-/** @return True if "METHOD /prefix" covers this call. */
+/** @return True if the call matches a "METHOD /prefix" pattern. */
 bool Covers(const std::string& pattern, const std::string& method,
             std::string_view path) {
   const std::string_view text = pattern;
--- a/src/entry/caller_request_func.h
+++ b/src/entry/caller_request_func.h
@@ -1,4 +1,4 @@
-/** @file caller_request_func.h Reads callers' HTTP requests. */
+/** @file caller_request_func.h Parses callers' HTTP requests. */
 #ifndef SAPPHIRE_ENTRY_CALLER_REQUEST_FUNC_H_
 #define SAPPHIRE_ENTRY_CALLER_REQUEST_FUNC_H_
 
@@ -12,20 +12,20 @@
 namespace sapphire::entry {
 
 /**
- * Reads a request to /v1/completions, /v1/chat/completions or
+ * Parses a request to /v1/completions, /v1/chat/completions or
  * /services/NAME/... against the configuration in force.
- * @throws core::Error kMalformedRequest or kBadHeader naming the field;
+ * @throws core::Error kMalformedRequest or kBadHeader that names the field;
  *   kUnknownModel, kUnknownAdapter, kUnknownService, kUnknownPath.
  */
 CallerRequest ReadCallerRequest(const http::Request& request,
                                 const contract::Intent& intent,
                                 const CallerLimits& limits);
 
-/** @return The request as an endpoint or a home entry gets it; the time that
- * remains and the attempt are filled in at dispatch. */
+/** @return The request as sent to an endpoint or a primary entry; the remaining
+ * time and the attempt are filled in at dispatch. */
 gen::Run ToRun(const CallerRequest& request);
 
-/** @return The request for a place that `run` needs. */
+/** @return The placement request for `run`. */
 gen::Place ToPlace(const gen::Run& run);
 
 /** @return The answer to GET /v1/models. */
--- a/src/entry/caller_request_type.h
+++ b/src/entry/caller_request_type.h
@@ -1,4 +1,4 @@
-/** @file caller_request_type.h A caller's request, understood. */
+/** @file caller_request_type.h A parsed caller's request. */
 #ifndef SAPPHIRE_ENTRY_CALLER_REQUEST_TYPE_H_
 #define SAPPHIRE_ENTRY_CALLER_REQUEST_TYPE_H_
 
@@ -10,7 +10,7 @@
 
 namespace sapphire::entry {
 
-/** Bounds of what callers may ask for. */
+/** Limits on the timeout that callers may set. */
 struct CallerLimits {
   std::chrono::milliseconds default_timeout{30'000};
   std::chrono::milliseconds max_timeout{600'000};
@@ -27,22 +27,23 @@
   /** Empty for a plain service. */
   core::ModelId model;
   core::AdapterId adapter;
-  /** The answer is to be passed on part by part as it comes. */
+  /** The answer is sent part by part as it arrives. */
   bool stream = false;
-  /** Runs at most once, by the operators' word. */
+  /** Runs at most once, as configured by the operators. */
   bool non_idempotent = false;
-  /** Tells the same call sent again: the caller's Idempotency-Key, else its
-   * X-Request-Id, else a key of our own (then a resend can't be told). */
+  /** Identifies resends of a call: the caller's Idempotency-Key, else its
+   * X-Request-Id, else a generated id (a resend is not recognised then). */
   std::string idempotency_key;
 
   std::string method;
-  /** As the endpoint is to see it: without /services/NAME. */
+  /** The path sent to the endpoint, without /services/NAME. */
   std::string path;
   std::string content_type;
   std::string body;
-  /** The same for equal work, whoever sends it and through whichever entry. */
+  /** Equal for equal requests, whichever caller sends them and through
+   * whichever entry. */
   std::int64_t fingerprint = 0;
-  /** The same for prompts that begin alike; 0 if there is no prompt. */
+  /** Equal for prompts that begin alike; 0 if there is no prompt. */
   std::int64_t prefix_hash = 0;
 };
 
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -1,4 +1,4 @@
-/** @file dispatcher.cc Runs idempotent requests, again where that helps. */
+/** @file dispatcher.cc Runs idempotent requests, with retries. */
 #include <utility>
 
 #include "core/random_func.h"
@@ -48,9 +48,9 @@
     policy::RecordFirstTry(budget_);
   }
   std::set<core::EndpointId> avoid;
-  // Of the newest attempt that may have run: from then on "not run" can't be
-  // said any more, and this is what the caller is told, not that nobody was
-  // found to try again.
+  // Error of the newest attempt that may have run. From then on the outcome
+  // "not run" would be wrong, so the caller gets this error and not the refusal
+  // of a later placement.
   std::optional<Error> may_have_run;
   const auto abandoned = [&sink] { return sink.abandoned(); };
   for (int attempt = 1;; ++attempt) {
@@ -66,7 +66,8 @@
         co_await RunAtPlace(*place, run, deadline, sink);
     if (result.end == AttemptEnd::kCompleted) co_return;
     if (result.end != AttemptEnd::kNotStarted) may_have_run = result.error;
-    // What the receiver has seen can't be unsent: it gets an explicit error.
+    // Once a part was sent there is no retry; the receiver gets an explicit
+    // error.
     if (sink.started() || attempt == kMaxAttempts || !MayTryAgain(result) ||
         !TakeRetryToken()) {
       throw may_have_run ? *may_have_run : *result.error;
@@ -96,8 +97,8 @@
   co_return result;
 }
 
-/** Guard against retries that bury a failing fleet: they are a fraction of
- * the first tries, over all requests of this entry. */
+/** Limits retries to a fraction of the first attempts over all requests of this
+ * entry, so that retries do not overload a failing fleet. */
 bool Dispatcher::TakeRetryToken() {
   const std::lock_guard lock(budget_mutex_);
   return policy::TakeRetry(budget_);
--- a/src/entry/dispatcher_base.h
+++ b/src/entry/dispatcher_base.h
@@ -1,4 +1,4 @@
-/** @file dispatcher_base.h Runs idempotent requests, again where that helps. */
+/** @file dispatcher_base.h Runs idempotent requests, with retries. */
 #ifndef SAPPHIRE_ENTRY_DISPATCHER_BASE_H_
 #define SAPPHIRE_ENTRY_DISPATCHER_BASE_H_
 
@@ -17,8 +17,8 @@
 
 namespace sapphire::entry {
 
-/** Places, dispatches, and tries again elsewhere within the request's time and
- * the retry budget. */
+/** Places and dispatches a request, and retries at other endpoints within its
+ * deadline and the retry budget. */
 class Dispatcher {
  public:
   /** @pre All references outlive the dispatcher. */
@@ -27,8 +27,8 @@
 
   /**
    * Runs `run` and passes its answer to `sink`.
-   * @throws core::Error if there is no whole answer; with outcome kNotRun only
-   *   where nothing ran.
+   * @throws core::Error if there is no complete answer; with outcome kNotRun
+   *   only if nothing ran.
    * @pre The coroutine runs on a strand.
    */
   core::Task<> Run(gen::Run run, core::SteadyTime deadline, AnswerSink& sink);
--- a/src/entry/estimate.cc
+++ b/src/entry/estimate.cc
@@ -1,4 +1,4 @@
-/** @file estimate.cc Durations learned from what was measured. */
+/** @file estimate.cc Estimates durations from measurements. */
 #include <cmath>
 
 #include "entry/estimate_func.h"
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Weight of the newest measurement. */
+/** Weight of the newest measurement in the moving average. */
 constexpr double kNewestPart = 0.3;
 constexpr std::chrono::seconds kHalfLife{60};
 
--- a/src/entry/estimate_func.h
+++ b/src/entry/estimate_func.h
@@ -1,4 +1,4 @@
-/** @file estimate_func.h Durations learned from what was measured. */
+/** @file estimate_func.h Estimates durations from measurements. */
 #ifndef SAPPHIRE_ENTRY_ESTIMATE_FUNC_H_
 #define SAPPHIRE_ENTRY_ESTIMATE_FUNC_H_
 
@@ -11,32 +11,32 @@
 
 namespace sapphire::entry {
 
-/** A duration: a first guess, and what was measured since. */
+/** A duration: an initial guess and a moving average of measurements. */
 struct Estimate {
   core::Millis guess{0};
   core::Millis measured{0};
   std::optional<core::SteadyTime> measured_at;
 };
 
-/** Takes a measurement into the average. */
+/** Adds a measurement to the average. */
 void Learn(Estimate& estimate, core::Millis sample, core::SteadyTime now);
 
 /**
- * @return The estimate now. A measurement fades towards the guess as it ages:
- *   after one slow load, requests whose time seems too short are refused, so
- *   nothing would ever be measured again to show that loads are fast once more.
+ * @return The estimate at `now`. A measurement decays towards the guess as it
+ *   ages: after one slow load, requests whose time seems too short are refused,
+ *   so no new measurement would ever show that loads are fast again.
  */
 core::Millis ValueAt(const Estimate& estimate, core::SteadyTime now);
 
-/** Load times of one model, by the tier loaded from. */
+/** Load times of one model, by source tier. */
 struct LoadEstimates {
   Estimate memory;
   Estimate disk;
   Estimate remote;
 };
 
-/** @return First guesses from the size of the weights; rather too fast than
- * too slow, for the same reason. */
+/** @return Initial guesses from the size of the weights. They are rather too
+ * short than too long, for the reason given at ValueAt. */
 LoadEstimates GuessLoads(std::int64_t weight_bytes);
 
 void LearnLoad(LoadEstimates& loads, policy::Tier tier, core::Millis sample,
--- a/src/entry/fleet_fake_base.h
+++ b/src/entry/fleet_fake_base.h
@@ -1,4 +1,4 @@
-/** @file fleet_fake_base.h Small fakes of a fleet, for this folder's tests. */
+/** @file fleet_fake_base.h Fakes of the parts of a fleet, for tests. */
 #ifndef SAPPHIRE_ENTRY_FLEET_FAKE_BASE_H_
 #define SAPPHIRE_ENTRY_FLEET_FAKE_BASE_H_
 
@@ -31,7 +31,7 @@
 
 namespace sapphire::entry::fake {
 
-/** Threads that run coroutines until the end of a test. */
+/** Thread pool that runs coroutines until the end of a test. */
 class Threads {
  public:
   Threads() : work_(io_.get_executor()) {
@@ -145,7 +145,7 @@
   core::Task<bool> KeepAlive(std::string /*lease_id*/) override {
     co_return true;
   }
-  /** Answers with a gap after a short while: followers list again. */
+  /** Reports a gap after a short while, so that followers list again. */
   core::Task<external::WatchBatch> Watch(std::string /*prefix*/,
                                          std::int64_t revision,
                                          core::Millis /*wait*/) override {
@@ -200,15 +200,15 @@
   return options;
 }
 
-/** What a fake endpoint does with load orders. */
+/** How a fake endpoint handles load orders. */
 enum class LoadMode {
   kSucceed,
   kFail,
   kHang,
-  kOutlast,  ///< Refuses for lack of time while the load goes on.
+  kOutlast,  ///< Refuses for lack of time while the load continues.
 };
 
-/** An endpoint that counts its load orders and reports what they loaded. */
+/** An endpoint that counts load orders and reports the loaded models. */
 class FakeEndpoint {
  public:
   FakeEndpoint(Threads& threads, const std::string& name,
@@ -314,7 +314,7 @@
   link::LinkNode node_;
 };
 
-/** One entry: its links, directory and home. */
+/** One entry: its links, directory and scheduler. */
 class FakeEntry {
  public:
   FakeEntry(Threads& threads, const std::string& name, FakeVmList& list,
@@ -365,7 +365,7 @@
   std::unique_ptr<Home> home_;
 };
 
-/** How a Place ended. */
+/** Result of a Place call. */
 struct Outcome {
   std::unique_ptr<Placement> placement;
   std::optional<core::Error> error;
--- a/src/entry/fleet_view.cc
+++ b/src/entry/fleet_view.cc
@@ -10,16 +10,16 @@
 
 namespace {
 
-/** Prefix hashes remembered for each replica. */
+/** Most prefix hashes remembered per replica. */
 constexpr std::size_t kPrefixesKept = 32;
 
-/** A load that takes longer than expected is taken to need this part of what
- * it has taken so far once more. */
+/** An overdue load is estimated to need its elapsed time divided by this once
+ * more. */
 constexpr int kOverduePart = 4;
 constexpr core::Millis kLeastReadyIn{50};
 
 constexpr core::Millis kScanPause{20};
-/** For loads that others ordered, where the time is not known better. */
+/** Expected time of a load that another entry ordered. */
 constexpr core::Millis kForeignLoad{2000};
 
 core::Millis TimeLeft(core::Millis elapsed, core::Millis expected) {
@@ -29,8 +29,9 @@
   return std::max(elapsed / kOverduePart, kLeastReadyIn);
 }
 
-/** @return A copy for decisions among a model's holders, where no checkpoint is
- * read and the lists of cached ones are most of the copy's cost. */
+/** @return A copy without the lists of cached checkpoints, which are most of
+ * the cost of a copy. Decisions among a model's own replicas do not need them.
+ */
 policy::EndpointView WithoutTiers(const policy::EndpointView& view) {
   policy::EndpointView copy;
   copy.id = view.id;
@@ -50,8 +51,8 @@
 std::set<core::ModelId> FleetView::Update(const KnownEndpoint& known) {
   const std::lock_guard lock(mutex_);
   Endpoint& endpoint = endpoints_[known.id];
-  // Failure: the loss of a link and an older report are told on two threads,
-  // the loss first. The older one would bring the endpoint back.
+  // Failure: the loss of a link and an older report arrive on two threads, the
+  // loss first. The older report would revive the endpoint.
   if (known.revision < endpoint.known.revision) return {};
   std::set<core::ModelId> touched = ModelsIn(endpoint.known.report);
   touched.merge(ModelsIn(known.report));
@@ -206,8 +207,8 @@
     policy::ReplicaView* replica = FindReplica(endpoint, request.model);
     if (replica == nullptr) continue;
     const Overlay& overlay = endpoint.overlay[request.model];
-    // A suspect runs alone: its endpoint shows as full to everyone else, who
-    // then wait for it instead of being refused.
+    // A suspect runs alone. Its endpoint looks full to all other requests,
+    // which then wait for it instead of being refused.
     if (endpoint.suspects > 0 && !request.alone) {
       replica->running = std::max(replica->running, request.max_concurrent);
     }
@@ -258,9 +259,9 @@
   if (holders == holders_.end()) {
     return policy::DecidePlacement(request, views_, loads);
   }
-  // Most requests meet a replica with a free slot, or a model at its limit:
-  // then nothing but the model's own replicas can matter, and the rest of the
-  // fleet is not looked at.
+  // Most requests find a replica with a free slot, or a model at its replica
+  // limit. Then only the model's own replicas matter, and the rest of the fleet
+  // is not scanned.
   std::vector<policy::EndpointView> own;
   for (const core::EndpointId& id : holders->second) {
     own.push_back(WithoutTiers(views_[*endpoints_.at(id).index]));
@@ -273,8 +274,9 @@
       decision.refusal == core::ErrorCode::kNoEndpoint;
   if (decision.action == policy::PlacementAction::kRun) return decision;
   if (at_limit && !none_usable) return decision;
-  // A burst behind busy replicas below their limit: whether one more is worth
-  // loading doesn't change with each request, and costs a look at all.
+  // In a burst behind busy replicas below the limit, the answer whether one
+  // more replica is worth loading does not change with each request, and
+  // finding it out costs a scan of the whole fleet.
   const core::SteadyTime now = clock_.Now();
   const bool waits = decision.action == policy::PlacementAction::kWait;
   if (waits && now < next_scan_[request.model]) return decision;
@@ -348,7 +350,7 @@
 }
 
 void FleetView::DropSuspect(Endpoint& endpoint) {
-  // The endpoint may have been forgotten and come back since it was counted.
+  // The endpoint may have been removed and added again since it was counted.
   endpoint.suspects = std::max(0, endpoint.suspects - 1);
 }
 
--- a/src/entry/fleet_view_base.h
+++ b/src/entry/fleet_view_base.h
@@ -20,13 +20,13 @@
 
 namespace sapphire::entry {
 
-/** A request's place at one endpoint, held until it is done. */
+/** A request's slot at an endpoint, held until the request is done. */
 struct Slot {
   core::EndpointId endpoint;
   /** Empty for a plain service. */
   core::ModelId model;
   std::int64_t prefix_hash = 0;
-  /** True: a suspect; nothing else is placed at this endpoint beside it. */
+  /** True for a suspect: it runs alone at its endpoint. */
   bool alone = false;
 };
 
@@ -35,22 +35,22 @@
   core::EndpointId endpoint;
   core::ModelId model;
   core::AdapterId adapter;
-  /** Weights and KV budget, or only the adapter if the model is there. */
+  /** Weights and KV budget, or only the adapter if the model is loaded. */
   std::int64_t bytes = 0;
   std::vector<core::ModelId> evict;
   policy::Tier tier = policy::Tier::kRemote;
   core::Millis expected{0};
-  /** Time the load is given at least, however short its requests' time. */
+  /** Least time given to the load, however short its requests' deadlines. */
   core::Millis least_time{0};
-  /** The model is there or on its way: only the adapter is loaded. */
+  /** The model is loaded or loading, so that only the adapter is loaded. */
   bool base_there = false;
 };
 
 /**
- * The views that placement decisions are made on: each endpoint's last report
- * with this entry's own placements and loads laid over it, since reports lag.
- * A report or a placement changes the one view it concerns; a decision copies
- * the views of the model's own replicas only. Safe to use from any thread.
+ * The endpoint views that placement decisions are based on: each endpoint's
+ * last report, overlaid with this entry's own placements and loads, since
+ * reports lag. A report or a placement updates only the view it concerns; a
+ * decision copies only the views of the model's own replicas. Thread-safe.
  */
 class FleetView {
  public:
@@ -58,24 +58,25 @@
   explicit FleetView(const core::Clock& clock) : clock_(clock) {}
 
   /**
-   * Takes a report, or the loss of an endpoint's link, unless a newer one is
+   * Applies a report or the loss of an endpoint's link, unless a newer one is
    * known.
    * @return The models that have or had a replica there.
    */
   std::set<core::ModelId> Update(const KnownEndpoint& known);
 
-  /** Forgets an endpoint whose VM is gone. */
+  /** Removes an endpoint whose VM counts as removed. */
   void Forget(const core::EndpointId& id);
 
-  /** Says which service each model belongs to, for the services' limits. */
+  /** Sets the service of each model, for the services' replica limits. */
   void SetServices(std::map<core::ModelId, core::ServiceId> service_of);
 
-  /** Decides with policy::DecidePlacement; fills in the service's replicas. */
+  /** Decides with policy::DecidePlacement after filling in the service's
+   * replicas. */
   policy::PlacementDecision Decide(policy::PlacementRequest request,
                                    const core::ServiceId& service,
                                    const policy::LoadTimes& loads);
 
-  /** @return The endpoint of a plain service to send the next request to. */
+  /** @return The plain service's endpoint for the next request, if any. */
   [[nodiscard]] std::optional<core::EndpointId> PickPlain(
       const core::ServiceId& service, const core::ZoneId& zone,
       const std::set<core::EndpointId>& avoid) const;
@@ -83,15 +84,16 @@
   void AddSlot(const Slot& slot);
   void RemoveSlot(const Slot& slot);
 
-  /** Keeps an endpoint clear for a suspect that waits; each needs an end. */
+  /** Reserves an endpoint for a waiting suspect until the matching EndReserve.
+   */
   void Reserve(const core::EndpointId& id);
   void EndReserve(const core::EndpointId& id);
 
   void BeginLoad(const LoadOrder& order);
-  /** @param ready True if the endpoint says that the load succeeded. */
+  /** @param ready True if the endpoint reported that the load succeeded. */
   void EndLoad(const LoadOrder& order, bool ready);
 
-  /** @return Where to reach a connected endpoint. */
+  /** @return The address of an endpoint; nothing if it is not connected. */
   [[nodiscard]] std::optional<std::string> AddressOf(
       const core::EndpointId& id) const;
 
@@ -102,29 +104,29 @@
   /** @return How many models share the endpoint's engine, at least 1. */
   [[nodiscard]] std::size_t ReplicasAt(const core::EndpointId& id) const;
 
-  /** @return True if the model is loaded or on its way there. */
+  /** @return True if the model is loaded or loading at the endpoint. */
   [[nodiscard]] bool HasReplica(const core::EndpointId& id,
                                 const core::ModelId& model) const;
 
-  /** @return True if the replica there has the adapter, or none is asked. */
+  /** @return True if the replica has the adapter, or if `adapter` is empty. */
   [[nodiscard]] bool HasAdapter(const core::EndpointId& id,
                                 const core::ModelId& model,
                                 const core::AdapterId& adapter);
 
  private:
-  /** What this entry knows of a replica beyond the report. */
+  /** State of a replica that this entry knows beyond the report. */
   struct Overlay {
     int slots = 0;
-    /** Reported as running and not placed from here. */
+    /** Requests reported as running that other entries placed. */
     int foreign = 0;
     int loads = 0;
     std::int64_t load_bytes = 0;
     core::SteadyTime loading_since;
     core::Millis load_expected{0};
-    /** Loaded, and no report since. */
+    /** Loaded since the last report. */
     bool ready = false;
     std::set<core::AdapterId> new_adapters;
-    /** Unloaded by a load ordered here, and no report since. */
+    /** Evicted by a load that this entry ordered since the last report. */
     bool evicted = false;
     std::deque<std::int64_t> prefixes;
   };
@@ -132,27 +134,28 @@
   struct Endpoint {
     KnownEndpoint known;
     std::map<core::ModelId, Overlay> overlay;
-    /** Where its view is in `views_`; nothing while not connected. */
+    /** Index of its view in `views_`; nothing while not connected. */
     std::optional<std::size_t> index;
     int plain_slots = 0;
-    /** Suspects that run or wait here. */
+    /** Number of suspects running or waiting at this endpoint. */
     int suspects = 0;
   };
 
   static void DropSuspect(Endpoint& endpoint);
   void AddView(Endpoint& endpoint);
   void DropView(Endpoint& endpoint);
-  /** Builds the replicas of the endpoint's view anew. */
+  /** Rebuilds the replicas of the endpoint's view. */
   void RefreshReplicas(Endpoint& endpoint);
   void CountReplicas(const policy::EndpointView& view, int sign);
   policy::ReplicaView* FindReplica(const Endpoint& endpoint,
                                    const core::ModelId& model);
-  /** Brings what changes by time alone up to date for one model. */
+  /** Updates the time-dependent fields of one model's replicas, and shows
+   * endpoints that are reserved for suspects as full. */
   void PrepareHolders(const policy::PlacementRequest& request,
                       const policy::LoadTimes& loads);
-  /** Shows what PrepareHolders changed for this request as it is. */
+  /** Restores the running counts that PrepareHolders changed for a request. */
   void RestoreHolders(const core::ModelId& model);
-  /** @return When the replica's load is expected to end, from now. */
+  /** @return The expected time until the replica's load ends. */
   [[nodiscard]] core::Millis ReadyIn(const Overlay& overlay,
                                      core::Millis expected) const;
   [[nodiscard]] core::ServiceId ServiceOf(const core::ModelId& model) const;
@@ -168,7 +171,8 @@
   std::map<std::string, std::set<core::EndpointId>> plain_;
   std::map<core::ModelId, core::ServiceId> service_of_;
   std::map<core::ServiceId, int> service_replicas_;
-  /** Until when a model's queue is not worth a look at the whole fleet. */
+  /** Time before which no further scan of the whole fleet is made for a waiting
+   * model. */
   std::unordered_map<core::ModelId, core::SteadyTime> next_scan_;
 };
 
--- a/src/entry/fleet_view_test.cc
+++ b/src/entry/fleet_view_test.cc
@@ -1,4 +1,5 @@
-/** @file fleet_view_test.cc Views, queues and estimates that decisions use. */
+/** @file fleet_view_test.cc Tests the endpoint views and load time estimates
+ * that placement decisions use. */
 #define BOOST_TEST_MODULE entry_fleet_view
 #include <boost/test/unit_test.hpp>
 
@@ -52,9 +53,9 @@
   FleetView fleet{clock};
 };
 
-// Reports lag: between two of them a home places several requests. If it
-// trusted the reports alone, all would go to the one replica that looks idle,
-// and wait there although the other is free.
+// Several requests are placed between two reports. With reports alone, all
+// would go to the one replica that looks idle and wait there although another
+// is free.
 BOOST_AUTO_TEST_CASE(OwnPlacementsCountBeforeTheyAreReported) {
   View view;
   view.fleet.Update(EndpointOf("a", 0, true));
@@ -76,8 +77,8 @@
   BOOST_TEST((view.Decide(request).action == policy::PlacementAction::kRun));
 }
 
-// A load was ordered, and a report from before the order arrives. The load
-// must stay visible, or the next request orders it again elsewhere.
+// A report from before a load order arrives after it. The load must stay
+// visible, or the next request orders it again at another endpoint.
 BOOST_AUTO_TEST_CASE(OrderedLoadSurvivesAnOlderReport) {
   View view;
   view.fleet.Update(EndpointOf("a", 0, false));
@@ -96,8 +97,8 @@
   BOOST_TEST((view.Decide(request).action == policy::PlacementAction::kRun));
 }
 
-// An endpoint's link is lost. Requests must go elsewhere from that moment,
-// not when the platform's list has caught up.
+// An endpoint's link is lost. Requests must go to other endpoints immediately,
+// without waiting for the platform's list.
 BOOST_AUTO_TEST_CASE(LostEndpointIsNotPlacedAt) {
   View view;
   view.fleet.Update(EndpointOf("a", 0, true));
@@ -111,8 +112,8 @@
   BOOST_TEST(!view.fleet.AddressOf(core::EndpointId("a")).has_value());
 }
 
-// The loss of a link and a report from before it are told on two threads, in
-// the wrong order. The report must not bring the dead endpoint back.
+// The loss of a link and an older report arrive on two threads in the wrong
+// order. The older report must not revive the endpoint.
 BOOST_AUTO_TEST_CASE(OlderReportDoesNotUndoALoss) {
   View view;
   KnownEndpoint report = EndpointOf("a", 0, true);
@@ -125,8 +126,8 @@
   BOOST_TEST(!view.fleet.AddressOf(core::EndpointId("a")).has_value());
 }
 
-// A service's replicas are counted over all endpoints through updates, losses
-// and returns: a count that drifts would refuse or allow loads for ever.
+// The replica count of a service must stay exact over updates, losses and
+// reconnections; a count that drifts would refuse or allow loads for ever.
 BOOST_AUTO_TEST_CASE(ServiceCountDoesNotDrift) {
   View view;
   for (int round = 0; round < 3; ++round) {
@@ -142,8 +143,7 @@
   BOOST_TEST((decision.action == policy::PlacementAction::kLoad));
 }
 
-// A plain service's endpoint is picked in this zone and by load; one that
-// leaves is not.
+// Picks by zone first and by load second, and skips leaving endpoints.
 BOOST_AUTO_TEST_CASE(PlainServiceGoesToTheLeastLoadedInThisZone) {
   View view;
   for (const char* name : {"far", "near-1", "near-2", "leaving"}) {
@@ -169,8 +169,8 @@
   BOOST_TEST(far->value() == "far");
 }
 
-// One load was very slow. If its time were believed for ever, every request
-// would be refused as too late, and no load would run to correct it.
+// One load was very slow. If its time stayed the estimate for ever, all
+// requests would be refused as too late, and no load would run to correct it.
 BOOST_AUTO_TEST_CASE(MeasuredLoadTimeFadesToTheGuess) {
   LoadEstimates loads = GuessLoads(0);
   const core::SteadyTime start;
--- a/src/entry/home.cc
+++ b/src/entry/home.cc
@@ -86,8 +86,8 @@
 
 namespace {
 
-/** Withdraws the request if its coroutine is destroyed while it waits, since
- * its slot or queue position would stay occupied otherwise. */
+/** Withdraws the request if its coroutine ends while it waits, as when the
+ * caller has gone: its slot or queue position would stay occupied otherwise. */
 class WithdrawGuard {
  public:
   explicit WithdrawGuard(std::function<void()> withdraw)
--- a/src/entry/home_test.cc
+++ b/src/entry/home_test.cc
@@ -1,4 +1,5 @@
-/** @file home_test.cc The home under bursts, lost endpoints and crashes. */
+/** @file home_test.cc Tests the scheduler under bursts, lost endpoints and
+ * crashes. */
 #define BOOST_TEST_MODULE entry_home
 #include <boost/test/unit_test.hpp>
 
@@ -10,7 +11,7 @@
 constexpr core::Millis kLong{20000};
 constexpr char kModel[] = "cabin-8b";
 
-/** Two endpoints, one entry, one sleeping model. */
+/** Two endpoints, one entry and one model that is not loaded. */
 struct Fleet {
   Fleet() : Fleet(1, 4) {}
   Fleet(int max_replicas, int max_concurrent) {
@@ -48,7 +49,7 @@
   std::unique_ptr<FakeEntry> entry;
 };
 
-/** Places, holds the slot for a moment, and is done. */
+/** Places a request, holds its slot briefly and releases it. */
 core::Task<bool> RunOnce(Home& home, std::atomic<int>& running,
                          std::atomic<int>& peak) {
   Outcome outcome = co_await TryPlace(home, PlaceOf(kModel, kLong));
@@ -62,9 +63,9 @@
   co_return true;
 }
 
-// A ship docks: hundreds of guests ask one sleeping model at the same moment.
-// Each alone would order a load. The home must order one, queue the rest, and
-// give every guest a slot without ever giving out more than the replica has.
+// Hundreds of requests for an unloaded model arrive at once. The scheduler must
+// order a single load, queue the rest, and serve all of them without exceeding
+// the replica's concurrency limit.
 BOOST_AUTO_TEST_CASE(BurstForSleepingModelLoadsItOnce) {
   Fleet fleet;
   std::atomic<int> running{0};
@@ -86,8 +87,8 @@
   BOOST_TEST(stats.queued == 0);
 }
 
-// A guest's model is loading when the endpoint's VM is reclaimed: its link
-// breaks before the load is answered. The guest must be served elsewhere.
+// The endpoint's VM is reclaimed during a load: its link breaks before the load
+// is answered. The request must be served by another endpoint.
 BOOST_AUTO_TEST_CASE(EndpointLostWhileLoadingIsReplaced) {
   Fleet fleet;
   fleet.left.mode = LoadMode::kHang;
@@ -104,8 +105,8 @@
   BOOST_TEST(outcome.placement->placed().address == other.address());
 }
 
-// A checkpoint is broken at one endpoint: its engine answers the load with an
-// error. The home tries the other endpoint instead of telling the guest.
+// The load fails at one endpoint because of a broken checkpoint. The scheduler
+// must try the other endpoint before it refuses the request.
 BOOST_AUTO_TEST_CASE(FailedLoadIsTriedElsewhere) {
   Fleet fleet;
   fleet.left.mode = LoadMode::kFail;
@@ -121,8 +122,8 @@
   BOOST_TEST(fleet.Loads() == 2);
 }
 
-// The checkpoint is broken everywhere. With every endpoint tried, waiting on
-// can't help: the guest is told at once, and when to come back.
+// The checkpoint is broken at every endpoint. Once all were tried, the request
+// must be refused immediately, with a retry hint.
 BOOST_AUTO_TEST_CASE(LoadThatFailsEverywhereIsRefused) {
   Fleet fleet;
   fleet.left.mode = LoadMode::kFail;
@@ -135,9 +136,9 @@
   BOOST_TEST(fleet.Loads() == 2);
 }
 
-// An entry has just been replaced and is asked before the endpoints have told
-// it anything. Refusing for lack of endpoints would be wrong, and loading what
-// is already loaded somewhere too: it waits for the first reports.
+// A new entry gets a request before the endpoints' first reports. It must wait
+// for them: it must neither refuse for lack of endpoints nor load a model that
+// is already loaded.
 BOOST_AUTO_TEST_CASE(NewEntryWaitsForTheFirstReports) {
   Fleet fleet;
   fleet.right.SetReady(kModel);
@@ -150,9 +151,9 @@
   fleet.threads.Stop();
 }
 
-// A booth asks with less time left than any load takes. It is refused now,
-// with a time to come back. One load is started all the same, however many ask
-// like this, or the model would never be there: the retry is served.
+// Requests arrive with less time left than any load takes. They must be refused
+// immediately with a retry hint. Exactly one load is started all the same, or
+// the model would never be loaded for the retry.
 BOOST_AUTO_TEST_CASE(TooShortDeadlineIsRefusedAtOnce) {
   Fleet fleet;
   for (int i = 0; i < 3; ++i) {
@@ -166,9 +167,9 @@
   BOOST_TEST(fleet.Loads() == 1);
 }
 
-// The store is slow: a load outlasts the time its first guest had, and the
-// endpoint says so while it goes on loading. The next guest must be allowed to
-// wait for it, neither refused nor given a second load.
+// The weight store is slow: a load outlasts the deadline of its first request,
+// and the endpoint reports so while it continues to load. The next request must
+// wait for this load: no refusal and no second load.
 BOOST_AUTO_TEST_CASE(LoadThatOutlastsItsRequestServesTheNext) {
   Fleet fleet;
   fleet.left.mode = LoadMode::kOutlast;
@@ -192,8 +193,8 @@
   BOOST_TEST(fleet.Loads() == 1);
 }
 
-// The load hangs beyond the guest's time: the store has stalled, nobody
-// answers. The guest must still get an answer when its time is up.
+// The weight store has stalled, and the load hangs beyond the request's
+// deadline. The request must still be refused at its deadline.
 BOOST_AUTO_TEST_CASE(DeadlineEndsAWaitThatNothingElseEnds) {
   Fleet fleet;
   fleet.left.mode = LoadMode::kHang;
@@ -205,9 +206,9 @@
   BOOST_TEST(fleet.entry->home().stats().queued == 0);
 }
 
-// A request kills the engine that runs it; its caller sends it again and kills
-// a second. The third time it comes through another entry, which has become
-// the model's home. It must be refused there, before a third engine.
+// A request has crashed two engines and is sent a third time, to another entry
+// that has become the model's primary entry. It must be refused there before it
+// crashes a third engine.
 BOOST_AUTO_TEST_CASE(SecondCrashQuarantinesAlsoAtTheNextHome) {
   Fleet fleet;
   constexpr std::int64_t kFatal = 666;
@@ -234,9 +235,9 @@
   fleet.threads.Stop();
 }
 
-// A crash takes three requests down, two of them innocent. All three callers
-// send again. Each runs alone now: the innocent ones finish and are cleared,
-// only the fatal one is refused in the end.
+// A crash fails three requests, two of them innocent, and all three are sent
+// again. Each must run alone: the innocent ones complete and are cleared, and
+// only the fatal one is refused.
 BOOST_AUTO_TEST_CASE(InnocentBesideACrashIsClearedByRunningAlone) {
   Fleet fleet;
   std::vector<Outcome> together;
@@ -262,8 +263,9 @@
   BOOST_TEST((refused.error->code() == core::ErrorCode::kQuarantined));
 }
 
-// The key-value service is down when the crashes happen. The home must still
-// refuse the third try from memory, and write what it saw once it can.
+// The key-value service is down during the crashes. The scheduler must still
+// refuse the third attempt from memory, and write the crashes once the service
+// is back.
 BOOST_AUTO_TEST_CASE(QuarantineHoldsWhileTheStoreIsDown) {
   Fleet fleet;
   fleet.store.down = true;
@@ -284,8 +286,8 @@
   BOOST_TEST(kept.crashes.size() == 2U);
 }
 
-// A planned stop of an endpoint begins: it says that it leaves. From its next
-// report on nothing new may be loaded or placed there.
+// An endpoint reports that it is leaving. From that report on nothing new may
+// be loaded or placed there.
 BOOST_AUTO_TEST_CASE(LeavingEndpointGetsNothingNew) {
   Fleet fleet;
   const auto left = [&fleet] {
@@ -302,8 +304,8 @@
       (outcome.error || outcome.placement->placed().endpoint == "right"));
 }
 
-// Operators withdraw a model while requests wait for it. They must end with
-// an answer, not wait for what can't come.
+// Operators remove a model while requests wait for it. The requests must be
+// refused instead of waiting until their deadlines.
 BOOST_AUTO_TEST_CASE(WithdrawnModelEndsItsQueue) {
   Fleet fleet;
   fleet.left.mode = LoadMode::kHang;
@@ -319,9 +321,9 @@
   BOOST_TEST((outcome.error->code() == core::ErrorCode::kUnknownModel));
 }
 
-// Guests ask for an adapter that the loaded model doesn't have yet, many at
-// once, while others need the bare model. The adapter must be loaded once,
-// before its first request is placed, and must not hold the others up.
+// Many requests for an adapter that is not loaded arrive at once, along with
+// requests for the base model. The adapter must be loaded once, before its
+// first request is placed, and must not delay the other requests.
 BOOST_AUTO_TEST_CASE(AdapterIsLoadedOnceAndHoldsNobodyElseUp) {
   Fleet fleet(1, 100);
   BOOST_REQUIRE(fleet.Place(PlaceOf(kModel, kLong)).placement);
@@ -359,8 +361,8 @@
   co_return outcome;
 }
 
-// A booth asks the plain service while its only endpoint goes away. Until then
-// it is placed there; after, it is told at once when to come back.
+// The only endpoint of a plain service disconnects. Requests are placed there
+// before, and must be refused immediately with a retry hint afterwards.
 BOOST_AUTO_TEST_CASE(PlainServiceWithoutEndpointIsRefusedAtOnce) {
   Fleet fleet;
   FakeEndpoint booth(fleet.threads, "booth", fleet.clock, fleet.log, "booths");
@@ -381,8 +383,8 @@
 
 core::Task<int> PlaceInTurn(Home& home, std::string owner,
                             std::atomic<int>& turn) {
-  // The holder's run is taken for the usual one: on a busy machine, 200 of its
-  // length are more than kLong.
+  // The duration of the holder's run serves as the service time estimate; on a
+  // busy machine, 200 times that is longer than kLong.
   constexpr core::Millis kAmple{600'000};
   Outcome outcome = co_await TryPlace(home, PlaceOf(kModel, kAmple, 0, owner));
   const int mine = outcome.placement ? turn++ : -1;
@@ -392,9 +394,9 @@
   co_return mine;
 }
 
-// One ad house sends two hundred requests; a rival's single one comes last,
-// with the same priority. Behind the whole burst its manifest would be late:
-// shares put it near the front.
+// One owner sends two hundred requests, and another owner's single request of
+// the same priority arrives last. It must not wait behind the whole burst: the
+// owners' shares put it near the front.
 BOOST_AUTO_TEST_CASE(BurstOfOneOwnerDoesNotStarveAnother) {
   Fleet fleet(1, 1);
   Outcome holder = fleet.Place(PlaceOf(kModel, kLong, 0, "loud"));
@@ -427,8 +429,8 @@
   co_return call;
 }
 
-// Another entry is given the only slot and dies without a word. Its link
-// breaks; the slot must come free, or the model is blocked for good.
+// Another entry dies while it holds the only slot. The broken link must free
+// the slot, or the model would stay blocked for ever.
 BOOST_AUTO_TEST_CASE(VanishedPlacerFreesItsSlot) {
   Fleet fleet(1, 1);
   link::LinkNode placer(
@@ -449,8 +451,8 @@
   fleet.threads.Stop();
 }
 
-// A caller hangs up while its request waits. Nobody would ever free a slot
-// given to it: the request leaves the queue instead.
+// A caller disconnects while its request waits. The request must leave the
+// queue, since nobody would free a slot granted to it.
 BOOST_AUTO_TEST_CASE(AbandonedWaiterLeavesTheQueue) {
   Fleet fleet(1, 1);
   Outcome holder = fleet.Place(PlaceOf(kModel, kLong));
--- a/src/entry/model_queue.cc
+++ b/src/entry/model_queue.cc
@@ -1,4 +1,4 @@
-/** @file model_queue.cc The requests of one model: waiting and running. */
+/** @file model_queue.cc Waiting and running requests of one model. */
 #include <algorithm>
 #include <cmath>
 #include <limits>
@@ -9,12 +9,12 @@
 
 namespace {
 
-/** Fingerprints remembered as harmless for each model. */
+/** Most fingerprints remembered as harmless per model. */
 constexpr std::size_t kHarmlessKept = 1024;
-/** The home ends every wait itself; this only bounds one timer. */
+/** The scheduler ends every wait itself; this only bounds a single timer. */
 constexpr std::chrono::minutes kWaitRound{10};
 constexpr std::chrono::seconds kUsageHalfLife{10};
-/** Owners remembered for each model while they use nothing. */
+/** Owners remembered per model before idle ones are forgotten. */
 constexpr std::size_t kIdleOwnersKept = 64;
 
 double RecentAt(const OwnerUsage& usage, core::SteadyTime now) {
--- a/src/entry/model_queue_base.h
+++ b/src/entry/model_queue_base.h
@@ -1,4 +1,4 @@
-/** @file model_queue_base.h The requests of one model: waiting and running. */
+/** @file model_queue_base.h Waiting and running requests of one model. */
 #ifndef SAPPHIRE_ENTRY_MODEL_QUEUE_BASE_H_
 #define SAPPHIRE_ENTRY_MODEL_QUEUE_BASE_H_
 
@@ -30,26 +30,27 @@
 
 namespace sapphire::entry {
 
-/** A place given to a request. */
+/** A slot granted to a request. */
 struct Grant {
   std::int64_t slot_id = 0;
   gen::Placed placed;
 };
 
-/** How waiting ended; empty while it has not. */
+/** Result of waiting; empty until it has ended. */
 using WaitResult = std::variant<std::monostate, Grant, core::Error>;
 
-/** One waiting request. All but Wait is called under its shard's lock. */
+/** One waiting request. All functions but Wait are called under the lock of its
+ * shard. */
 class Waiter {
  public:
-  /** @param abandoned Says whether nobody waits any more; may be empty. */
+  /** @param abandoned Returns true once nobody waits any more; may be empty. */
   Waiter(gen::Place request, policy::QueuedRequest queued,
          std::function<bool()> abandoned)
       : request_(std::move(request)),
         queued_(std::move(queued)),
         abandoned_(std::move(abandoned)) {}
 
-  /** Ends the waiting; later calls have no effect. */
+  /** Ends the wait; later calls have no effect. */
   void Finish(WaitResult result);
 
   /** Suspends until Finish. @pre The calling coroutine runs on a strand. */
@@ -60,10 +61,10 @@
   [[nodiscard]] const policy::QueuedRequest& queued() const { return queued_; }
   [[nodiscard]] bool IsAbandoned() const { return abandoned_ && abandoned_(); }
 
-  /** Set once this request has had to wait for a load from this tier. */
+  /** The tier of the first load that this request had to wait for. */
   std::optional<policy::Tier> cold_tier;
 
-  /** Suspects: the endpoint kept clear for it while it waits. */
+  /** For suspects: the endpoint reserved for it while it waits. */
   std::optional<core::EndpointId> reserved;
 
  private:
@@ -83,12 +84,12 @@
   core::SteadyTime placed_at;
 };
 
-/** What one owner uses of a model. */
+/** Usage of a model by one owner. */
 struct OwnerUsage {
   int running = 0;
   double share = 1.0;
-  /** Slot time of requests that ended, halved every few seconds: at moments
-   * when nothing runs, shares are kept by it. */
+  /** Slot time of requests that ended, halved every few seconds. It preserves
+   * the shares at moments when nothing runs. */
   double recent_ms = 0;
   core::SteadyTime recent_as_of;
 };
@@ -97,18 +98,18 @@
 void ChargeOwner(OwnerUsage& usage, core::Millis slot_time,
                  core::SteadyTime now);
 
-/** One endpoint and what is loaded there: a model, or one adapter of it. */
+/** An endpoint and what is loaded there: the model, or one of its adapters. */
 using LoadKey = std::pair<core::EndpointId, core::AdapterId>;
 
-/** Everything the home knows of one model; guarded by its shard's lock. */
+/** Scheduling state of one model; guarded by the lock of its shard. */
 struct ModelQueue {
   std::vector<std::shared_ptr<Waiter>> waiters;
   std::map<std::int64_t, RunningRequest> running;
   std::map<core::OwnerId, OwnerUsage> owners;
   std::set<LoadKey> loads;
-  /** The tier that the newest load in progress reads from. */
+  /** The tier from which the newest load in progress reads. */
   policy::Tier load_tier = policy::Tier::kRemote;
-  /** Loads that failed a short while ago are not tried again there. */
+  /** Until when a failed load is not retried at that endpoint. */
   std::map<LoadKey, core::SteadyTime> avoid_until;
   std::optional<core::Error> last_load_error;
   core::SteadyTime last_load_error_at;
@@ -117,45 +118,47 @@
   policy::ArrivalHistory arrivals;
   LoadEstimates load_times;
   Estimate service_time;
-  /** Fingerprints that have run to their end here. */
+  /** Fingerprints of requests that have completed. */
   std::set<std::int64_t> harmless;
 };
 
-/** Requests that the same answers serve: if one has to wait, all have to. */
+/** Requests with the same placement constraints (adapter, suspect, endpoints to
+ * avoid): if one has to wait, all have to. */
 using WaitClass = std::tuple<core::AdapterId, bool, std::vector<std::string>>;
 
-/** @return The waiter to decide for next of those that `skip` doesn't hold
- * back; null if there is none. */
+/** @return The next waiter to decide on among those that `skip` does not
+ * exclude; null if there is none. */
 std::shared_ptr<Waiter> NextWaiter(
     const ModelQueue& queue, core::SteadyTime now,
     const std::function<bool(const Waiter&)>& skip);
 
-/** Forgets owners that use nothing, so that the map can't grow for ever. */
+/** Forgets owners without usage, so that the map does not grow without bound.
+ */
 void ForgetIdleOwners(ModelQueue& queue, core::SteadyTime now);
 
-/** Takes a waiter out of the queue. @return False if it wasn't in it. */
+/** Removes a waiter from the queue. @return False if it was not queued. */
 bool RemoveWaiter(ModelQueue& queue, const Waiter* waiter);
 
-/** @return How many wait that go before or with `priority`. */
+/** @return The number of waiters with `priority` or a higher one. */
 int WaitingAhead(const ModelQueue& queue, int priority);
 
-/** @return The latest time up to which any request of the queue waits. */
+/** @return The latest deadline in the queue, but not before `least`. */
 core::SteadyTime LatestDeadline(const ModelQueue& queue,
                                 core::SteadyTime least);
 
-/** @return Each owner's slot time in ms: what ran lately, and what runs. */
+/** @return Each owner's slot time in ms, of recent and of running requests. */
 std::map<core::OwnerId, policy::OwnerUse> UseOf(const ModelQueue& queue,
                                                 core::SteadyTime now);
 
-/** @return How many requests of each owner wait. */
+/** @return The number of waiting requests per owner. */
 policy::QueueUse WaitingOf(const ModelQueue& queue, int max_queue);
 
-/** @return Endpoints that a request for `adapter` is not to be placed at. */
+/** @return The endpoints at which `request` must not be placed. */
 std::set<core::EndpointId> AvoidSet(const ModelQueue& queue,
                                     const gen::Place& request,
                                     core::SteadyTime now);
 
-/** Remembers that this fingerprint ran to its end. */
+/** Records that a request with this fingerprint has completed. */
 void NoteHarmless(ModelQueue& queue, std::int64_t fingerprint);
 
 }  // namespace sapphire::entry
--- a/src/entry/once_runner.cc
+++ b/src/entry/once_runner.cc
@@ -25,7 +25,7 @@
   return Error(ErrorCode::kOutcomeUnknown, why);
 }
 
-/** Replays an answer that an earlier run left in the key-value service. */
+/** Replays an answer that an earlier run stored in the key-value service. */
 Task<> Replay(const StoredAnswer& answer, AnswerSink& sink) {
   co_await sink.Head(answer.head);
   if (!answer.body.empty()) {
@@ -133,13 +133,13 @@
     claim.state = ClaimState::kVoid;
     co_await claims_.Settle(std::move(key), std::move(claim));
   }
-  // Any other end leaves the claim as it is: a resend is told "unknown", and
-  // nobody ever runs it again.
+  // Any other outcome leaves the claim unchanged: a resend gets "unknown", and
+  // the request is never run again.
   throw Error(*result.error);
 }
 
-/** The claim is another's: its answer is replayed, or its run followed at its
- * home. It is never run here. */
+/** Handles a claim held by another attempt: replays its stored answer or
+ * follows its run at the entry that runs it. Never runs the request itself. */
 Task<> OnceRunner::FollowOther(Claim standing, gen::Run run,
                                core::SteadyTime deadline,
                                std::shared_ptr<Recording> recording) {
@@ -150,7 +150,7 @@
   if (standing.state == ClaimState::kDone) {
     throw Error(ErrorCode::kAlreadyRan, "its answer is not kept");
   }
-  // Claimed by this VM, but not by a run in memory: a predecessor's.
+  // Claimed by this VM, but by no run in memory: a previous process made it.
   if (standing.home == options_.self) {
     throw OutcomeUnknown("the entry that ran it has restarted");
   }
@@ -169,7 +169,7 @@
     std::shared_ptr<Recording> recording) {
   std::set<core::EndpointId> avoid;
   AttemptResult result;
-  // The run is not its first caller's alone: a resend may wait for it.
+  // The run outlives its first caller, since a resend may be waiting for it.
   const auto nobody_leaves = [] { return false; };
   for (int i = 0; i < kMaxPlaces; ++i) {
     std::unique_ptr<Placement> place;
--- a/src/entry/once_runner_base.h
+++ b/src/entry/once_runner_base.h
@@ -23,20 +23,20 @@
 
 struct OnceRunnerOptions {
   core::VmId self;
-  /** How long an ended run stays in memory for resends. */
+  /** How long a finished run stays in memory for resends. */
   std::chrono::milliseconds keep_ended{60'000};
-  /** How long a lost endpoint is asked whether the request started. */
+  /** How long a lost endpoint is queried whether the request started. */
   std::chrono::milliseconds void_patience{2000};
 };
 
-/** One run, recorded: any number of callers can follow it. */
+/** The recorded answer of one run, which any number of callers can follow. */
 class Recording;
 
 /**
- * The home role for non-idempotent requests. A request is claimed in the
- * key-value service before its dispatch and dispatched again only if the
- * endpoint says that it never started. The run goes on if its caller leaves:
- * a resend joins it, or gets the stored answer.
+ * Runs non-idempotent requests as their primary entry. A request is claimed in
+ * the key-value service before its dispatch, and is dispatched again only if
+ * the endpoint confirms that it never started. The run continues if its caller
+ * disconnects: a resend joins it or gets the stored answer.
  */
 class OnceRunner {
  public:
@@ -51,13 +51,13 @@
 
   /**
    * Runs the request, joins its run, or replays its answer.
-   * @throws core::Error if there is no whole answer; with outcome kNotRun only
-   *   where it is certain that it did not run.
+   * @throws core::Error if there is no complete answer; with outcome kNotRun
+   *   only if the request certainly did not run.
    * @pre The coroutine runs on a strand.
    */
   core::Task<> Run(gen::Run run, core::SteadyTime deadline, AnswerSink& sink);
 
-  /** @return How many runs are in progress here. */
+  /** @return The number of runs in progress in this entry. */
   [[nodiscard]] int in_progress() const;
 
  private:
--- a/src/entry/placer.cc
+++ b/src/entry/placer.cc
@@ -1,4 +1,4 @@
-/** @file placer.cc Finds a place for a request, here or at its home. */
+/** @file placer.cc Gets an endpoint for a request from its primary entry. */
 #include <algorithm>
 #include <utility>
 
@@ -18,10 +18,10 @@
 namespace {
 
 constexpr milliseconds kRetryAfter{1000};
-/** How soon a caller who left is noticed. */
+/** Interval between checks whether the caller has disconnected. */
 constexpr milliseconds kAbandonedPoll{250};
 
-/** A place that another entry holds for us while the call stays open. */
+/** A slot that another entry holds for this one while the call is open. */
 class RemotePlacement final : public Placement {
  public:
   RemotePlacement(const core::Executor& executor, const core::Logger& log,
@@ -52,7 +52,8 @@
   const gen::Placed placed_;
 };
 
-/** @return True if another home may answer where this one did not. */
+/** @return True if the failure is the entry's own, so that the next entry in
+ * the ranking may answer. */
 bool HomeIsAtFault(const Error& error) {
   const bool ended_there = error.code() == ErrorCode::kCancelled &&
                            error.outcome() == core::Outcome::kUnknown;
@@ -136,15 +137,16 @@
                                               std::move(answer.placed));
 }
 
-/** Waits in steps, so that a caller who leaves gives up its place in the
- * queue: dropping the call tells the home. */
+/** Polls while it waits, so that a disconnected caller leaves the queue:
+ * dropping the call withdraws the request at the primary entry. */
 Task<gen::Message> Placer::AwaitPlaced(std::shared_ptr<link::Call> call,
                                        core::SteadyTime deadline,
                                        Abandoned abandoned) {
   while (true) {
     const milliseconds left = Remaining(clock_, deadline);
     if (left <= milliseconds::zero()) {
-      // The home has not placed it, and dropping the call makes sure of that.
+      // The primary entry has not placed the request; dropping the call
+      // withdraws it.
       throw Error(ErrorCode::kDeadlineTooShort,
                   "its time passed while it waited", kRetryAfter);
     }
--- a/src/entry/placer_base.h
+++ b/src/entry/placer_base.h
@@ -1,4 +1,5 @@
-/** @file placer_base.h Finds a place for a request, here or at its home. */
+/** @file placer_base.h Gets an endpoint for a request from its primary entry.
+ */
 #ifndef SAPPHIRE_ENTRY_PLACER_BASE_H_
 #define SAPPHIRE_ENTRY_PLACER_BASE_H_
 
@@ -20,9 +21,9 @@
 namespace sapphire::entry {
 
 /**
- * Asks a model's home for a place. A home that can't be reached is passed
- * over: the next in the ranking takes its models. Asking twice is harmless,
- * as a place that nobody uses is freed when its call ends.
+ * Requests a slot from a model's primary entry. If that entry is unreachable,
+ * the next one in the ranking takes over its models. Requesting twice is
+ * harmless, as an unused slot is freed when its call ends.
  */
 class Placer {
  public:
@@ -33,13 +34,13 @@
          Home& home, link::LinkNode& links, const core::Clock& clock,
          const core::Logger& log);
 
-  /** @return The live entries, best home for `key` first. */
+  /** @return The live entries ranked for `key`, its primary entry first. */
   [[nodiscard]] std::vector<KnownEntry> Homes(std::string_view key) const;
 
   /**
-   * @param run The request; a plain service's is placed here.
-   * @param avoid Endpoints it must not go to.
-   * @param abandoned Says whether its caller has gone; any thread.
+   * @param run The request; one for a plain service is placed by this entry.
+   * @param avoid Endpoints to exclude.
+   * @param abandoned Returns true once the caller has disconnected; any thread.
    * @throws core::Error a refusal: nothing ran.
    * @pre The coroutine runs on a strand.
    */
--- a/src/entry/plan_record.cc
+++ b/src/entry/plan_record.cc
@@ -1,4 +1,4 @@
-/** @file plan_record.cc Plans as they are kept in the platform. */
+/** @file plan_record.cc Encodes plans for the key-value service. */
 #include <fmt/format.h>
 
 #include <boost/json.hpp>
--- a/src/entry/plan_record_func.h
+++ b/src/entry/plan_record_func.h
@@ -1,4 +1,4 @@
-/** @file plan_record_func.h Plans as they are kept in the platform. */
+/** @file plan_record_func.h Encodes plans for the key-value service. */
 #ifndef SAPPHIRE_ENTRY_PLAN_RECORD_FUNC_H_
 #define SAPPHIRE_ENTRY_PLAN_RECORD_FUNC_H_
 
@@ -11,21 +11,21 @@
 
 namespace sapphire::entry {
 
-/** The value of a key `plans/ID`. Parts that the base lacks are kept beside it,
- * as a whole intent may be over the size of one value. */
+/** Value of a `plans/ID` key. Parts that the base lacks are stored under keys
+ * of their own, as a whole intent may exceed the size limit of one value. */
 struct PlanRecord {
   core::PlanId id;
   std::int64_t base_version = 0;
   std::vector<std::string> part_hashes;
-  /** Its end deletes the plan and its parts. */
+  /** The plan and its parts are deleted when this lease ends. */
   std::string lease_id;
-  /** The version it became; 0: not confirmed, as far as is known here. */
+  /** The version it was confirmed as; 0 if not known to be confirmed. */
   std::int64_t confirmed_version = 0;
 };
 
 std::string ToJson(const PlanRecord& record);
 
-/** @throws core::Error kUnknownPlan if the text is no record. */
+/** @throws core::Error kUnknownPlan if the text is not a valid record. */
 PlanRecord PlanRecordFromJson(std::string_view text);
 
 std::string PlanKey(const core::PlanId& id);
--- a/src/entry/recording.cc
+++ b/src/entry/recording.cc
@@ -1,4 +1,4 @@
-/** @file recording.cc An answer recorded while others follow it. */
+/** @file recording.cc Records an answer and replays it to its followers. */
 #include <utility>
 
 #include "entry/attempt_func.h"
--- a/src/entry/recording_base.h
+++ b/src/entry/recording_base.h
@@ -1,4 +1,4 @@
-/** @file recording_base.h An answer recorded while others follow it. */
+/** @file recording_base.h Records an answer and replays it to its followers. */
 #ifndef SAPPHIRE_ENTRY_RECORDING_BASE_H_
 #define SAPPHIRE_ENTRY_RECORDING_BASE_H_
 
@@ -17,26 +17,27 @@
 
 namespace sapphire::entry {
 
-/** Takes one answer, and replays it from its start to each follower, also
- * while it is still coming. Any thread. */
+/** Records one answer and replays it from its start to each follower, also
+ * while it is still arriving. Any thread. */
 class Recording final : public AnswerSink {
  public:
-  /** @param fingerprint Of the request: followers must want the same work. */
+  /** @param fingerprint Fingerprint of the request; followers must send the
+   * same request. */
   explicit Recording(std::int64_t fingerprint) : fingerprint_(fingerprint) {}
 
   core::Task<> Head(gen::RunHead head) override;
   core::Task<> Part(std::string data) override;
   core::Task<> End() override;
-  /** Never called after something was recorded: a run that began to answer is
-   * not run again. */
+  /** Never called after something was recorded: a run that has begun to answer
+   * is not retried. */
   void Reset() override {}
   [[nodiscard]] bool started() const override;
 
-  /** Ends it without a whole answer. */
+  /** Ends the recording without a complete answer. */
   void Fail(core::Error error);
 
   /**
-   * Replays the answer to `sink` as it comes.
+   * Replays the answer to `sink` as it arrives.
    * @throws core::Error the error it ended with, or kTimedOut.
    * @pre The coroutine runs on a strand.
    */
@@ -45,10 +46,11 @@
 
   [[nodiscard]] std::int64_t fingerprint() const { return fingerprint_; }
 
-  /** @return The whole answer, if it ended with one. */
+  /** @return The complete answer, if the recording ended with one. */
   [[nodiscard]] std::optional<StoredAnswer> answer() const;
 
-  /** @return True if it ended in a way that lets the request be claimed anew.
+  /** @return True if the request certainly did not run and may be claimed
+   * again.
    */
   [[nodiscard]] bool ended_not_run() const;
 
--- a/src/entry/testing_key_value.h
+++ b/src/entry/testing_key_value.h
@@ -1,4 +1,4 @@
-/** @file testing_key_value.h A key-value service in memory, for tests only. */
+/** @file testing_key_value.h An in-memory key-value service for tests. */
 #ifndef SAPPHIRE_ENTRY_TESTING_KEY_VALUE_H_
 #define SAPPHIRE_ENTRY_TESTING_KEY_VALUE_H_
 
@@ -17,43 +17,44 @@
 
 namespace sapphire::entry::testing {
 
-/** What happens to a write of a key. */
+/** A fault injected into a write. */
 enum class WriteFault {
-  kAnswerLost,  ///< It takes effect; the caller is told that it may have.
-  kLandsLate,   ///< As kAnswerLost, but it takes effect at LandLate only.
-  kNeverLands,  ///< The caller is told that it may have taken effect.
+  kAnswerLost,  ///< The write takes effect; the caller gets an unknown outcome.
+  kLandsLate,   ///< As kAnswerLost, but takes effect only at LandLate.
+  kNeverLands,  ///< No effect; the caller gets an unknown outcome.
 };
 
-/** One thread only. Each call moves the clock by a millisecond. */
+/** Single-threaded. Each call advances the clock by one millisecond. */
 class MemoryKeyValue final : public external::KeyValueStore {
  public:
   explicit MemoryKeyValue(core::ManualClock& clock) : clock_(clock) {}
 
   /** Every call fails while true. */
   bool down = false;
-  /** Faults of the next writes of the head; then none. */
+  /** Faults of the next writes of `config/head`, in order. */
   std::deque<WriteFault> head_faults;
-  /** The service goes down with the next fault of the head. */
+  /** If true, the service goes down with the next fault of the head. */
   bool down_after_fault = false;
-  /** What the next reads of the head show in its place. */
+  /** Values that the next reads of the head return instead of the stored one.
+   */
   std::deque<std::optional<external::KvEntry>> head_shown;
-  /** What the next watches answer, before real changes. */
+  /** Answers of the next watches, before real changes. */
   std::deque<external::WatchBatch> batches;
-  /** Deletes are on their way, and take effect when this becomes false. */
+  /** Deletes are delayed until this becomes false. */
   bool hold_deletes = false;
-  /** Watches pass over changes while true. */
+  /** Watches miss changes while true. */
   bool mute_watches = false;
   int gets = 0;
   int watches = 0;
 
-  /** Lets the writes that are on their way take effect. */
+  /** Applies the delayed writes. */
   void LandLate() {
     for (auto& [key, expected, value] : std::exchange(late_, {})) {
       Swap(key, expected, value);
     }
   }
 
-  /** Ends all leases: what was written under one is gone. */
+  /** Ends all leases and deletes the keys written under them. */
   void LapseLeases() {
     leases_.clear();
     DropUnleased();
@@ -178,7 +179,7 @@
     core::SteadyTime end;
   };
 
-  /** Ends leases whose time is over. */
+  /** Ends expired leases. */
   void ExpireLeases() {
     const core::SteadyTime now = clock_.Now();
     std::erase_if(leases_,
@@ -195,7 +196,8 @@
     }
   }
 
-  /** Lets other coroutines run between any two calls of one caller. */
+  /** Advances the clock and yields, so that other coroutines run between any
+   * two calls of a caller. */
   core::Task<> Step() {
     clock_.Advance(std::chrono::milliseconds(1));
     ExpireLeases();
@@ -231,7 +233,7 @@
   std::vector<external::KvEvent> history_;
   std::vector<LateWrite> late_;
   std::map<std::string, Lease> leases_;
-  /** The lease that each key was last written under; empty: none. */
+  /** The lease under which each key was last written; empty if none. */
   std::map<std::string, std::string> lease_of_;
   int granted_ = 0;
   std::int64_t revision_ = 0;
--- a/src/entry/testing_loop.h
+++ b/src/entry/testing_loop.h
@@ -1,4 +1,4 @@
-/** @file testing_loop.h Runs coroutines to their end, for tests only. */
+/** @file testing_loop.h Runs coroutines to completion in tests. */
 #ifndef SAPPHIRE_ENTRY_TESTING_LOOP_H_
 #define SAPPHIRE_ENTRY_TESTING_LOOP_H_
 
@@ -20,7 +20,7 @@
   std::exception_ptr failure;
 };
 
-/** Starts a coroutine whose outcome is written once it ends. */
+/** Starts a coroutine that stores its outcome when it ends. */
 template <typename T>
 void StartTask(boost::asio::io_context& io, core::Task<T> task,
                Outcome<T>& outcome) {
@@ -31,7 +31,7 @@
                         });
 }
 
-/** Runs a coroutine to its end. @return Its value. @throws what it threw. */
+/** Runs a coroutine to completion. @return Its value. @throws What it threw. */
 template <typename T>
 T RunTask(boost::asio::io_context& io, core::Task<T> task) {
   Outcome<T> outcome;
@@ -42,8 +42,8 @@
   return std::move(*outcome.value);
 }
 
-/** Runs the loop until `done` or a number of steps no test needs.
- * @return Whether it was done. */
+/** Runs the loop until `done` returns true or a step limit that no test needs
+ * is reached. @return The last result of `done`. */
 inline bool RunUntil(boost::asio::io_context& io,
                      const std::function<bool()>& done) {
   constexpr int kSteps = 20'000;
