--- a/src/entry/admin.cc
+++ b/src/entry/admin.cc
@@ -71,7 +71,8 @@
   return message;
 }
 
-/** A pull that claims to be ahead of everybody. */
+/** @return A pull with the highest possible version, so that the peer sends no
+ * configuration. */
 gen::Message PullNothing() {
   gen::ConfigPull pull;
   pull.have_version = std::numeric_limits<std::int64_t>::max();
@@ -165,10 +166,10 @@
   co_return ConfirmJson(id, version, not_yet);
 }
 
-// Guards against an entry of a large fleet being reported as not having the
-// version only because this one has no link to it. A link shows the peer's
-// version from its first frame on, and carries the new one to it as well; the
-// call that brings it up asks for what the peer has and is given up at once.
+// Guards against reporting that an entry of a large fleet lacks the version
+// only because there is no link to it. A link carries the versions of both
+// sides from its first frame on. The call that opens the link requests no data
+// and is dropped immediately.
 void Admin::LinkToOtherEntries(const core::Executor& executor) {
   std::set<core::VmId> linked = {options_.self};
   for (const link::PeerInfo& peer : links_.Peers()) linked.insert(peer.vm);
@@ -194,10 +195,10 @@
   }
 }
 
-// Guards against an operator being told that a configuration is in force
-// everywhere while a VM that is frozen or cut off still works by the one from
-// before. Such a VM has no link and is no home, but the platform still lists
-// it: the list is what the links are held against.
+// Guards against reporting a configuration as in force everywhere while a VM
+// that is frozen or partitioned still uses the previous one. Such a VM has no
+// link and is not among the live entries, but the platform still lists it, so
+// the list is the base and the links add the versions.
 std::vector<VmVersion> Admin::Versions() const {
   std::map<core::VmId, VmVersion> by_vm;
   for (const external::VmRecord& it : directory_.Listed()) {
--- a/src/entry/admin_base.h
+++ b/src/entry/admin_base.h
@@ -22,24 +22,25 @@
 struct AdminOptions {
   core::VmId self;
   core::ZoneId zone;
-  /** How long a confirmation waits until all VMs show the new version. */
+  /** How long a confirmation waits for all VMs to report the new version. */
   std::chrono::milliseconds in_force_wait{3000};
   std::chrono::milliseconds in_force_poll{50};
   std::chrono::milliseconds drain_timeout{5000};
 };
 
-/** One VM and the configuration version it was last seen with. */
+/** A VM and its last reported configuration version. */
 struct VmVersion {
   core::VmId vm;
   core::ZoneId zone;
   bool is_entry = true;
   bool leaving = false;
-  /** False: no link is up, so `version` is not known. */
+  /** False if no link is up; `version` is unknown then. */
   bool linked = false;
   std::int64_t version = 0;
 };
 
-/** Answers the operators' requests. Every path is in docs/OPERATORS.md. */
+/** Answers operators' requests. Every path is described in docs/OPERATORS.md.
+ */
 class Admin {
  public:
   /** @pre All references outlive the object and its requests. */
@@ -47,7 +48,7 @@
         ConfigStore& store, Directory& directory, link::LinkNode& links,
         const core::Clock& clock, const core::Logger& log);
 
-  /** @return True if the target belongs to this interface. */
+  /** @return True if the target is a path of this interface. */
   [[nodiscard]] static bool Owns(std::string_view target);
 
   /** Answers one request.
@@ -55,8 +56,7 @@
   core::Task<> Handle(const http::Request& request,
                       http::ResponseWriter& writer);
 
-  /** @return The version on each VM this entry knows of, itself included,
-   * sorted by VM. */
+  /** @return The version of each known VM, this one included, sorted by VM. */
   [[nodiscard]] std::vector<VmVersion> Versions() const;
 
  private:
--- a/src/entry/admin_test.cc
+++ b/src/entry/admin_test.cc
@@ -1,4 +1,6 @@
-/** @file admin_test.cc The operators' interface over HTTP, with real links. */
+/** @file admin_test.cc Tests the operators' interface over HTTP with real
+ * links.
+ */
 #define BOOST_TEST_MODULE admin
 #include <boost/json.hpp>
 #include <boost/test/unit_test.hpp>
@@ -27,7 +29,7 @@
 kv_budget_bytes = "1 GiB"
 )";
 
-/** An endpoint that takes configurations from links, and drains. */
+/** An endpoint that adopts configurations from links and can be drained. */
 struct Follower {
   Follower(fake::Threads& threads, const std::string& vm,
            const core::Clock& clock, const core::Logger& log)
@@ -216,8 +218,8 @@
   BOOST_TEST(models.at("models").at(0).at("replicas").as_array().size() == 1U);
 }
 
-// A VM's process is frozen, or an old one that doesn't follow: its operator
-// confirms a plan and has to be told that this VM does not have it yet.
+// A VM's process is frozen or does not adopt new versions. The answer to a
+// confirmation must name this VM.
 BOOST_FIXTURE_TEST_CASE(VmsThatLagAreNamed, Fixture) {
   Add("vm-1", follower.address);
   Add("vm-2", frozen.address());
@@ -231,8 +233,8 @@
   BOOST_TEST(status.at("vms").at(2).at("version").as_int64() == 0);
 }
 
-// In a large fleet not every entry has a link to every other. One without a
-// link follows the version as the others do, and must not be named as behind.
+// In a large fleet not every entry has a link to every other. An entry without
+// a link adopts the version all the same and must not be reported as behind.
 BOOST_FIXTURE_TEST_CASE(EntriesWithoutLinkAreAsked, Fixture) {
   list.Add("e-2", external::VmRole::kEntry, far_entry.address);
   BOOST_REQUIRE(
--- a/src/entry/admin_view.cc
+++ b/src/entry/admin_view.cc
@@ -1,4 +1,4 @@
-/** @file admin_view.cc What operators are shown, as JSON texts. */
+/** @file admin_view.cc Formats the answers to operators as JSON. */
 #include <array>
 #include <boost/json.hpp>
 #include <map>
@@ -90,7 +90,7 @@
   return object;
 }
 
-/** Model name to the places where it is, as JSON. */
+/** @return Each model's replicas as JSON, by model name. */
 std::map<std::string, json::array> ReplicasByModel(
     std::span<const KnownEndpoint> endpoints) {
   std::map<std::string, json::array> by_model;
--- a/src/entry/admin_view_func.h
+++ b/src/entry/admin_view_func.h
@@ -1,4 +1,4 @@
-/** @file admin_view_func.h What operators are shown, as JSON texts. */
+/** @file admin_view_func.h Formats the answers to operators as JSON. */
 #ifndef SAPPHIRE_ENTRY_ADMIN_VIEW_FUNC_H_
 #define SAPPHIRE_ENTRY_ADMIN_VIEW_FUNC_H_
 
@@ -13,13 +13,13 @@
 
 namespace sapphire::entry {
 
-/** A fresh plan. */
+/** Formats a new plan. */
 std::string PlanJson(const contract::Plan& plan);
 
-/** A plan read back. */
+/** Formats a plan that was read back. */
 std::string SavedPlanJson(const SavedPlan& saved);
 
-/** A confirmation, with the VMs on which it isn't in force yet. */
+/** Formats a confirmation, with the VMs on which it is not in force yet. */
 std::string ConfirmJson(const core::PlanId& plan, std::int64_t version,
                         std::span<const VmVersion> not_yet);
 
@@ -32,7 +32,8 @@
 std::string EndpointsJson(std::span<const KnownEndpoint> endpoints,
                           core::SteadyTime now);
 
-/** Each model with its limit and its replicas. @param config May be null. */
+/** Formats each model with its limit and its replicas.
+ * @param config May be null. */
 std::string ModelsJson(const contract::Config* config,
                        std::span<const KnownEndpoint> endpoints);
 
--- a/src/entry/config_fetch.cc
+++ b/src/entry/config_fetch.cc
@@ -1,4 +1,4 @@
-/** @file config_fetch.cc Reads the configuration kept in the platform. */
+/** @file config_fetch.cc Reads the configuration from the key-value service. */
 #include <map>
 #include <utility>
 
--- a/src/entry/config_fetch_func.h
+++ b/src/entry/config_fetch_func.h
@@ -1,4 +1,6 @@
-/** @file config_fetch_func.h Reads the configuration kept in the platform. */
+/** @file config_fetch_func.h Reads the configuration from the key-value
+ * service.
+ */
 #ifndef SAPPHIRE_ENTRY_CONFIG_FETCH_FUNC_H_
 #define SAPPHIRE_ENTRY_CONFIG_FETCH_FUNC_H_
 
@@ -17,7 +19,7 @@
 inline constexpr std::string_view kHeadKey = "config/head";
 inline constexpr std::string_view kPartPrefix = "config/parts/";
 
-/** The head as it stands in the service. */
+/** The configuration head as stored in the service. */
 struct StoredHead {
   /** Version 0 and no parts if the key is absent. */
   contract::ConfigHead head;
@@ -28,15 +30,15 @@
 /** @return The key of a configuration part. */
 std::string PartKey(std::string_view hash);
 
-/** @throws core::Error of the service, or kBadIntent. */
+/** @throws core::Error kBadIntent, or an error of the service. */
 core::Task<StoredHead> ReadHead(external::KeyValueStore& store);
 
 /**
- * Puts the configuration of `head` in force unless one as new already is.
+ * Puts the configuration of `head` in force unless the one in force is as new.
  * Fetches only the parts that `parts` lacks.
  * @return True if it came into force.
- * @throws core::Error kPlatformUnavailable if a part is gone: a newer head has
- *   replaced it; others of the service.
+ * @throws core::Error kPlatformUnavailable if a part is missing because a newer
+ *   head has replaced it; other errors of the service.
  */
 core::Task<bool> AdoptHead(external::KeyValueStore& store,
                            contract::PartCache& parts,
--- a/src/entry/config_store.cc
+++ b/src/entry/config_store.cc
@@ -1,4 +1,4 @@
-/** @file config_store.cc Operators' side: saves and confirms plans. */
+/** @file config_store.cc Saves and confirms configuration plans. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -24,17 +24,18 @@
 
 namespace {
 
-/** Plans the head remembers: at the busiest deployment's rate of changes
- * these cover ten minutes, many times what a confirmation may take. */
+/** Number of confirmed plans kept in the head. At the busiest deployment's rate
+ * of changes they cover ten minutes, many times what a confirmation may take.
+ */
 constexpr std::size_t kHistoryLength = 32;
-/** Attempts at a part that others write or delete at the same time. */
+/** Attempts to write a part that others write or delete at the same time. */
 constexpr int kPartAttempts = 8;
 
 bool Contains(const std::vector<std::string>& hashes, const std::string& hash) {
   return std::ranges::find(hashes, hash) != hashes.end();
 }
 
-/** @return The version as which the head remembers the plan; 0 if it does not.
+/** @return The version of the plan in the head's history; 0 if it is not there.
  */
 std::int64_t VersionOf(const ConfigHead& head, const core::PlanId& id) {
   for (const contract::ConfirmedPlan& confirmed : head.history) {
@@ -61,7 +62,7 @@
                   id.value(), head.version, head.plan.value()));
 }
 
-/** How one attempt at a write that may be repeated ended. */
+/** Result of one attempt at a write that may be repeated. */
 struct Attempt {
   std::optional<external::CasResult> result;
   /** Set if there is no result. */
@@ -86,8 +87,9 @@
   co_return attempt;
 }
 
-/** Whether a plan's record was kept does not matter when its id is not given
- * out: both failures mean the same to an operator. */
+/** Runs a save and turns its error into a failed attempt. Whether the record
+ * was stored does not matter, as the plan's id is not returned after a failure:
+ * both kinds of failure mean the same to an operator. */
 core::Task<Attempt> TrySave(core::Task<> save) {
   Attempt attempt;
   try {
@@ -225,7 +227,7 @@
 core::Task<std::int64_t> ConfigStore::Confirm(core::PlanId id) {
   StoredHead before = co_await ReadHead(store_);
   PlanRecord record;
-  // A plan in force is known by the head even if its record has expired.
+  // The head's history shows a confirmed plan even if its record has expired.
   if (VersionOf(before.head, id) == 0) {
     record = co_await ReadRecord(id);
     if (record.confirmed_version != 0) co_return record.confirmed_version;
@@ -247,7 +249,7 @@
   co_await AdoptHead(store_, parts_, before.head);
   const ConfigHead next = NextHead(before.head, record);
   EncodedConfig encoded = co_await ReadParts(record, next.version);
-  // The same checks as when the plan was made, on what will be in force.
+  // Repeats the checks of SavePlan on the configuration that comes into force.
   contract::Validate(
       contract::DecodeConfig(next.version, record.id, encoded.parts).intent);
   co_await PutParts(before.head, encoded);
@@ -261,11 +263,11 @@
   co_return record.confirmed_version;
 }
 
-// Guards against calling it a conflict when the service merely shows a head
-// older than the plan's base, as from a replica that lags. It would show as an
-// operator who is told that his plan can't come into force any more, and then
-// it does. Versions only grow, so a head above the base proves a conflict, but
-// one below it proves nothing.
+// Guards against reporting a conflict when the service returns a head older
+// than the plan's base, as from a replica that lags: the operator would be told
+// that the plan can't come into force any more, and then it does. Versions only
+// increase, so a head above the base proves a conflict, but one below it proves
+// nothing.
 core::Task<StoredHead> ConfigStore::ReadHeadFrom(std::int64_t version) {
   const core::SteadyTime deadline = clock_.Now() + options_.confirm_timeout;
   while (true) {
@@ -289,12 +291,11 @@
   }
 }
 
-// Guards against a part vanishing from under the new head: the confirmation
-// before this one deletes parts that it replaced, and one of these may be
-// wanted again (a change and its reversal). It would show as entries that
-// never find a part of the newest head. A part that exists is therefore
-// written anew: its revision moves, and the other's delete, which expects the
-// revision from before, fails.
+// Guards against the deletion of a part of the new head: the previous
+// confirmation deletes the parts it replaced, and one of these may be needed
+// again (a change and its reversal). Entries would never find a part of the
+// newest head. An existing part is therefore rewritten: its revision changes,
+// and the other confirmation's delete, which expects the old revision, fails.
 core::Task<> ConfigStore::PutPart(Part part) {
   std::int64_t expected = 0;
   for (int i = 0; i < kPartAttempts; ++i) {
@@ -324,13 +325,13 @@
   co_return replaced;
 }
 
-// Guards against a lost answer and against a write that lands late. Lost: the
-// swap took effect, the operator is told of a failure, and tries again. Late:
-// the write lands after the operator was told that it had not. Each attempt
-// expects the same old revision, so at most one takes effect, however often
-// and late they land; and each that fails shows the head as it is, in which
-// the plan's id tells whether it was ours. Only a head that has moved on
-// without our id proves that no attempt can land any more.
+// Guards against a lost answer and a late write. Lost answer: the swap took
+// effect, but the operator gets a failure and retries. Late write: the write
+// takes effect after the operator was told that it had not. All attempts expect
+// the same old revision, so at most one takes effect, however often and late
+// they arrive. A failed attempt returns the current head, whose history shows
+// whether this plan was confirmed. Only a newer head without this plan proves
+// that no attempt can take effect any more.
 core::Task<std::int64_t> ConfigStore::Swap(StoredHead before, ConfigHead next) {
   const std::string value = contract::HeadToJson(next);
   const core::SteadyTime deadline = clock_.Now() + options_.confirm_timeout;
@@ -361,8 +362,8 @@
   }
 }
 
-// Tidying only: its failure leaves unused keys behind, or a plan that the
-// head's history alone remembers.
+// Cleanup only: a failure leaves unused keys behind, or a plan whose
+// confirmation is recorded only in the head's history.
 core::Task<> ConfigStore::AfterConfirm(
     PlanRecord record, std::vector<external::KvEntry> replaced) {
   try {
--- a/src/entry/config_store_base.h
+++ b/src/entry/config_store_base.h
@@ -1,4 +1,4 @@
-/** @file config_store_base.h Operators' side: saves and confirms plans. */
+/** @file config_store_base.h Saves and confirms configuration plans. */
 #ifndef SAPPHIRE_ENTRY_CONFIG_STORE_BASE_H_
 #define SAPPHIRE_ENTRY_CONFIG_STORE_BASE_H_
 
@@ -19,26 +19,28 @@
 namespace sapphire::entry {
 
 struct ConfigStoreOptions {
-  /** How long a confirmation tries to learn its outcome. */
+  /** How long a confirmation retries to determine its outcome. */
   std::chrono::milliseconds confirm_timeout{5000};
   std::chrono::milliseconds retry_pause{100};
-  /** A plan that is not confirmed in this time is forgotten. */
+  /** A plan that is not confirmed within this time expires. */
   std::chrono::milliseconds plan_time_to_live{std::chrono::hours(24)};
 };
 
-/** A plan read back, with what it wants. */
+/** A plan read back, with its intent. */
 struct SavedPlan {
   contract::Plan plan;
   contract::Intent wanted;
-  /** True if the configuration has moved on: it can't be confirmed any more. */
+  /** True if the plan's base is no longer in force, so that it can't be
+   * confirmed any more. */
   bool stale = false;
-  /** The version it became; 0 if it isn't known to be confirmed. */
+  /** The version it was confirmed as; 0 if not known to be confirmed. */
   std::int64_t confirmed_version = 0;
 };
 
 /**
- * Saves plans and puts them in force by one swap of `config/head` against the
- * plan's base version. Of two plans on one base exactly one is confirmed.
+ * Saves plans and puts them in force by one compare-and-swap of `config/head`
+ * against the plan's base version. Of two plans on the same base exactly one is
+ * confirmed.
  */
 class ConfigStore {
  public:
@@ -48,28 +50,29 @@
               const core::Clock& clock, const core::Logger& log);
 
   /**
-   * Works out what `wanted` would change in the newest configuration, and
-   * keeps the plan. Nothing comes into force.
-   * @throws core::Error kBadIntent, kIntentOverLimit, or of the service.
+   * Computes the changes from the newest configuration to `wanted` and saves
+   * the plan. Nothing comes into force.
+   * @throws core::Error kBadIntent, kIntentOverLimit, or an error of the
+   * service.
    */
   core::Task<contract::Plan> SavePlan(
       contract::Intent wanted, std::vector<contract::ObservedReplica> observed);
 
   /**
-   * @return The plan as it would act now.
-   * @throws core::Error kUnknownPlan, or of the service.
+   * @return The plan with its current effects.
+   * @throws core::Error kUnknownPlan, or an error of the service.
    */
   core::Task<SavedPlan> ReadPlan(
       core::PlanId id, std::vector<contract::ObservedReplica> observed);
 
   /**
-   * Puts a plan in force, here at once. Confirming it again gives the same
-   * version and changes nothing.
+   * Puts a plan in force, in this entry immediately. Confirming it again
+   * returns the same version and changes nothing.
    * @return The plan's version.
-   * @throws core::Error kUnknownPlan; kPlanConflict: another plan came first
-   *   and this one certainly never comes into force; kPlatformUnavailable:
-   *   nothing was changed; kPlatformUnknownOutcome: confirm it again to learn
-   *   the outcome.
+   * @throws core::Error kUnknownPlan; kPlanConflict: another plan was confirmed
+   *   first and this one certainly never comes into force;
+   *   kPlatformUnavailable: nothing was changed; kPlatformUnknownOutcome:
+   *   confirm it again to learn the outcome.
    */
   core::Task<std::int64_t> Confirm(core::PlanId id);
 
--- a/src/entry/config_store_test.cc
+++ b/src/entry/config_store_test.cc
@@ -1,4 +1,5 @@
-/** @file config_store_test.cc Confirming plans under failure. */
+/** @file config_store_test.cc Tests the confirmation of plans under failures.
+ */
 #define BOOST_TEST_MODULE config_store
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -19,7 +20,7 @@
 using std::chrono::milliseconds;
 using testing::WriteFault;
 
-/** What one entry holds. */
+/** The configuration state of one entry. */
 struct Entry {
   Entry(external::KeyValueStore& kv, const core::Clock& clock,
         const core::Logger& log)
@@ -45,7 +46,7 @@
     BOOST_CHECK_EXCEPTION(Confirm(entry, id), core::Error, is_code);
   }
 
-  /** @return What an entry that just started finds. */
+  /** @return The configuration that a newly started entry reads. */
   std::shared_ptr<const contract::Config> Fresh() {
     Entry entry(kv, clock, log);
     ConfigStore& store = entry.store;
@@ -77,14 +78,14 @@
   const core::PlanId first = Plan(a, RandomIntent(random, 30));
   BOOST_TEST(Confirm(a, first) == 1);
   BOOST_TEST(Confirm(b, first) == 1);
-  // Still so when many plans have come since and the head has forgotten it.
+  // The same after so many later plans that the head's history has dropped it.
   for (int i = 0; i < 40; ++i) Confirm(a, Plan(a, RandomIntent(random, 3)));
   BOOST_TEST(Confirm(b, first) == 1);
   BOOST_TEST(Fresh()->version == 41);
 }
 
-// Leases lapse, and with them the plans. One that is in force answers with its
-// version all the same; one that isn't is unknown and changes nothing.
+// Plans expire with their leases. A confirmed one still returns its version; an
+// unconfirmed one is unknown and changes nothing.
 BOOST_FIXTURE_TEST_CASE(LapsedPlansAreSettledByTheHead, Fixture) {
   const core::PlanId first = Plan(a, RandomIntent(random, 30));
   Confirm(a, first);
@@ -94,9 +95,9 @@
   CheckRefused(b, second, ErrorCode::kUnknownPlan);
 }
 
-// Two operators look at the same configuration and confirm different plans at
-// the same moment through different entries. One of them must be told that
-// the other came first; the configuration must be wholly the other's.
+// Two plans on the same base are confirmed concurrently through different
+// entries. Exactly one must succeed, and the configuration must be entirely its
+// own; the other must get a conflict.
 BOOST_DATA_TEST_CASE_F(Fixture, OfTwoPlansOnOneBaseOneIsConfirmed,
                        data::xrange(12), seed) {
   random.seed(seed);
@@ -119,8 +120,8 @@
   CheckRefused(a, result_a.value ? id_b : id_a, ErrorCode::kPlanConflict);
 }
 
-// The operator confirms, the write takes effect, its answer is lost on the
-// way. He must be told of success, and once only may it count as a change.
+// The write of a confirmation takes effect but its answer is lost. The operator
+// must get a success, and the change must count only once.
 BOOST_FIXTURE_TEST_CASE(LostAnswerIsSettled, Fixture) {
   const core::PlanId id = Plan(a, RandomIntent(random, 30));
   kv.head_faults = {WriteFault::kAnswerLost};
@@ -128,9 +129,8 @@
   BOOST_TEST(Fresh()->version == 1);
 }
 
-// The write of the head times out and is still on its way. A second attempt
-// succeeds, another plan comes, and then the first write lands. It must not
-// bring the older configuration back.
+// A write of the head times out and takes effect only after a second attempt
+// and another plan. It must not restore the older configuration.
 BOOST_FIXTURE_TEST_CASE(LateWriteDoesNoHarm, Fixture) {
   const core::PlanId first = Plan(a, RandomIntent(random, 30));
   kv.head_faults = {WriteFault::kLandsLate};
@@ -140,9 +140,9 @@
   BOOST_TEST(Fresh()->version == 2);
 }
 
-// No attempt learns its outcome before the operator's patience ends. He must be
-// told that it is unknown. Then the write lands, and confirming the same plan
-// again tells him so, and changes nothing.
+// No attempt learns its outcome before the timeout, so the operator must get an
+// unknown outcome. After the write has taken effect, confirming the plan again
+// must return its version and change nothing.
 BOOST_FIXTURE_TEST_CASE(UnknownOutcomeIsSaidAndSettledLater, Fixture) {
   const core::PlanId id = Plan(a, RandomIntent(random, 30));
   kv.head_faults.assign(1'000, WriteFault::kLandsLate);
@@ -153,10 +153,10 @@
   BOOST_TEST(Fresh()->version == 1);
 }
 
-// The write takes effect, and the service goes down before anybody learns it.
-// When it is back, other plans are confirmed on top. The first operator asks
-// again: his plan was in force, so "conflict, nothing was changed" would be
-// false, though the head has another plan by then.
+// The write takes effect, and the service goes down before the entry learns so.
+// Later other plans are confirmed on top. Confirming the first plan again must
+// return its version: a conflict would be wrong, although the head holds
+// another plan by then.
 BOOST_FIXTURE_TEST_CASE(EarlierSuccessIsRemembered, Fixture) {
   const core::PlanId id = Plan(a, RandomIntent(random, 30));
   kv.head_faults = {WriteFault::kAnswerLost};
@@ -168,8 +168,8 @@
   BOOST_TEST(Fresh()->version == 11);
 }
 
-// As above, but another operator's plan comes first: the writes on their way
-// can't land any more, and the first operator is told of a conflict.
+// As above, but another plan is confirmed first: the delayed writes can't take
+// effect any more, and the first plan must get a conflict.
 BOOST_FIXTURE_TEST_CASE(UnknownOutcomeBecomesConflict, Fixture) {
   const core::PlanId id = Plan(a, RandomIntent(random, 30));
   kv.head_faults.assign(1'000, WriteFault::kLandsLate);
@@ -181,8 +181,8 @@
   BOOST_TEST(Fresh()->version == 1);
 }
 
-// With the service down nothing can be planned or confirmed, and the operator
-// is told that nothing was changed.
+// With the service down, planning and confirming must fail with an error that
+// says that nothing was changed.
 BOOST_FIXTURE_TEST_CASE(ServiceDownChangesNothing, Fixture) {
   const core::PlanId id = Plan(a, RandomIntent(random, 30));
   kv.down = true;
@@ -192,9 +192,9 @@
   BOOST_TEST(Confirm(a, id) == 1);
 }
 
-// A replica that lags shows the operator's entry an older head, for a moment or
-// for long. A plan made on the newest must not be called a conflict, as it may
-// still come into force; one made on the older head is a conflict all the same.
+// A replica that lags returns an older head, briefly or for long. A plan on the
+// newest head must not get a conflict, as it may still come into force; a plan
+// on the older head must.
 BOOST_FIXTURE_TEST_CASE(OlderHeadLeadsToNoChange, Fixture) {
   Confirm(a, Plan(a, RandomIntent(random, 30)));
   const auto older = kv.Peek("config/head");
@@ -212,10 +212,10 @@
   BOOST_TEST(Confirm(b, on_newer) == 3);
 }
 
-// An operator confirms a change and then its reversal. The first confirmation
-// is still deleting the parts it replaced when the second wants them back.
-// Whenever the deletes land, the newest head's parts must all be there; without
-// them no entry that starts later finds a configuration.
+// A change is confirmed and then its reversal. The first confirmation still
+// deletes the parts it replaced while the second needs them again. Whenever the
+// deletes take effect, all parts of the newest head must exist, or entries that
+// start later find no configuration.
 BOOST_DATA_TEST_CASE_F(Fixture, ReversalFindsItsParts, data::xrange(40), seed) {
   const auto first = RandomIntent(random, 30);
   auto second = first;
--- a/src/entry/config_watch.cc
+++ b/src/entry/config_watch.cc
@@ -1,4 +1,4 @@
-/** @file config_watch.cc An entry follows the configuration's head. */
+/** @file config_watch.cc Watches the configuration head. */
 #include <algorithm>
 #include <atomic>
 #include <exception>
@@ -32,7 +32,7 @@
     ++(counters.*counter);
   }
 
-  /** Puts a head in force; an older one is counted and passed over. */
+  /** Puts a head in force; counts and ignores an older one. */
   static core::Task<> Take(std::shared_ptr<State> self,
                            contract::ConfigHead head) {
     const auto have = self->parts.Current();
@@ -51,7 +51,7 @@
                     {{"version", version}, {"source", "watch"}});
   }
 
-  /** Reads the head as it is. @return Its revision. */
+  /** Reads the current head. @return Its revision. */
   static core::Task<std::int64_t> Refresh(std::shared_ptr<State> self) {
     const core::SteadyTime asked = self->clock.Now();
     StoredHead stored = co_await ReadHead(self->store);
@@ -72,9 +72,9 @@
   }
 
   /**
-   * Watches until a failure. A gap, as after the service lost its history, is
-   * no failure: changes may have been missed, so the head is read anew and the
-   * watch goes on from where the service says.
+   * Watches until a failure. A gap, as after the service has lost its history,
+   * is not a failure: changes may have been missed, so the head is read again
+   * and the watch continues from the revision that the service returned.
    */
   static core::Task<> Follow(std::shared_ptr<State> self) {
     std::int64_t revision = co_await Refresh(self);
@@ -121,7 +121,7 @@
   const core::Clock& clock;
   const core::Logger& log;
   std::atomic<bool> stopped = false;
-  /** Used by the one coroutine only. */
+  /** `pause` and `refreshed` are used only by the coroutine of Run. */
   std::chrono::milliseconds pause;
   core::SteadyTime refreshed;
   std::mutex mutex;
--- a/src/entry/config_watch_base.h
+++ b/src/entry/config_watch_base.h
@@ -1,4 +1,4 @@
-/** @file config_watch_base.h An entry follows the configuration's head. */
+/** @file config_watch_base.h Watches the configuration head. */
 #ifndef SAPPHIRE_ENTRY_CONFIG_WATCH_BASE_H_
 #define SAPPHIRE_ENTRY_CONFIG_WATCH_BASE_H_
 
@@ -16,17 +16,17 @@
 struct ConfigWatchOptions {
   /** How long one call waits for a change. */
   std::chrono::milliseconds wait{20'000};
-  /** The head is read anew this often even if no change was shown. */
+  /** Interval at which the head is read even if no change was reported. */
   std::chrono::milliseconds refresh_interval{60'000};
   /** Pause after a failure; doubles up to the longest. */
   std::chrono::milliseconds first_pause{100};
   std::chrono::milliseconds longest_pause{5'000};
 };
 
-/** What a watch has met so far. */
+/** Event counts of a watch. */
 struct ConfigWatchCounters {
   std::int64_t adopted = 0;
-  /** Heads shown that were older than what is in force. */
+  /** Heads received that were older than the configuration in force. */
   std::int64_t older_seen = 0;
   std::int64_t gaps = 0;
   std::int64_t failures = 0;
@@ -34,10 +34,10 @@
 
 /**
  * Watches `config/head` and puts each newer configuration in force. While the
- * service is down the last one stays in force, and newer ones may still come
+ * service is down the last one stays in force, and newer ones may still arrive
  * over links (contract::ConfigPuller).
  *
- * To pass a new version on at once, the program connects
+ * To announce a new version immediately, the program connects
  * `ConfigHolder::OnChange` with `LinkNode::AnnounceVersion`.
  */
 class ConfigWatch {
@@ -51,10 +51,10 @@
   ConfigWatch(const ConfigWatch&) = delete;
   ConfigWatch& operator=(const ConfigWatch&) = delete;
 
-  /** Begins to watch. */
+  /** Starts watching. */
   void Start();
 
-  /** Ends after the call in progress. */
+  /** Stops watching after the call in progress. */
   void Stop();
 
   [[nodiscard]] ConfigWatchCounters counters() const;
--- a/src/entry/config_watch_test.cc
+++ b/src/entry/config_watch_test.cc
@@ -1,4 +1,4 @@
-/** @file config_watch_test.cc Following the configuration under failure. */
+/** @file config_watch_test.cc Tests the configuration watch under failures. */
 #define BOOST_TEST_MODULE config_watch
 #include <boost/test/unit_test.hpp>
 
@@ -37,7 +37,7 @@
     return testing::RunTask(io, store.Confirm(plan.id));
   }
 
-  /** Confirms an intent in a way that no watch sees. */
+  /** Confirms an intent without any watch reporting it. */
   void ConfirmUnseen(const contract::Intent& wanted) {
     kv.mute_watches = true;
     Confirm(wanted);
@@ -80,8 +80,8 @@
   }
 }
 
-// A deployment of many models sees small changes all day. An entry that read
-// every part anew for each would use up the service's reads.
+// A large deployment gets small changes all day. Reading every part for each of
+// them would exhaust the service's read capacity.
 BOOST_FIXTURE_TEST_CASE(OnlyChangedPartsAreRead, Fixture) {
   auto intent = RandomIntent(random, 500);
   Confirm(intent);
@@ -93,9 +93,9 @@
   BOOST_TEST(kv.gets - before <= 3);
 }
 
-// An operator lowers a limit, and all entries follow. Then the service answers
-// from a replica that lags and shows the older head, by a read and by a watch.
-// The limit must not come back.
+// After a change, the service answers a read and a watch from a replica that
+// lags and returns the older head. The older configuration must not be
+// restored.
 BOOST_FIXTURE_TEST_CASE(OlderHeadIsPassedOver, Fixture) {
   Confirm(RandomIntent(random, 20));
   const auto older = kv.Peek("config/head");
@@ -111,8 +111,8 @@
   BOOST_CHECK(holder.Current()->intent == newest);
 }
 
-// The service restarts and has lost its history: the watch says that changes
-// may have been missed, and one was. It must be found all the same.
+// The service has lost its history in a restart, and the watch reports a gap. A
+// change missed in the gap must still be found.
 BOOST_FIXTURE_TEST_CASE(GapIsFilled, Fixture) {
   Confirm(RandomIntent(random, 20));
   BOOST_TEST(RunUntilVersion(1));
@@ -122,8 +122,8 @@
   BOOST_TEST(RunUntilVersion(2));
 }
 
-// A watch misses a change and does not say so. The head is read anew now and
-// then, so the change is found all the same.
+// A watch misses a change without reporting a gap. The periodic read of the
+// head must find the change.
 BOOST_FIXTURE_TEST_CASE(SilentGapIsFilled, Fixture) {
   watch.Stop();
   io.run();
@@ -138,8 +138,8 @@
   io.run();
 }
 
-// The service goes down for a while, and a plan is confirmed as soon as it is
-// back. The entry keeps the last configuration meanwhile and then follows.
+// The service is down for a while, and a plan is confirmed once it is back. The
+// entry must keep the last configuration meanwhile and then adopt the new one.
 BOOST_FIXTURE_TEST_CASE(OutageIsSurvived, Fixture) {
   Confirm(RandomIntent(random, 20));
   BOOST_TEST(RunUntilVersion(1));
@@ -152,8 +152,8 @@
   BOOST_TEST(RunUntilVersion(2));
 }
 
-// The entry reads a head, and before it has read its parts the next plan is
-// confirmed and replaced parts are deleted. It must go on to the newer head.
+// Between reading a head and its parts, the next plan is confirmed and deletes
+// replaced parts. The entry must recover and adopt the newer head.
 BOOST_FIXTURE_TEST_CASE(PartsDeletedMeanwhileAreNoEnd, Fixture) {
   Confirm(RandomIntent(random, 20));
   const auto older = kv.Peek("config/head");
--- a/src/entry/endpoint_view_func.cc
+++ b/src/entry/endpoint_view_func.cc
@@ -1,5 +1,5 @@
-/** @file endpoint_view_func.cc Endpoint reports as the placement policy sees
- * them. */
+/** @file endpoint_view_func.cc Converts endpoint reports for the placement
+ * policy. */
 #include "entry/endpoint_view_func.h"
 
 #include <string>
--- a/src/entry/endpoint_view_func.h
+++ b/src/entry/endpoint_view_func.h
@@ -1,5 +1,6 @@
-/** @file endpoint_view_func.h Endpoint reports as the placement policy sees
- * them. */
+/** @file endpoint_view_func.h Converts endpoint reports for the placement
+ * policy.
+ */
 #ifndef SAPPHIRE_ENTRY_ENDPOINT_VIEW_FUNC_H_
 #define SAPPHIRE_ENTRY_ENDPOINT_VIEW_FUNC_H_
 
@@ -12,16 +13,16 @@
 
 namespace sapphire::entry {
 
-/** The kind that a report of a model engine's endpoint carries. */
+/** The kind in reports of endpoints that run models. */
 inline constexpr char kModelEndpointKind[] = "model";
 
-/** @return The view of one endpoint, by its report alone. */
+/** @return The view of one endpoint, based only on its report. */
 policy::EndpointView ViewOf(const gen::EndpointReport& report, bool leaving);
 
-/** @return The replicas of that view. */
+/** @return The replicas of the endpoint's view. */
 std::vector<policy::ReplicaView> ReplicasOf(const gen::EndpointReport& report);
 
-/** @return The models that the report shows in any state. */
+/** @return The models with a replica in the report, in any state. */
 std::set<core::ModelId> ModelsIn(const gen::EndpointReport& report);
 
 }  // namespace sapphire::entry
--- a/src/entry/entry.cc
+++ b/src/entry/entry.cc
@@ -1,4 +1,4 @@
-/** @file entry.cc All parts of one entry process. */
+/** @file entry.cc Wires the components of an entry process. */
 #include <algorithm>
 #include <utility>
 
@@ -21,7 +21,7 @@
 constexpr int kUnavailable = 503;
 constexpr milliseconds kDrainPoll{20};
 
-/** Counts a scope in an atomic. */
+/** Increments a counter for the duration of a scope. */
 class Counted {
  public:
   explicit Counted(std::atomic<int>& count) : count_(count) { ++count_; }
@@ -102,9 +102,10 @@
   http_.Start();
 }
 
-/** Guard against an entry that can't serve: one that has just thawed, or is cut
- * off, refuses every request with no_endpoint. Not being ready, it gets none
- * from the balancer until a link is up again. */
+/** Guards against requests to an entry that can't serve: one that has just
+ * resumed from a freeze or is partitioned refuses every request with
+ * no_endpoint. While it is not ready, the balancer sends it none, until a link
+ * is up again. */
 bool Entry::Ready() const {
   if (leaving_ || config_.version() == 0) return false;
   const std::vector<KnownEndpoint> endpoints = directory_.Endpoints();
--- a/src/entry/entry_base.h
+++ b/src/entry/entry_base.h
@@ -1,4 +1,4 @@
-/** @file entry_base.h All parts of one entry process. */
+/** @file entry_base.h Wires the components of an entry process. */
 #ifndef SAPPHIRE_ENTRY_ENTRY_BASE_H_
 #define SAPPHIRE_ENTRY_ENTRY_BASE_H_
 
@@ -47,7 +47,8 @@
   std::chrono::milliseconds drain_limit{60'000};
 };
 
-/** Wires the parts of an entry and answers its HTTP and link calls. */
+/** Wires the components of an entry and answers HTTP requests and link calls.
+ */
 class Entry {
  public:
   /** @pre All references outlive the entry. */
@@ -55,7 +56,7 @@
         external::KeyValueStore& store, external::VmList& vm_list,
         const core::Clock& clock, const core::Logger& log, Metrics& metrics);
 
-  /** Listens and begins to serve. @throws core::Error kBadSettings. */
+  /** Starts to listen and serve. @throws core::Error kBadSettings. */
   void Start();
 
   [[nodiscard]] std::string http_address() const { return http_.address(); }
@@ -64,9 +65,10 @@
   }
 
   /**
-   * Leaves: stops being ready, serves on while the balancer still sends, then
-   * takes nothing new and waits for what is in progress.
-   * @return True if all of that ended within the drain limit.
+   * Shuts down gracefully: reports not ready, continues to serve while the
+   * balancer still sends requests, then accepts nothing new and waits for the
+   * requests in progress.
+   * @return True if all of them ended within the drain limit.
    * @pre The calling coroutine runs on a strand.
    */
   core::Task<bool> Leave();
@@ -107,7 +109,7 @@
   http::Server http_;
   std::string link_address_;
   std::atomic<bool> leaving_{false};
-  /** Calls of other entries that this one serves as their home. */
+  /** Calls from other entries that this one serves as the primary entry. */
   std::atomic<int> home_calls_{0};
 };
 
--- a/src/entry/fleet_view.cc
+++ b/src/entry/fleet_view.cc
@@ -1,4 +1,4 @@
-/** @file fleet_view.cc All endpoints as the placement policy sees them. */
+/** @file fleet_view.cc Endpoint views for the placement policy. */
 #include <algorithm>
 #include <utility>
 
--- a/src/entry/fleet_view_base.h
+++ b/src/entry/fleet_view_base.h
@@ -1,4 +1,4 @@
-/** @file fleet_view_base.h All endpoints as the placement policy sees them. */
+/** @file fleet_view_base.h Endpoint views for the placement policy. */
 #ifndef SAPPHIRE_ENTRY_FLEET_VIEW_BASE_H_
 #define SAPPHIRE_ENTRY_FLEET_VIEW_BASE_H_
 
--- a/src/entry/gateway.cc
+++ b/src/entry/gateway.cc
@@ -1,4 +1,4 @@
-/** @file gateway.cc Callers' HTTP interface. */
+/** @file gateway.cc Callers' HTTP interface, `/v1/...` and `/services/...`. */
 #include <boost/json.hpp>
 #include <utility>
 
@@ -17,11 +17,12 @@
 
 constexpr int kOk = 200;
 constexpr std::chrono::milliseconds kRetryAfter{1000};
-/** Stands for this process where an incarnation is told. */
+/** Incarnation reported for requests that this process runs itself; any value
+ * but 0, which means that the request was not sent. */
 constexpr std::int64_t kSelf = 1;
 
-/** Tells a caller whose stream has begun why it ends here: without this event
- * and without the final [DONE] it can't be taken for whole. */
+/** Sends the error as the last event of a stream that has begun, so that the
+ * caller does not take the stream without the final [DONE] for complete. */
 Task<> SendErrorEvent(http::ResponseWriter& writer, const Error& error,
                       const std::string& request_id) {
   std::string event = "data: {\"error\":";
@@ -30,12 +31,12 @@
   try {
     co_await writer.Write(event);
   } catch (const http::TransportError&) {
-    // The caller has left; there is nobody to tell.
+    // The caller has disconnected.
   }
 }
 
-/** @return True if another entry may take the home role where this one can't.
- */
+/** @return True if the failure is the entry's own, so that the next entry in
+ * the ranking may run the request. */
 bool HomeIsAtFault(const AttemptResult& result) {
   const bool not_sent = result.incarnation == 0;
   const ErrorCode code = result.error->code();
@@ -86,8 +87,9 @@
   throw Error(*failure);
 }
 
-/** Runs a non-idempotent request at its home; at the next one if that can't be
- * reached. Two homes at once are harmless: the claim has one first writer. */
+/** Runs a non-idempotent request at its primary entry, or at the next one in
+ * the ranking if that is unreachable. Two entries that run it at once are
+ * harmless, as only the first writer of the claim dispatches it. */
 Task<> Gateway::RunAtHome(gen::Run run, core::SteadyTime deadline,
                           AnswerSink& sink) {
   bool may_have_run = false;
@@ -96,8 +98,8 @@
         co_await RunAtHomeEntry(home, run, deadline, sink);
     if (result.end == AttemptEnd::kCompleted) co_return;
     if (result.end != AttemptEnd::kNotStarted) may_have_run = true;
-    // A home that was lost may have dispatched; what a later one knows of its
-    // own part does not undo that.
+    // An entry that was lost may have dispatched the request. A later entry
+    // that did not run it can't rule that out.
     const Error error = may_have_run
                             ? result.error->WithOutcome(core::Outcome::kUnknown)
                             : *result.error;
--- a/src/entry/gateway_base.h
+++ b/src/entry/gateway_base.h
@@ -1,4 +1,5 @@
-/** @file gateway_base.h Callers' HTTP interface. */
+/** @file gateway_base.h Callers' HTTP interface, `/v1/...` and `/services/...`.
+ */
 #ifndef SAPPHIRE_ENTRY_GATEWAY_BASE_H_
 #define SAPPHIRE_ENTRY_GATEWAY_BASE_H_
 
@@ -18,7 +19,7 @@
 
 namespace sapphire::entry {
 
-/** What a gateway works with. All outlive it. */
+/** Dependencies of a gateway; all outlive it. */
 struct GatewayParts {
   contract::ConfigHolder& config;
   Directory& directory;
@@ -31,7 +32,7 @@
   const core::Logger& log;
 };
 
-/** Answers /v1/... and /services/...: reads, runs, answers or refuses. */
+/** Parses, runs and answers requests to /v1/... and /services/... */
 class Gateway {
  public:
   Gateway(core::VmId self, CallerLimits limits, GatewayParts parts);
@@ -39,7 +40,7 @@
   /**
    * Answers one request.
    * @throws core::Error a refusal, before anything was sent; or the reason why
-   *   an answer that was begun is cut.
+   *   an answer that has begun ends early.
    */
   core::Task<> Handle(const http::Request& request,
                       http::ResponseWriter& writer);
--- a/src/entry/metrics_base.h
+++ b/src/entry/metrics_base.h
@@ -1,4 +1,4 @@
-/** @file metrics_base.h What an entry counts. */
+/** @file metrics_base.h Metrics of an entry. */
 #ifndef SAPPHIRE_ENTRY_METRICS_BASE_H_
 #define SAPPHIRE_ENTRY_METRICS_BASE_H_
 
@@ -14,14 +14,15 @@
 
 namespace sapphire::entry {
 
-/** Replicas of one service, as endpoints last reported them. */
+/** Replica counts of one service. */
 struct ServiceReplicas {
+  /** Sum over the endpoints' last reports. */
   int reported = 0;
-  /** As operators decided. */
+  /** The limit in the configuration. */
   int limit = 0;
 };
 
-/** Levels read when the metrics are asked for. */
+/** Values sampled when the metrics are collected. */
 struct Levels {
   std::int64_t config_version = 0;
   int requests_in_progress = 0;
@@ -34,7 +35,7 @@
   link::LinkCounters links;
 };
 
-/** Counters, histograms and their text form. Safe on several threads. */
+/** Counters and histograms with their text format. Thread-safe. */
 class Metrics {
  public:
   Metrics();
@@ -47,10 +48,10 @@
   /** A request that waited for a load. @param tier "memory", "disk" or
    * "remote". */
   void ColdStart(std::string_view tier, std::chrono::milliseconds waited);
-  /** @param kind Of the call. @param outcome "ok" or the error's name. */
+  /** @param kind The operation. @param outcome "ok" or the error's name. */
   void KeyValueCall(std::string_view kind, std::string_view outcome);
 
-  /** @return Everything, in the Prometheus text format. */
+  /** @return All metrics in the Prometheus text format. */
   std::string Text(const Levels& levels);
 
  private:
--- a/src/entry/sapphire_entry_main.cc
+++ b/src/entry/sapphire_entry_main.cc
@@ -1,4 +1,4 @@
-/** @file sapphire_entry_main.cc The program of an entry VM. */
+/** @file sapphire_entry_main.cc Main program of an entry VM. */
 #include <fmt/format.h>
 
 #include <boost/asio/io_context.hpp>
@@ -65,7 +65,7 @@
   return options;
 }
 
-/** The running process: leaves once, on a signal. */
+/** Runs an entry and shuts it down gracefully on the first signal. */
 class Process {
  public:
   Process(const core::Settings& settings, const core::Logger& log,
