--- a/src/entry/directory.cc
+++ b/src/entry/directory.cc
@@ -273,7 +273,7 @@
     if (message.endpoint_report.endpoint != vm.value()) {
       throw core::Error(
           core::ErrorCode::kLinkLost,
-          "address answers as " + message.endpoint_report.endpoint);
+          "the address belongs to " + message.endpoint_report.endpoint);
     }
     TakeReport(vm, address, std::move(message.endpoint_report));
   }
