--- a/src/entry/admin.cc
+++ b/src/entry/admin.cc
@@ -73,7 +73,7 @@
 
 /** @return A pull with the highest possible version, so that the peer sends no
  * configuration. */
-gen::Message PullNothing() {
+gen::Message EmptyPullMessage() {
   gen::ConfigPull pull;
   pull.have_version = std::numeric_limits<std::int64_t>::max();
   gen::Message message;
@@ -99,13 +99,13 @@
       clock_(clock),
       log_(log) {}
 
-bool Admin::Owns(std::string_view target) {
+bool Admin::IsAdminPath(std::string_view target) {
   return target.starts_with(kPrefix);
 }
 
 core::Task<> Admin::Handle(const http::Request& request,
                            http::ResponseWriter& writer) {
-  if (!Owns(request.target)) UnknownPath(request);
+  if (!IsAdminPath(request.target)) UnknownPath(request);
   const std::vector<std::string> path = PathSegments(request.target);
   const std::shared_ptr<const contract::Config> config = config_.Current();
   std::string body;
@@ -149,17 +149,17 @@
 
 core::Task<std::string> Admin::MakePlan(const http::Request& request) {
   const contract::Plan plan =
-      co_await store_.SavePlan(IntentFrom(request), Observed());
+      co_await store_.SavePlan(IntentFrom(request), ObservedReplicas());
   co_return PlanJson(plan);
 }
 
 core::Task<std::string> Admin::ShowPlan(core::PlanId id) {
-  co_return SavedPlanJson(co_await store_.ReadPlan(id, Observed()));
+  co_return SavedPlanJson(co_await store_.ReadPlan(id, ObservedReplicas()));
 }
 
 core::Task<std::string> Admin::ConfirmPlan(core::PlanId id) {
   const std::int64_t version = co_await store_.Confirm(id);
-  const std::vector<VmVersion> not_yet = co_await WaitInForce(version);
+  const std::vector<VmVersion> not_yet = co_await WaitUntilInForce(version);
   log_.Event(not_yet.empty() ? LogLevel::kInfo : LogLevel::kWarning,
              LogCategory::kAdmin, "config_in_force",
              {{"plan", id}, {"version", version}, {"not_yet", not_yet.size()}});
@@ -177,15 +177,16 @@
     if (linked.contains(entry.vm)) continue;
     core::Spawn(
         executor, log_, "link_to_entry",
-        [&links = links_, address = entry.address, pull = PullNothing()] {
+        [&links = links_, address = entry.address, pull = EmptyPullMessage()] {
           return OpenAndDrop(links, address, pull);
         });
   }
 }
 
-core::Task<std::vector<VmVersion>> Admin::WaitInForce(std::int64_t version) {
+core::Task<std::vector<VmVersion>> Admin::WaitUntilInForce(
+    std::int64_t version) {
   LinkToOtherEntries(co_await boost::asio::this_coro::executor);
-  const core::SteadyTime deadline = clock_.Now() + options_.in_force_wait;
+  const core::SteadyTime deadline = clock_.Now() + options_.in_force_timeout;
   while (true) {
     std::vector<VmVersion> behind = Versions();
     std::erase_if(behind,
@@ -201,7 +202,7 @@
 // the list is the base and the links add the versions.
 std::vector<VmVersion> Admin::Versions() const {
   std::map<core::VmId, VmVersion> by_vm;
-  for (const external::VmRecord& it : directory_.Listed()) {
+  for (const external::VmRecord& it : directory_.ListedVms()) {
     by_vm[it.vm] = {it.vm,
                     it.zone,
                     it.role == external::VmRole::kEntry,
@@ -251,7 +252,7 @@
   co_return DrainJson(id, answer.drain_state.running);
 }
 
-std::vector<contract::ObservedReplica> Admin::Observed() const {
+std::vector<contract::ObservedReplica> Admin::ObservedReplicas() const {
   std::vector<contract::ObservedReplica> observed;
   for (const KnownEndpoint& endpoint : directory_.Endpoints()) {
     for (const gen::ReplicaReport& replica : endpoint.report.replicas) {
--- a/src/entry/admin_base.h
+++ b/src/entry/admin_base.h
@@ -23,7 +23,7 @@
   core::VmId self;
   core::ZoneId zone;
   /** How long a confirmation waits for all VMs to report the new version. */
-  std::chrono::milliseconds in_force_wait{3000};
+  std::chrono::milliseconds in_force_timeout{3000};
   std::chrono::milliseconds in_force_poll{50};
   std::chrono::milliseconds drain_timeout{5000};
 };
@@ -49,7 +49,7 @@
         const core::Clock& clock, const core::Logger& log);
 
   /** @return True if the target is a path of this interface. */
-  [[nodiscard]] static bool Owns(std::string_view target);
+  [[nodiscard]] static bool IsAdminPath(std::string_view target);
 
   /** Answers one request.
    * @throws core::Error before anything was sent. */
@@ -65,10 +65,10 @@
   core::Task<std::string> MakePlan(const http::Request& request);
   core::Task<std::string> ShowPlan(core::PlanId id);
   core::Task<std::string> ConfirmPlan(core::PlanId id);
-  core::Task<std::vector<VmVersion>> WaitInForce(std::int64_t version);
+  core::Task<std::vector<VmVersion>> WaitUntilInForce(std::int64_t version);
   void LinkToOtherEntries(const core::Executor& executor);
   core::Task<std::string> DrainEndpoint(core::EndpointId id);
-  [[nodiscard]] std::vector<contract::ObservedReplica> Observed() const;
+  [[nodiscard]] std::vector<contract::ObservedReplica> ObservedReplicas() const;
 
   const AdminOptions options_;
   contract::ConfigHolder& config_;
--- a/src/entry/admin_test.cc
+++ b/src/entry/admin_test.cc
@@ -180,7 +180,7 @@
       {milliseconds(300), milliseconds(1)}, kv, holder, parts, clock, log};
   Admin admin{{.self = core::VmId("e-1"),
                .zone = core::ZoneId("a"),
-               .in_force_wait = milliseconds(1'000)},
+               .in_force_timeout = milliseconds(1'000)},
               holder,
               store,
               directory,
--- a/src/entry/answer_sink.cc
+++ b/src/entry/answer_sink.cc
@@ -10,7 +10,7 @@
 namespace {
 
 /** An answer longer than this is sent before it is complete. */
-constexpr std::size_t kMaxHeldBytes = 4 * 1024 * 1024;
+constexpr std::size_t kMaxBufferedBytes = 4 * 1024 * 1024;
 
 }  // namespace
 
@@ -38,10 +38,10 @@
     co_await writer_.Write(data);
     co_return;
   }
-  held_ += data;
-  if (!stream_ && held_.size() <= kMaxHeldBytes) co_return;
+  buffered_ += data;
+  if (!stream_ && buffered_.size() <= kMaxBufferedBytes) co_return;
   co_await writer_.Begin(MakeHead());
-  co_await writer_.Write(std::exchange(held_, {}));
+  co_await writer_.Write(std::exchange(buffered_, {}));
 }
 
 Task<> HttpSink::End() {
@@ -49,11 +49,11 @@
     co_await writer_.End();
     co_return;
   }
-  http::Response response{MakeHead(), std::move(held_)};
+  http::Response response{MakeHead(), std::move(buffered_)};
   co_await writer_.Send(std::move(response));
 }
 
-void HttpSink::Reset() { held_.clear(); }
+void HttpSink::Reset() { buffered_.clear(); }
 
 CallSink::CallSink(std::shared_ptr<link::Call> call) : call_(std::move(call)) {}
 
--- a/src/entry/answer_sink_base.h
+++ b/src/entry/answer_sink_base.h
@@ -56,7 +56,7 @@
   const std::string request_id_;
   const bool stream_;
   gen::RunHead head_;
-  std::string held_;
+  std::string buffered_;
 };
 
 /** Sends an answer over a link, with numbered parts so that a gap is detected.
--- a/src/entry/attempt.cc
+++ b/src/entry/attempt.cc
@@ -21,7 +21,7 @@
 constexpr milliseconds kAbandonedPoll{250};
 
 /** Checks that all parts of an answer arrive, in order. */
-class WholenessCheck {
+class CompletenessCheck {
  public:
   void Add(const gen::Chunk& chunk) {
     if (chunk.sequence != totals_.chunks) Fail("a part of it is missing");
@@ -46,8 +46,9 @@
 /** Polls while it waits for the next part, so that a caller that disconnects
  * before then does not keep an engine busy.
  * @throws core::Error, http::TransportError */
-Task<gen::Message> NextPart(link::Call& call, core::SteadyTime deadline,
-                            const AnswerSink& sink, const core::Clock& clock) {
+Task<gen::Message> ReceivePart(link::Call& call, core::SteadyTime deadline,
+                               const AnswerSink& sink,
+                               const core::Clock& clock) {
   while (true) {
     const milliseconds left = Remaining(clock, deadline);
     std::optional<Error> failure;
@@ -69,9 +70,9 @@
  * @throws core::Error, http::TransportError */
 Task<> Relay(link::Call& call, core::SteadyTime deadline, AnswerSink& sink,
              const core::Clock& clock) {
-  WholenessCheck check;
+  CompletenessCheck check;
   while (true) {
-    gen::Message message = co_await NextPart(call, deadline, sink, clock);
+    gen::Message message = co_await ReceivePart(call, deadline, sink, clock);
     if (message.__isset.run_head) {
       co_await sink.Head(std::move(message.run_head));
     } else if (message.__isset.chunk) {
@@ -88,7 +89,7 @@
   }
 }
 
-AttemptResult Failed(const Error& error, std::int64_t incarnation) {
+AttemptResult FailureResult(const Error& error, std::int64_t incarnation) {
   if (error.outcome() == core::Outcome::kNotRun) {
     return {AttemptEnd::kNotStarted, error, incarnation};
   }
@@ -109,9 +110,8 @@
   }
 }
 
-Task<std::optional<gen::AttemptState>> AskState(link::LinkNode& links,
-                                                std::string address,
-                                                std::string attempt_id) {
+Task<std::optional<gen::AttemptState>> QueryAttemptState(
+    link::LinkNode& links, std::string address, std::string attempt_id) {
   gen::VoidAttempt request;
   request.attempt_id = std::move(attempt_id);
   gen::Message message;
@@ -149,10 +149,10 @@
   try {
     co_await Relay(*call, deadline, sink, clock);
   } catch (const Error& e) {
-    co_return Failed(e, incarnation);
+    co_return FailureResult(e, incarnation);
   } catch (const http::TransportError& e) {
     const Error error(ErrorCode::kCancelled, e.what());
-    co_return AttemptResult{AttemptEnd::kSinkGone, error, incarnation};
+    co_return AttemptResult{AttemptEnd::kSinkClosed, error, incarnation};
   }
   co_return AttemptResult{AttemptEnd::kCompleted, std::nullopt, incarnation};
 }
@@ -161,7 +161,7 @@
                        std::string attempt_id, std::int64_t incarnation,
                        core::SteadyTime deadline, const core::Clock& clock) {
   while (Remaining(clock, deadline) > milliseconds::zero()) {
-    const auto state = co_await AskState(links, address, attempt_id);
+    const auto state = co_await QueryAttemptState(links, address, attempt_id);
     if (state) {
       co_return !state->started && state->incarnation == incarnation;
     }
--- a/src/entry/attempt_func.h
+++ b/src/entry/attempt_func.h
@@ -21,7 +21,7 @@
   kNotStarted,  ///< The peer certainly never started it.
   kCrashed,     ///< The engine crashed while it ran.
   kUnknown,     ///< It may have run or may still be running.
-  kSinkGone,    ///< The receiver of the answer has disconnected.
+  kSinkClosed,  ///< The receiver of the answer has disconnected.
 };
 
 struct AttemptResult {
--- a/src/entry/caller_request.cc
+++ b/src/entry/caller_request.cc
@@ -132,8 +132,8 @@
 }
 
 /** @return True if the call matches a "METHOD /prefix" pattern. */
-bool Covers(const std::string& pattern, const std::string& method,
-            std::string_view path) {
+bool MatchesPattern(const std::string& pattern, const std::string& method,
+                    std::string_view path) {
   const std::string_view text = pattern;
   const std::size_t space = text.find(' ');
   if (space == std::string_view::npos) return false;
@@ -154,9 +154,10 @@
   if (out.path.empty() || out.path.front() != '/') out.path.insert(0, "/");
   const std::string_view path = http::PathOf(out.path);
   const auto& patterns = it->second.non_idempotent;
-  out.non_idempotent = std::any_of(
-      patterns.begin(), patterns.end(),
-      [&](const auto& pattern) { return Covers(pattern, out.method, path); });
+  out.non_idempotent =
+      std::any_of(patterns.begin(), patterns.end(), [&](const auto& pattern) {
+        return MatchesPattern(pattern, out.method, path);
+      });
 }
 
 std::int64_t FingerprintOf(const CallerRequest& request) {
--- a/src/entry/claim.cc
+++ b/src/entry/claim.cc
@@ -64,7 +64,7 @@
 std::string EncodeClaim(const Claim& claim) {
   boost::json::object object{
       {"attempt", claim.attempt.value()},
-      {"home", claim.home.value()},
+      {"home", claim.entry.value()},
       {"state", kStateNames[static_cast<std::size_t>(claim.state)]},
       {"fingerprint", claim.fingerprint},
       {"created_ms", ToMillis(claim.created)}};
@@ -76,7 +76,7 @@
   const boost::json::object object = external::ParseObject(json);
   Claim claim;
   claim.attempt = core::AttemptId(external::StringAt(object, "attempt"));
-  claim.home = core::VmId(external::StringAt(object, "home"));
+  claim.entry = core::VmId(external::StringAt(object, "home"));
   claim.state = StateNamed(external::StringAt(object, "state"));
   claim.fingerprint = external::IntegerAt(object, "fingerprint");
   claim.created =
--- a/src/entry/claim_store.cc
+++ b/src/entry/claim_store.cc
@@ -37,8 +37,8 @@
 
 Task<AcquireResult> ClaimStore::Acquire(std::string key, Claim claim,
                                         core::SteadyTime deadline) {
-  const auto end = std::min(deadline, clock_.Now() + options_.patience);
-  bool may_stand = false;
+  const auto end = std::min(deadline, clock_.Now() + options_.acquire_timeout);
+  bool may_exist = false;
   while (true) {
     std::optional<Error> failure;
     try {
@@ -50,11 +50,11 @@
     // A write whose answer was lost may have taken effect or may do so later.
     // Retrying with the same attempt covers both cases, since only the first
     // write of the key succeeds.
-    if (failure->code() == ErrorCode::kPlatformUnknownOutcome) may_stand = true;
+    if (failure->code() == ErrorCode::kPlatformUnknownOutcome) may_exist = true;
     if (clock_.Now() + options_.retry_pause >= end) break;
     co_await core::SleepFor(options_.retry_pause);
   }
-  if (may_stand) {
+  if (may_exist) {
     // The request will not be dispatched. If the claim stayed, a resend would
     // get "outcome unknown" for a request that certainly did not run.
     claim.state = ClaimState::kVoid;
@@ -75,13 +75,13 @@
       expected = 0;
       continue;
     }
-    const Claim standing = DecodeClaim(result.current->value);
+    const Claim existing = DecodeClaim(result.current->value);
     const std::int64_t revision = result.current->revision;
-    if (standing.attempt == claim.attempt) {
-      co_return AcquireResult{true, standing, revision};
+    if (existing.attempt == claim.attempt) {
+      co_return AcquireResult{true, existing, revision};
     }
-    if (!IsVoid(standing)) {
-      co_return AcquireResult{false, standing, revision};
+    if (!IsVoid(existing)) {
+      co_return AcquireResult{false, existing, revision};
     }
     expected = revision;
   }
@@ -93,13 +93,13 @@
   return voided_.contains(claim.attempt);
 }
 
-void ClaimStore::NoteVoided(const core::AttemptId& attempt) {
+void ClaimStore::RecordVoided(const core::AttemptId& attempt) {
   const std::lock_guard lock(voided_mutex_);
   voided_.insert(attempt);
 }
 
 Task<> ClaimStore::Settle(std::string key, Claim claim) {
-  if (claim.state == ClaimState::kVoid) NoteVoided(claim.attempt);
+  if (claim.state == ClaimState::kVoid) RecordVoided(claim.attempt);
   std::string value = EncodeClaim(claim);
   if (value.size() > options_.max_value_bytes) {
     claim.answer.reset();
@@ -113,7 +113,7 @@
 }
 
 Task<> ClaimStore::SettleLoop(std::string key, std::string value, Claim claim) {
-  const auto end = clock_.Now() + options_.settle_limit;
+  const auto end = clock_.Now() + options_.settle_timeout;
   while (clock_.Now() < end) {
     co_await core::SleepFor(options_.retry_pause);
     if (co_await TrySettleOnce(key, value, claim)) co_return;
@@ -149,9 +149,9 @@
     if (claim.state != ClaimState::kVoid) co_return true;
     co_return (co_await store_.CompareAndSwap(key, 0, value, "")).swapped;
   }
-  const Claim standing = DecodeClaim(entry->value);
-  if (standing.attempt != claim.attempt) co_return true;
-  if (standing.state == claim.state) co_return true;
+  const Claim existing = DecodeClaim(entry->value);
+  if (existing.attempt != claim.attempt) co_return true;
+  if (existing.state == claim.state) co_return true;
   const auto result =
       co_await store_.CompareAndSwap(key, entry->revision, value, "");
   co_return result.swapped;
--- a/src/entry/claim_store_base.h
+++ b/src/entry/claim_store_base.h
@@ -19,10 +19,10 @@
 
 struct ClaimStoreOptions {
   /** How long Acquire retries while the service does not answer. */
-  std::chrono::milliseconds patience{1500};
+  std::chrono::milliseconds acquire_timeout{1500};
   std::chrono::milliseconds retry_pause{50};
   /** How long Settle retries in the background. */
-  std::chrono::milliseconds settle_limit{600'000};
+  std::chrono::milliseconds settle_timeout{600'000};
   /** Values above this size are not written; the answer is then dropped from
    * the claim. */
   std::size_t max_value_bytes = 900'000;
@@ -74,7 +74,7 @@
   core::Task<bool> TrySettleOnce(std::string key, std::string value,
                                  Claim claim);
   /** Records an own attempt that was not and will not be dispatched. */
-  void NoteVoided(const core::AttemptId& attempt);
+  void RecordVoided(const core::AttemptId& attempt);
   [[nodiscard]] bool IsVoid(const Claim& claim) const;
   core::Task<AcquireResult> TryAcquire(std::string key, Claim claim);
 
--- a/src/entry/claim_type.h
+++ b/src/entry/claim_type.h
@@ -30,7 +30,7 @@
   /** Random per attempt; distinguishes this entry's own write from others. */
   core::AttemptId attempt;
   /** The entry that runs the request. */
-  core::VmId home;
+  core::VmId entry;
   ClaimState state = ClaimState::kClaimed;
   /** Fingerprint of the request; the same key with another request is refused.
    */
--- a/src/entry/config_store.cc
+++ b/src/entry/config_store.cc
@@ -54,7 +54,7 @@
   return next;
 }
 
-core::Error Conflict(const core::PlanId& id, const ConfigHead& head) {
+core::Error ConflictError(const core::PlanId& id, const ConfigHead& head) {
   return core::Error(
       ErrorCode::kPlanConflict,
       fmt::format("plan {}: version {} (plan {}) came into force first; make "
@@ -63,16 +63,16 @@
 }
 
 /** Result of one attempt at a write that may be repeated. */
-struct Attempt {
+struct WriteAttempt {
   std::optional<external::CasResult> result;
   /** Set if there is no result. */
   ErrorCode failure = ErrorCode::kInternal;
   std::string reason;
 };
 
-core::Task<Attempt> TryCas(external::KeyValueStore& store, std::string key,
-                           std::int64_t expected, std::string value) {
-  Attempt attempt;
+core::Task<WriteAttempt> TryCas(external::KeyValueStore& store, std::string key,
+                                std::int64_t expected, std::string value) {
+  WriteAttempt attempt;
   try {
     attempt.result = co_await store.CompareAndSwap(
         std::move(key), expected, std::move(value), std::string());
@@ -90,8 +90,8 @@
 /** Runs a save and turns its error into a failed attempt. Whether the record
  * was stored does not matter, as the plan's id is not returned after a failure:
  * both kinds of failure mean the same to an operator. */
-core::Task<Attempt> TrySave(core::Task<> save) {
-  Attempt attempt;
+core::Task<WriteAttempt> TrySave(core::Task<> save) {
+  WriteAttempt attempt;
   try {
     co_await std::move(save);
   } catch (const core::Error& e) {
@@ -131,7 +131,7 @@
       {plan.base_version + 1, plan.id, std::move(wanted)});
   PlanRecord record{plan.id, plan.base_version, contract::HashesOf(encoded), "",
                     0};
-  const Attempt attempt = co_await TrySave(SaveRecord(record, encoded));
+  const WriteAttempt attempt = co_await TrySave(SaveRecord(record, encoded));
   if (!attempt.reason.empty()) {
     throw core::Error(ErrorCode::kPlatformUnavailable,
                       "the plan was not kept and nothing was changed; make it "
@@ -194,7 +194,7 @@
     }
     if (!entry) {
       const StoredHead now = co_await ReadHead(store_);
-      throw Conflict(record.id, now.head);
+      throw ConflictError(record.id, now.head);
     }
     encoded.parts.push_back({hash, entry->value});
   }
@@ -231,7 +231,7 @@
   if (VersionOf(before.head, id) == 0) {
     record = co_await ReadRecord(id);
     if (record.confirmed_version != 0) co_return record.confirmed_version;
-    before = co_await ReadHeadFrom(record.base_version);
+    before = co_await ReadHeadAtLeast(record.base_version);
   }
   const std::int64_t earlier = VersionOf(before.head, id);
   if (earlier != 0) {
@@ -239,7 +239,7 @@
     co_return earlier;
   }
   if (record.base_version != before.head.version) {
-    throw Conflict(id, before.head);
+    throw ConflictError(id, before.head);
   }
   co_return co_await PutInForce(std::move(record), std::move(before));
 }
@@ -255,11 +255,11 @@
   co_await PutParts(before.head, encoded);
   const std::vector<external::KvEntry> replaced =
       co_await ReadReplaced(before.head, next.part_hashes);
-  record.confirmed_version = co_await Swap(before, next);
+  record.confirmed_version = co_await SwapHead(before, next);
   parts_.Adopt(std::move(encoded));
   log_.Event(LogLevel::kInfo, LogCategory::kAdmin, "plan_confirmed",
              {{"plan", record.id}, {"version", record.confirmed_version}});
-  co_await AfterConfirm(record, replaced);
+  co_await CleanUpAfterConfirm(record, replaced);
   co_return record.confirmed_version;
 }
 
@@ -268,7 +268,7 @@
 // that the plan can't come into force any more, and then it does. Versions only
 // increase, so a head above the base proves a conflict, but one below it proves
 // nothing.
-core::Task<StoredHead> ConfigStore::ReadHeadFrom(std::int64_t version) {
+core::Task<StoredHead> ConfigStore::ReadHeadAtLeast(std::int64_t version) {
   const core::SteadyTime deadline = clock_.Now() + options_.confirm_timeout;
   while (true) {
     StoredHead stored = co_await ReadHead(store_);
@@ -299,7 +299,7 @@
 core::Task<> ConfigStore::PutPart(Part part) {
   std::int64_t expected = 0;
   for (int i = 0; i < kPartAttempts; ++i) {
-    const Attempt attempt =
+    const WriteAttempt attempt =
         co_await TryCas(store_, PartKey(part.hash), expected, part.data);
     if (!attempt.result) {
       co_await core::SleepFor(options_.retry_pause);
@@ -332,12 +332,13 @@
 // they arrive. A failed attempt returns the current head, whose history shows
 // whether this plan was confirmed. Only a newer head without this plan proves
 // that no attempt can take effect any more.
-core::Task<std::int64_t> ConfigStore::Swap(StoredHead before, ConfigHead next) {
+core::Task<std::int64_t> ConfigStore::SwapHead(StoredHead before,
+                                               ConfigHead next) {
   const std::string value = contract::HeadToJson(next);
   const core::SteadyTime deadline = clock_.Now() + options_.confirm_timeout;
   bool may_have_landed = false;
   while (true) {
-    const Attempt attempt =
+    const WriteAttempt attempt =
         co_await TryCas(store_, std::string(kHeadKey), before.revision, value);
     if (attempt.result && attempt.result->swapped) co_return next.version;
     if (attempt.result) {
@@ -347,7 +348,7 @@
               : ConfigHead();
       const std::int64_t version = VersionOf(now, next.plan);
       if (version != 0) co_return version;
-      throw Conflict(next.plan, now);
+      throw ConflictError(next.plan, now);
     }
     if (attempt.failure == ErrorCode::kPlatformUnknownOutcome) {
       may_have_landed = true;
@@ -364,7 +365,7 @@
 
 // Cleanup only: a failure leaves unused keys behind, or a plan whose
 // confirmation is recorded only in the head's history.
-core::Task<> ConfigStore::AfterConfirm(
+core::Task<> ConfigStore::CleanUpAfterConfirm(
     PlanRecord record, std::vector<external::KvEntry> replaced) {
   try {
     const std::optional<external::KvEntry> saved =
--- a/src/entry/config_store_base.h
+++ b/src/entry/config_store_base.h
@@ -80,7 +80,7 @@
   core::Task<> AdoptNewest();
   core::Task<> SaveRecord(PlanRecord record, contract::EncodedConfig encoded);
   core::Task<PlanRecord> ReadRecord(core::PlanId id);
-  core::Task<StoredHead> ReadHeadFrom(std::int64_t version);
+  core::Task<StoredHead> ReadHeadAtLeast(std::int64_t version);
   core::Task<std::int64_t> PutInForce(PlanRecord record, StoredHead before);
   core::Task<contract::EncodedConfig> ReadParts(PlanRecord record,
                                                 std::int64_t version);
@@ -89,9 +89,10 @@
   core::Task<> PutParts(contract::ConfigHead before,
                         contract::EncodedConfig encoded);
   core::Task<> PutPart(contract::Part part);
-  core::Task<std::int64_t> Swap(StoredHead before, contract::ConfigHead next);
-  core::Task<> AfterConfirm(PlanRecord record,
-                            std::vector<external::KvEntry> replaced);
+  core::Task<std::int64_t> SwapHead(StoredHead before,
+                                    contract::ConfigHead next);
+  core::Task<> CleanUpAfterConfirm(PlanRecord record,
+                                   std::vector<external::KvEntry> replaced);
 
   const ConfigStoreOptions options_;
   external::KeyValueStore& store_;
--- a/src/entry/config_store_test.cc
+++ b/src/entry/config_store_test.cc
@@ -133,10 +133,10 @@
 // and another plan. It must not restore the older configuration.
 BOOST_FIXTURE_TEST_CASE(LateWriteDoesNoHarm, Fixture) {
   const core::PlanId first = Plan(a, RandomIntent(random, 30));
-  kv.head_faults = {WriteFault::kLandsLate};
+  kv.head_faults = {WriteFault::kTakesEffectLate};
   BOOST_TEST(Confirm(a, first) == 1);
   BOOST_TEST(Confirm(b, Plan(b, RandomIntent(random, 30))) == 2);
-  kv.LandLate();
+  kv.ApplyLateWrites();
   BOOST_TEST(Fresh()->version == 2);
 }
 
@@ -145,10 +145,10 @@
 // must return its version and change nothing.
 BOOST_FIXTURE_TEST_CASE(UnknownOutcomeIsSaidAndSettledLater, Fixture) {
   const core::PlanId id = Plan(a, RandomIntent(random, 30));
-  kv.head_faults.assign(1'000, WriteFault::kLandsLate);
+  kv.head_faults.assign(1'000, WriteFault::kTakesEffectLate);
   CheckRefused(a, id, ErrorCode::kPlatformUnknownOutcome);
   kv.head_faults.clear();
-  kv.LandLate();
+  kv.ApplyLateWrites();
   BOOST_TEST(Confirm(b, id) == 1);
   BOOST_TEST(Fresh()->version == 1);
 }
@@ -172,11 +172,11 @@
 // effect any more, and the first plan must get a conflict.
 BOOST_FIXTURE_TEST_CASE(UnknownOutcomeBecomesConflict, Fixture) {
   const core::PlanId id = Plan(a, RandomIntent(random, 30));
-  kv.head_faults.assign(1'000, WriteFault::kLandsLate);
+  kv.head_faults.assign(1'000, WriteFault::kTakesEffectLate);
   CheckRefused(a, id, ErrorCode::kPlatformUnknownOutcome);
   kv.head_faults.clear();
   BOOST_TEST(Confirm(b, Plan(b, RandomIntent(random, 30))) == 1);
-  kv.LandLate();
+  kv.ApplyLateWrites();
   CheckRefused(a, id, ErrorCode::kPlanConflict);
   BOOST_TEST(Fresh()->version == 1);
 }
@@ -200,15 +200,15 @@
   const auto older = kv.Peek("config/head");
   const core::PlanId on_older = Plan(a, RandomIntent(random, 30));
   Confirm(b, Plan(b, RandomIntent(random, 30)));
-  kv.head_shown = {older};
+  kv.head_overrides = {older};
   CheckRefused(a, on_older, ErrorCode::kPlanConflict);
-  kv.head_shown = {older};
+  kv.head_overrides = {older};
   const core::PlanId on_newer = Plan(b, RandomIntent(random, 30));
-  kv.head_shown.assign(1'000, older);
+  kv.head_overrides.assign(1'000, older);
   CheckRefused(b, on_newer, ErrorCode::kPlatformUnavailable);
-  kv.head_shown.clear();
+  kv.head_overrides.clear();
   BOOST_TEST(Fresh()->version == 2);
-  kv.head_shown = {older, older};
+  kv.head_overrides = {older, older};
   BOOST_TEST(Confirm(b, on_newer) == 3);
 }
 
--- a/src/entry/config_watch.cc
+++ b/src/entry/config_watch.cc
@@ -33,11 +33,11 @@
   }
 
   /** Puts a head in force; counts and ignores an older one. */
-  static core::Task<> Take(std::shared_ptr<State> self,
-                           contract::ConfigHead head) {
+  static core::Task<> ApplyHead(std::shared_ptr<State> self,
+                                contract::ConfigHead head) {
     const auto have = self->parts.Current();
     if (have && have->version > head.version) {
-      self->Count(&ConfigWatchCounters::older_seen);
+      self->Count(&ConfigWatchCounters::older_heads);
       self->log.Event(LogLevel::kWarning, LogCategory::kConfig,
                       "config_older_shown",
                       {{"in_force", have->version}, {"shown", head.version}});
@@ -57,17 +57,17 @@
     StoredHead stored = co_await ReadHead(self->store);
     const std::int64_t revision = stored.revision;
     if (revision != 0) {
-      co_await Take(self, std::move(stored.head));
+      co_await ApplyHead(self, std::move(stored.head));
     }
     self->refreshed = asked;
     co_return revision;
   }
 
-  static core::Task<> TakeEvents(std::shared_ptr<State> self,
-                                 std::vector<external::KvEvent> events) {
+  static core::Task<> ApplyEvents(std::shared_ptr<State> self,
+                                  std::vector<external::KvEvent> events) {
     for (const external::KvEvent& event : events) {
       if (event.key != kHeadKey || !event.value) continue;
-      co_await Take(self, contract::HeadFromJson(*event.value));
+      co_await ApplyHead(self, contract::HeadFromJson(*event.value));
     }
   }
 
@@ -89,7 +89,7 @@
         co_await core::SleepFor(self->options.first_pause);
         continue;
       }
-      co_await TakeEvents(self, std::move(batch.events));
+      co_await ApplyEvents(self, std::move(batch.events));
       if (self->clock.Now() - self->refreshed >=
           self->options.refresh_interval) {
         co_await Refresh(self);
@@ -110,7 +110,7 @@
       self->log.Event(LogLevel::kWarning, LogCategory::kConfig,
                       "config_watch_failed", {{"error", failure}});
       co_await core::SleepFor(self->pause);
-      self->pause = std::min(self->pause * 2, self->options.longest_pause);
+      self->pause = std::min(self->pause * 2, self->options.max_pause);
     }
   }
 
--- a/src/entry/config_watch_base.h
+++ b/src/entry/config_watch_base.h
@@ -20,14 +20,14 @@
   std::chrono::milliseconds refresh_interval{60'000};
   /** Pause after a failure; doubles up to the longest. */
   std::chrono::milliseconds first_pause{100};
-  std::chrono::milliseconds longest_pause{5'000};
+  std::chrono::milliseconds max_pause{5'000};
 };
 
 /** Event counts of a watch. */
 struct ConfigWatchCounters {
   std::int64_t adopted = 0;
   /** Heads received that were older than the configuration in force. */
-  std::int64_t older_seen = 0;
+  std::int64_t older_heads = 0;
   std::int64_t gaps = 0;
   std::int64_t failures = 0;
 };
--- a/src/entry/config_watch_test.cc
+++ b/src/entry/config_watch_test.cc
@@ -39,11 +39,11 @@
 
   /** Confirms an intent without any watch reporting it. */
   void ConfirmUnseen(const contract::Intent& wanted) {
-    kv.mute_watches = true;
+    kv.miss_changes = true;
     Confirm(wanted);
     const int before = kv.watches;
     testing::RunUntil(io, [&] { return kv.watches >= before + 2; });
-    kv.mute_watches = false;
+    kv.miss_changes = false;
   }
 
   bool RunUntilVersion(std::int64_t version) {
@@ -104,9 +104,9 @@
   BOOST_TEST(RunUntilVersion(2));
   kv.batches = {{1, {{"config/head", older->value, older->revision}}, false},
                 {1, {}, true}};
-  kv.head_shown = {older};
+  kv.head_overrides = {older};
   BOOST_TEST(
-      testing::RunUntil(io, [&] { return watch.counters().older_seen >= 2; }));
+      testing::RunUntil(io, [&] { return watch.counters().older_heads >= 2; }));
   BOOST_TEST(holder.version() == 2);
   BOOST_CHECK(holder.Current()->intent == newest);
 }
@@ -164,7 +164,7 @@
                     clock, log);
   watch.Stop();
   io.run();
-  kv.head_shown = {older};
+  kv.head_overrides = {older};
   fresh.Start();
   BOOST_TEST(
       testing::RunUntil(io, [&] { return fresh_holder.version() == 2; }));
--- a/src/entry/directory.cc
+++ b/src/entry/directory.cc
@@ -17,7 +17,7 @@
 
 /** Successful reads in a row that must miss a VM before it counts as removed.
  */
-constexpr int kGoneReads = 3;
+constexpr int kRemovalReads = 3;
 constexpr core::Millis kFirstBackoff{100};
 constexpr core::Millis kProbeTimeout{1000};
 
@@ -59,17 +59,17 @@
 
   core::Task<> FollowList();
   core::Task<> ReadListOnce();
-  void TakeList(const std::vector<external::VmRecord>& records);
-  void TakeRecord(const external::VmRecord& record);
-  std::vector<core::VmId> CollectGone(const std::set<core::VmId>& shown);
+  void ApplyList(const std::vector<external::VmRecord>& records);
+  void ApplyRecord(const external::VmRecord& record);
+  std::vector<core::VmId> CollectRemoved(const std::set<core::VmId>& shown);
   void StartFollowers();
   void StartProbes();
 
   core::Task<> FollowEndpoint(core::VmId vm);
   core::Task<> ReadReports(core::VmId vm, std::string address);
-  void TakeReport(const core::VmId& vm, const std::string& address,
-                  gen::EndpointReport report);
-  void TakeLoss(const core::VmId& vm);
+  void ApplyReport(const core::VmId& vm, const std::string& address,
+                   gen::EndpointReport report);
+  void MarkDisconnected(const core::VmId& vm);
   std::optional<std::string> AddressToFollow(const core::VmId& vm);
 
   core::Task<> Probe(core::VmId vm, std::string address);
@@ -87,8 +87,8 @@
   mutable std::mutex mutex;
   bool stopped = false;
   bool self_leaving = false;
-  bool list_seen = false;
-  bool self_seen = false;
+  bool has_list = false;
+  bool self_was_listed = false;
   std::uint64_t revision = 0;
   std::map<core::VmId, TrackedVm> vms;
   std::map<core::EndpointId, KnownEndpoint> endpoints;
@@ -96,11 +96,11 @@
    */
   std::set<core::VmId> followers;
   /** Endpoints that have reported or have failed to since the start. */
-  std::set<core::VmId> tried;
+  std::set<core::VmId> contacted;
   std::map<core::VmId, std::shared_ptr<link::Call>> calls;
   std::vector<std::function<void()>> change_listeners;
   std::vector<std::function<void(const KnownEndpoint&)>> endpoint_listeners;
-  std::vector<std::function<void(const core::VmId&)>> gone_listeners;
+  std::vector<std::function<void(const core::VmId&)>> removed_listeners;
 };
 
 bool Directory::State::IsStopped() const {
@@ -139,12 +139,12 @@
     log.Event(LogLevel::kWarning, LogCategory::kPlatform, "vm_list_failed",
               {{"error", e.what()}});
   }
-  if (!records.empty()) TakeList(records);
+  if (!records.empty()) ApplyList(records);
   StartFollowers();
   StartProbes();
 }
 
-void Directory::State::TakeRecord(const external::VmRecord& record) {
+void Directory::State::ApplyRecord(const external::VmRecord& record) {
   TrackedVm& tracked = vms[record.vm];
   tracked.record = record;
   tracked.missed_reads = 0;
@@ -155,18 +155,18 @@
       known.report.leaving || record.state == external::VmState::kLeaving;
 }
 
-std::vector<core::VmId> Directory::State::CollectGone(
+std::vector<core::VmId> Directory::State::CollectRemoved(
     const std::set<core::VmId>& shown) {
   std::vector<core::VmId> gone;
   // Failure: a list service that has restarted or lags returns an incomplete
   // list. This entry itself is then missing from it, though it was listed
   // before. Such a list does not count as evidence that other VMs are gone.
-  if (self_seen && !shown.contains(options.self)) return gone;
+  if (self_was_listed && !shown.contains(options.self)) return gone;
   for (auto& [vm, tracked] : vms) {
     if (shown.contains(vm)) continue;
     if (tracked.missed_reads++ == 0) tracked.missing_since = clock.Now();
-    if (tracked.missed_reads < kGoneReads) continue;
-    if (clock.Now() - tracked.missing_since < options.gone_grace) continue;
+    if (tracked.missed_reads < kRemovalReads) continue;
+    if (clock.Now() - tracked.missing_since < options.removal_grace) continue;
     // Failure: the list drops a VM that still runs and may hold a replica. As
     // long as its link is up, the VM does not count as removed.
     const auto it = endpoints.find(core::EndpointId(vm.value()));
@@ -175,34 +175,34 @@
   }
   for (const core::VmId& vm : gone) {
     vms.erase(vm);
-    tried.erase(vm);
+    contacted.erase(vm);
     endpoints.erase(core::EndpointId(vm.value()));
   }
   return gone;
 }
 
-void Directory::State::TakeList(
+void Directory::State::ApplyList(
     const std::vector<external::VmRecord>& records) {
   std::vector<core::VmId> gone;
   std::vector<KnownEndpoint> turned;
   std::vector<std::function<void(const core::VmId&)>> listeners;
   {
     const std::lock_guard lock(mutex);
-    list_seen = true;
+    has_list = true;
     std::set<core::VmId> shown;
     for (const external::VmRecord& record : records) {
       shown.insert(record.vm);
       const auto it = endpoints.find(core::EndpointId(record.vm.value()));
       const bool was_leaving = it != endpoints.end() && it->second.leaving;
-      TakeRecord(record);
+      ApplyRecord(record);
       if (it != endpoints.end() && it->second.leaving != was_leaving) {
         it->second.revision = ++revision;
         turned.push_back(it->second);
       }
     }
-    gone = CollectGone(shown);
-    self_seen = self_seen || shown.contains(options.self);
-    listeners = gone_listeners;
+    gone = CollectRemoved(shown);
+    self_was_listed = self_was_listed || shown.contains(options.self);
+    listeners = removed_listeners;
   }
   for (const KnownEndpoint& endpoint : turned) Notify(&endpoint);
   for (const core::VmId& vm : gone) {
@@ -250,7 +250,7 @@
       log.Event(LogLevel::kInfo, LogCategory::kLink, "endpoint_lost",
                 {{"endpoint", vm}, {"error", e.what()}});
     }
-    TakeLoss(vm);
+    MarkDisconnected(vm);
     if (clock.Now() - started > options.max_backoff) backoff = kFirstBackoff;
     co_await core::SleepFor(Jittered(backoff));
     backoff = std::min(backoff * 2, options.max_backoff);
@@ -275,13 +275,13 @@
           core::ErrorCode::kLinkLost,
           "the address belongs to " + message.endpoint_report.endpoint);
     }
-    TakeReport(vm, address, std::move(message.endpoint_report));
+    ApplyReport(vm, address, std::move(message.endpoint_report));
   }
 }
 
-void Directory::State::TakeReport(const core::VmId& vm,
-                                  const std::string& address,
-                                  gen::EndpointReport report) {
+void Directory::State::ApplyReport(const core::VmId& vm,
+                                   const std::string& address,
+                                   gen::EndpointReport report) {
   KnownEndpoint copy;
   {
     const std::lock_guard lock(mutex);
@@ -289,7 +289,7 @@
     if (listed == vms.end()) return;
     const bool list_says =
         listed->second.record.state == external::VmState::kLeaving;
-    tried.insert(vm);
+    contacted.insert(vm);
     const core::EndpointId id(vm.value());
     KnownEndpoint& known = endpoints[id];
     known.id = id;
@@ -304,12 +304,12 @@
   Notify(&copy);
 }
 
-void Directory::State::TakeLoss(const core::VmId& vm) {
+void Directory::State::MarkDisconnected(const core::VmId& vm) {
   KnownEndpoint copy;
   {
     const std::lock_guard lock(mutex);
     calls.erase(vm);
-    tried.insert(vm);
+    contacted.insert(vm);
     const auto it = endpoints.find(core::EndpointId(vm.value()));
     if (it == endpoints.end() || !it->second.connected) return;
     it->second.connected = false;
@@ -428,13 +428,13 @@
   return entries;
 }
 
-void Directory::NoteUnreachable(const core::VmId& entry) {
+void Directory::MarkUnreachable(const core::VmId& entry) {
   const std::lock_guard lock(state_->mutex);
   const auto it = state_->vms.find(entry);
   if (it != state_->vms.end()) it->second.unreachable = true;
 }
 
-void Directory::NoteSelfLeaving() {
+void Directory::MarkSelfLeaving() {
   {
     const std::lock_guard lock(state_->mutex);
     state_->self_leaving = true;
@@ -447,22 +447,23 @@
   state_->change_listeners.push_back(std::move(listener));
 }
 
-void Directory::OnEndpoint(std::function<void(const KnownEndpoint&)> listener) {
+void Directory::OnEndpointChange(
+    std::function<void(const KnownEndpoint&)> listener) {
   const std::lock_guard lock(state_->mutex);
   state_->endpoint_listeners.push_back(std::move(listener));
 }
 
-bool Directory::settled() const {
+bool Directory::initial_reports_done() const {
   const std::lock_guard lock(state_->mutex);
   const auto is_known = [this](const auto& item) {
     return item.second.record.role != external::VmRole::kEndpoint ||
-           state_->tried.contains(item.first);
+           state_->contacted.contains(item.first);
   };
-  return state_->list_seen &&
+  return state_->has_list &&
          std::all_of(state_->vms.begin(), state_->vms.end(), is_known);
 }
 
-std::vector<external::VmRecord> Directory::Listed() const {
+std::vector<external::VmRecord> Directory::ListedVms() const {
   const std::lock_guard lock(state_->mutex);
   std::vector<external::VmRecord> records;
   records.reserve(state_->vms.size());
@@ -472,19 +473,19 @@
   return records;
 }
 
-bool Directory::list_seen() const {
+bool Directory::has_list() const {
   const std::lock_guard lock(state_->mutex);
-  return state_->list_seen;
+  return state_->has_list;
 }
 
-bool Directory::Lists(const core::VmId& vm) const {
+bool Directory::IsListed(const core::VmId& vm) const {
   const std::lock_guard lock(state_->mutex);
   return state_->vms.contains(vm);
 }
 
-void Directory::OnGone(std::function<void(const core::VmId&)> listener) {
+void Directory::OnVmRemoved(std::function<void(const core::VmId&)> listener) {
   const std::lock_guard lock(state_->mutex);
-  state_->gone_listeners.push_back(std::move(listener));
+  state_->removed_listeners.push_back(std::move(listener));
 }
 
 }  // namespace sapphire::entry
--- a/src/entry/directory_base.h
+++ b/src/entry/directory_base.h
@@ -48,7 +48,7 @@
   core::VmId self;
   std::chrono::milliseconds list_interval{1000};
   /** A VM missing from the list for this long counts as removed. */
-  std::chrono::milliseconds gone_grace{10000};
+  std::chrono::milliseconds removal_grace{10000};
   /** Longest pause between two attempts to subscribe to one endpoint. */
   std::chrono::milliseconds max_backoff{2000};
   /** After this long without a report the endpoint is subscribed to again. */
@@ -90,35 +90,36 @@
 
   /** Excludes an entry from Entries until a probe reaches it again, so that an
    * unreachable primary entry is skipped. */
-  void NoteUnreachable(const core::VmId& entry);
+  void MarkUnreachable(const core::VmId& entry);
 
   /** Marks this entry as leaving and excludes it from Entries. */
-  void NoteSelfLeaving();
+  void MarkSelfLeaving();
 
   /** Calls `listener` after any change; on any thread, must not block. */
   void OnChange(std::function<void()> listener);
 
   /** Calls `listener` with each endpoint whose report, link or leaving state
    * changed; on any thread, must not block. */
-  void OnEndpoint(std::function<void(const KnownEndpoint&)> listener);
+  void OnEndpointChange(std::function<void(const KnownEndpoint&)> listener);
 
   /** @return True once each endpoint of the list has reported or has failed to.
    * Before that an entry that has just started knows too little to refuse. */
-  [[nodiscard]] bool settled() const;
+  [[nodiscard]] bool initial_reports_done() const;
 
   /** @return Every VM of the list, also those that can't be reached. */
-  [[nodiscard]] std::vector<external::VmRecord> Listed() const;
+  [[nodiscard]] std::vector<external::VmRecord> ListedVms() const;
 
   /** @return True unless every read of the list so far has failed. */
-  [[nodiscard]] bool list_seen() const;
+  [[nodiscard]] bool has_list() const;
 
-  /** @return True if the list shows this VM, or did less than `gone_grace` ago.
+  /** @return True if the list shows this VM, or did less than `removal_grace`
+   * ago.
    */
-  [[nodiscard]] bool Lists(const core::VmId& vm) const;
+  [[nodiscard]] bool IsListed(const core::VmId& vm) const;
 
   /** Calls `listener` once for each VM that has been missing from the list for
-   * `gone_grace` without a break and counts as removed. */
-  void OnGone(std::function<void(const core::VmId&)> listener);
+   * `removal_grace` without a break and counts as removed. */
+  void OnVmRemoved(std::function<void(const core::VmId&)> listener);
 
  private:
   struct State;
--- a/src/entry/directory_test.cc
+++ b/src/entry/directory_test.cc
@@ -55,7 +55,7 @@
 BOOST_AUTO_TEST_CASE(ListThatIsDownChangesNothing) {
   Fleet fleet;
   std::atomic<int> gone{0};
-  fleet.entry->directory().OnGone([&gone](const core::VmId&) { ++gone; });
+  fleet.entry->directory().OnVmRemoved([&gone](const core::VmId&) { ++gone; });
   fleet.list.down = true;
   fleet.AwaitReads(15);
   BOOST_TEST(fleet.Connected() == 2);
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -24,14 +24,14 @@
     case AttemptEnd::kCrashed:
       return gen::RunResult::ENGINE_CRASHED;
     case AttemptEnd::kUnknown:
-    case AttemptEnd::kSinkGone:
+    case AttemptEnd::kSinkClosed:
       return gen::RunResult::ABANDONED;
   }
   return gen::RunResult::ABANDONED;
 }
 
-bool MayTryAgain(const AttemptResult& result) {
-  if (result.end == AttemptEnd::kSinkGone) return false;
+bool MayRetry(const AttemptResult& result) {
+  if (result.end == AttemptEnd::kSinkClosed) return false;
   return result.error->code() != ErrorCode::kTimedOut;
 }
 
@@ -45,7 +45,7 @@
                        AnswerSink& sink) {
   {
     const std::lock_guard lock(budget_mutex_);
-    policy::RecordFirstTry(budget_);
+    policy::RecordFirstTry(retry_budget_);
   }
   std::set<core::EndpointId> avoid;
   // Error of the newest attempt that may have run. From then on the outcome
@@ -63,12 +63,12 @@
     }
     if (refused) throw may_have_run ? *may_have_run : *refused;
     const AttemptResult result =
-        co_await RunAtPlace(*place, run, deadline, sink);
+        co_await RunAtPlacement(*place, run, deadline, sink);
     if (result.end == AttemptEnd::kCompleted) co_return;
     if (result.end != AttemptEnd::kNotStarted) may_have_run = result.error;
     // Once a part was sent there is no retry; the receiver gets an explicit
     // error.
-    if (sink.started() || attempt == kMaxAttempts || !MayTryAgain(result) ||
+    if (sink.started() || attempt == kMaxAttempts || !MayRetry(result) ||
         !TakeRetryToken()) {
       throw may_have_run ? *may_have_run : *result.error;
     }
@@ -77,9 +77,9 @@
   }
 }
 
-Task<AttemptResult> Dispatcher::RunAtPlace(Placement& place, gen::Run run,
-                                           core::SteadyTime deadline,
-                                           AnswerSink& sink) {
+Task<AttemptResult> Dispatcher::RunAtPlacement(Placement& place, gen::Run run,
+                                               core::SteadyTime deadline,
+                                               AnswerSink& sink) {
   const gen::Placed placed = place.placed();
   run.attempt_id = core::RandomHexId();
   run.keep_alive_ms = placed.keep_alive_ms;
@@ -101,7 +101,7 @@
  * entry, so that retries do not overload a failing fleet. */
 bool Dispatcher::TakeRetryToken() {
   const std::lock_guard lock(budget_mutex_);
-  return policy::TakeRetry(budget_);
+  return policy::TakeRetry(retry_budget_);
 }
 
 }  // namespace sapphire::entry
--- a/src/entry/dispatcher_base.h
+++ b/src/entry/dispatcher_base.h
@@ -34,9 +34,9 @@
   core::Task<> Run(gen::Run run, core::SteadyTime deadline, AnswerSink& sink);
 
  private:
-  core::Task<AttemptResult> RunAtPlace(Placement& place, gen::Run run,
-                                       core::SteadyTime deadline,
-                                       AnswerSink& sink);
+  core::Task<AttemptResult> RunAtPlacement(Placement& place, gen::Run run,
+                                           core::SteadyTime deadline,
+                                           AnswerSink& sink);
   bool TakeRetryToken();
 
   Placer& placer_;
@@ -44,7 +44,7 @@
   const core::Clock& clock_;
   const core::Logger& log_;
   std::mutex budget_mutex_;
-  policy::RetryBudget budget_;
+  policy::RetryBudget retry_budget_;
 };
 
 }  // namespace sapphire::entry
--- a/src/entry/entry.cc
+++ b/src/entry/entry.cc
@@ -22,12 +22,12 @@
 constexpr milliseconds kDrainPoll{20};
 
 /** Increments a counter for the duration of a scope. */
-class Counted {
+class ScopedCount {
  public:
-  explicit Counted(std::atomic<int>& count) : count_(count) { ++count_; }
-  ~Counted() { --count_; }
-  Counted(const Counted&) = delete;
-  Counted& operator=(const Counted&) = delete;
+  explicit ScopedCount(std::atomic<int>& count) : count_(count) { ++count_; }
+  ~ScopedCount() { --count_; }
+  ScopedCount(const ScopedCount&) = delete;
+  ScopedCount& operator=(const ScopedCount&) = delete;
 
  private:
   std::atomic<int>& count_;
@@ -40,10 +40,10 @@
   return admin;
 }
 
-GatewayParts PartsOf(contract::ConfigHolder& config, Directory& directory,
-                     Placer& placer, Dispatcher& dispatcher, OnceRunner& once,
-                     link::LinkNode& links, Metrics& metrics,
-                     const core::Clock& clock, const core::Logger& log) {
+GatewayDependencies MakeGatewayDependencies(
+    contract::ConfigHolder& config, Directory& directory, Placer& placer,
+    Dispatcher& dispatcher, OnceRunner& once, link::LinkNode& links,
+    Metrics& metrics, const core::Clock& clock, const core::Logger& log) {
   return {config, directory, placer, dispatcher, once,
           links,  metrics,   clock,  log};
 }
@@ -70,16 +70,18 @@
                  links_, clock, log),
       config_watch_(executor, {}, store, config_parts_, clock, log),
       config_store_({}, store, config_, config_parts_, clock, log),
-      home_(executor, options.home, config_, directory_, links_, store, clock,
-            log),
-      placer_(executor, options.vm, directory_, home_, links_, clock, log),
+      scheduler_(executor, options.scheduler, config_, directory_, links_,
+                 store, clock, log),
+      placer_(executor, options.vm, directory_, scheduler_, links_, clock, log),
       dispatcher_(placer_, links_, clock, log),
       claims_(executor, options.claims, store, clock, log),
-      once_(executor, {options.vm, options.keep_ended, milliseconds(2000)},
-            claims_, placer_, links_, clock, log),
-      gateway_(options.vm, options.callers,
-               PartsOf(config_, directory_, placer_, dispatcher_, once_, links_,
-                       metrics, clock, log)),
+      once_runner_(executor,
+                   {options.vm, options.finished_retention, milliseconds(2000)},
+                   claims_, placer_, links_, clock, log),
+      gateway_(
+          options.vm, options.callers,
+          MakeGatewayDependencies(config_, directory_, placer_, dispatcher_,
+                                  once_runner_, links_, metrics, clock, log)),
       admin_(AdminOptionsOf(options), config_, config_store_, directory_,
              links_, clock, log),
       http_(
@@ -106,7 +108,7 @@
  * resumed from a freeze or is partitioned refuses every request with
  * no_endpoint. While it is not ready, the balancer sends it none, until a link
  * is up again. */
-bool Entry::Ready() const {
+bool Entry::IsReady() const {
   if (leaving_ || config_.version() == 0) return false;
   const std::vector<KnownEndpoint> endpoints = directory_.Endpoints();
   return std::any_of(endpoints.begin(), endpoints.end(),
@@ -132,18 +134,18 @@
   return counts;
 }
 
-Levels Entry::CurrentLevels() const {
-  Levels levels;
+MetricValues Entry::CurrentMetricValues() const {
+  MetricValues levels;
   levels.config_version = config_.version();
   levels.requests_in_progress = http_.in_progress();
-  levels.once_runs_in_progress = once_.in_progress();
+  levels.once_runs_in_progress = once_runner_.in_progress();
   for (const KnownEndpoint& endpoint : directory_.Endpoints()) {
     levels.endpoints_connected += endpoint.connected ? 1 : 0;
   }
   levels.entries_live = static_cast<int>(directory_.Entries().size());
   levels.leaving = leaving_;
   levels.services = CountReplicas();
-  levels.home = home_.stats();
+  levels.scheduler = scheduler_.stats();
   levels.links = links_.counters();
   return levels;
 }
@@ -151,20 +153,21 @@
 Task<> Entry::AnswerHttp(const http::Request& request,
                          http::ResponseWriter& writer) {
   const std::string path(http::PathOf(request.target));
-  if (Admin::Owns(request.target)) {
+  if (Admin::IsAdminPath(request.target)) {
     co_await admin_.Handle(request, writer);
   } else if (path == "/metrics" || path == "/healthz" || path == "/readyz") {
-    co_await AnswerPlainPath(path, writer);
+    co_await AnswerMonitoringPath(path, writer);
   } else {
     co_await gateway_.Handle(request, writer);
   }
 }
 
-Task<> Entry::AnswerPlainPath(std::string path, http::ResponseWriter& writer) {
+Task<> Entry::AnswerMonitoringPath(std::string path,
+                                   http::ResponseWriter& writer) {
   http::Response response;
   if (path == "/metrics") {
-    response = http::MetricsResponse(metrics_.Text(CurrentLevels()));
-  } else if (path == "/readyz" && !Ready()) {
+    response = http::MetricsResponse(metrics_.Text(CurrentMetricValues()));
+  } else if (path == "/readyz" && !IsReady()) {
     response = http::MakeResponse(kUnavailable, "text/plain", "not ready\n");
   } else {
     response = http::MakeResponse(kOk, "text/plain", "ok\n");
@@ -174,10 +177,10 @@
 
 Task<> Entry::AnswerCall(std::shared_ptr<link::Call> call, gen::Message first) {
   if (first.__isset.place) {
-    const Counted counted(home_calls_);
-    co_await home_.Serve(std::move(call), std::move(first.place));
+    const ScopedCount counted(peer_calls_);
+    co_await scheduler_.Serve(std::move(call), std::move(first.place));
   } else if (first.__isset.run) {
-    const Counted counted(home_calls_);
+    const ScopedCount counted(peer_calls_);
     co_await AnswerRun(std::move(call), std::move(first.run));
   } else if (first.__isset.config_pull) {
     co_await puller_.Serve(std::move(call), std::move(first.config_pull));
@@ -194,28 +197,28 @@
   }
   const auto deadline = clock_.Now() + milliseconds(run.remaining_ms);
   CallSink sink(call);
-  co_await once_.Run(std::move(run), deadline, sink);
+  co_await once_runner_.Run(std::move(run), deadline, sink);
 }
 
-bool Entry::Idle() const {
-  return http_.in_progress() == 0 && home_calls_ == 0 &&
-         once_.in_progress() == 0;
+bool Entry::IsIdle() const {
+  return http_.in_progress() == 0 && peer_calls_ == 0 &&
+         once_runner_.in_progress() == 0;
 }
 
 Task<bool> Entry::Leave() {
   leaving_ = true;
-  directory_.NoteSelfLeaving();
+  directory_.MarkSelfLeaving();
   log_.Event(LogLevel::kInfo, LogCategory::kProcess, "leaving");
   co_await core::SleepFor(options_.lame_duck);
   http_.StopAccepting();
   links_.StopAccepting();
-  const auto limit = clock_.Now() + options_.drain_limit;
-  while (!Idle() && clock_.Now() < limit) {
+  const auto limit = clock_.Now() + options_.drain_timeout;
+  while (!IsIdle() && clock_.Now() < limit) {
     co_await core::SleepFor(kDrainPoll);
   }
   directory_.Stop();
   config_watch_.Stop();
-  const bool whole = Idle();
+  const bool whole = IsIdle();
   log_.Event(LogLevel::kInfo, LogCategory::kProcess, "left",
              {{"whole", whole}});
   co_return whole;
--- a/src/entry/entry_base.h
+++ b/src/entry/entry_base.h
@@ -39,12 +39,12 @@
   link::LinkOptions links;
   http::ServerLimits http;
   CallerLimits callers;
-  HomeOptions home;
+  SchedulerOptions scheduler;
   ClaimStoreOptions claims;
-  std::chrono::milliseconds keep_ended{60'000};
+  std::chrono::milliseconds finished_retention{60'000};
   std::chrono::milliseconds vm_list_interval{1000};
   std::chrono::milliseconds lame_duck{2000};
-  std::chrono::milliseconds drain_limit{60'000};
+  std::chrono::milliseconds drain_timeout{60'000};
 };
 
 /** Wires the components of an entry and answers HTTP requests and link calls.
@@ -79,14 +79,15 @@
  private:
   core::Task<> AnswerHttp(const http::Request& request,
                           http::ResponseWriter& writer);
-  core::Task<> AnswerPlainPath(std::string path, http::ResponseWriter& writer);
+  core::Task<> AnswerMonitoringPath(std::string path,
+                                    http::ResponseWriter& writer);
   core::Task<> AnswerCall(std::shared_ptr<link::Call> call, gen::Message first);
   core::Task<> AnswerRun(std::shared_ptr<link::Call> call, gen::Run run);
-  [[nodiscard]] bool Ready() const;
+  [[nodiscard]] bool IsReady() const;
   [[nodiscard]] std::map<core::ServiceId, ServiceReplicas> CountReplicas()
       const;
-  [[nodiscard]] Levels CurrentLevels() const;
-  [[nodiscard]] bool Idle() const;
+  [[nodiscard]] MetricValues CurrentMetricValues() const;
+  [[nodiscard]] bool IsIdle() const;
 
   const EntryOptions options_;
   const core::Clock& clock_;
@@ -99,18 +100,18 @@
   Directory directory_;
   ConfigWatch config_watch_;
   ConfigStore config_store_;
-  Home home_;
+  Scheduler scheduler_;
   Placer placer_;
   Dispatcher dispatcher_;
   ClaimStore claims_;
-  OnceRunner once_;
+  OnceRunner once_runner_;
   Gateway gateway_;
   Admin admin_;
   http::Server http_;
   std::string link_address_;
   std::atomic<bool> leaving_{false};
   /** Calls from other entries that this one serves as the primary entry. */
-  std::atomic<int> home_calls_{0};
+  std::atomic<int> peer_calls_{0};
 };
 
 }  // namespace sapphire::entry
--- a/src/entry/estimate_func.h
+++ b/src/entry/estimate_func.h
@@ -19,14 +19,15 @@
 };
 
 /** Adds a measurement to the average. */
-void Learn(Estimate& estimate, core::Millis sample, core::SteadyTime now);
+void RecordSample(Estimate& estimate, core::Millis sample,
+                  core::SteadyTime now);
 
 /**
  * @return The estimate at `now`. A measurement decays towards the guess as it
  *   ages: after one slow load, requests whose time seems too short are refused,
  *   so no new measurement would ever show that loads are fast again.
  */
-core::Millis ValueAt(const Estimate& estimate, core::SteadyTime now);
+core::Millis EstimateAt(const Estimate& estimate, core::SteadyTime now);
 
 /** Load times of one model, by source tier. */
 struct LoadEstimates {
@@ -36,11 +37,11 @@
 };
 
 /** @return Initial guesses from the size of the weights. They are rather too
- * short than too long, for the reason given at ValueAt. */
-LoadEstimates GuessLoads(std::int64_t weight_bytes);
+ * short than too long, for the reason given at EstimateAt. */
+LoadEstimates InitialLoadEstimates(std::int64_t weight_bytes);
 
-void LearnLoad(LoadEstimates& loads, policy::Tier tier, core::Millis sample,
-               core::SteadyTime now);
+void RecordLoadTime(LoadEstimates& loads, policy::Tier tier,
+                    core::Millis sample, core::SteadyTime now);
 
 policy::LoadTimes LoadTimesAt(const LoadEstimates& loads, core::SteadyTime now);
 
--- a/src/entry/fleet_fake_base.h
+++ b/src/entry/fleet_fake_base.h
@@ -105,11 +105,11 @@
 class FakeStore final : public external::KeyValueStore {
  public:
   core::Task<std::optional<external::KvEntry>> Get(std::string key) override {
-    CheckUp();
+    ThrowIfDown();
     co_return Find(key);
   }
   core::Task<std::vector<external::KvEntry>> List(std::string prefix) override {
-    CheckUp();
+    ThrowIfDown();
     const std::lock_guard lock(mutex_);
     std::vector<external::KvEntry> found;
     for (const auto& [key, entry] : entries_) {
@@ -120,7 +120,7 @@
   core::Task<external::CasResult> CompareAndSwap(
       std::string key, std::int64_t expected, std::string value,
       std::string /*lease_id*/) override {
-    CheckUp();
+    ThrowIfDown();
     const auto current = Find(key);
     if ((current ? current->revision : 0) != expected) {
       co_return external::CasResult{false, 0, current};
@@ -131,7 +131,7 @@
     co_return external::CasResult{true, revision_, std::nullopt};
   }
   core::Task<bool> DeleteIf(std::string key, std::int64_t expected) override {
-    CheckUp();
+    ThrowIfDown();
     const auto current = Find(key);
     if (!current || current->revision != expected) co_return false;
     const std::lock_guard lock(mutex_);
@@ -150,7 +150,7 @@
                                          std::int64_t revision,
                                          core::Millis /*wait*/) override {
     co_await core::SleepFor(core::Millis(20));
-    CheckUp();
+    ThrowIfDown();
     co_return external::WatchBatch{revision, {}, true};
   }
 
@@ -168,7 +168,7 @@
   std::atomic<bool> down{false};
 
  private:
-  void CheckUp() const {
+  void ThrowIfDown() const {
     if (down) throw core::Error(core::ErrorCode::kPlatformUnavailable);
   }
   std::mutex mutex_;
@@ -329,23 +329,24 @@
         directory_(threads.executor(),
                    {.self = core::VmId(name),
                     .list_interval = core::Millis(20),
-                    .gone_grace = core::Millis(100),
+                    .removal_grace = core::Millis(100),
                     .max_backoff = core::Millis(200)},
                    list, node_, clock, log) {
     address_ = node_.Listen("127.0.0.1:0");
     list.Add(name, external::VmRole::kEntry, address_);
-    HomeOptions options;
+    SchedulerOptions options;
     options.self = core::VmId(name);
     options.zone = core::ZoneId("a");
     options.max_queue = 1200;
     options.ledger_interval = core::Millis(200);
-    options.gone_grace = core::Millis(100);
-    home_ = std::make_unique<Home>(threads.executor(), options, config,
-                                   directory_, node_, store, clock, log);
+    options.removal_grace = core::Millis(100);
+    scheduler_ =
+        std::make_unique<Scheduler>(threads.executor(), options, config,
+                                    directory_, node_, store, clock, log);
     directory_.Start();
   }
 
-  Home& home() { return *home_; }
+  Scheduler& scheduler() { return *scheduler_; }
   Directory& directory() { return directory_; }
   link::LinkNode& node() { return node_; }
   const std::string& address() const { return address_; }
@@ -353,7 +354,7 @@
  private:
   core::Task<> Answer(std::shared_ptr<link::Call> call, gen::Message first) {
     if (first.__isset.place) {
-      co_await home_->Serve(std::move(call), std::move(first.place));
+      co_await scheduler_->Serve(std::move(call), std::move(first.place));
       co_return;
     }
     throw core::Error(core::ErrorCode::kUnknownPath);
@@ -362,7 +363,7 @@
   std::string address_;
   link::LinkNode node_;
   Directory directory_;
-  std::unique_ptr<Home> home_;
+  std::unique_ptr<Scheduler> scheduler_;
 };
 
 /** Result of a Place call. */
@@ -371,10 +372,10 @@
   std::optional<core::Error> error;
 };
 
-inline core::Task<Outcome> TryPlace(Home& home, gen::Place request) {
+inline core::Task<Outcome> TryPlace(Scheduler& scheduler, gen::Place request) {
   Outcome outcome;
   try {
-    outcome.placement = co_await home.Place(std::move(request));
+    outcome.placement = co_await scheduler.Place(std::move(request));
   } catch (const core::Error& e) {
     outcome.error = e;
   }
--- a/src/entry/fleet_view.cc
+++ b/src/entry/fleet_view.cc
@@ -11,22 +11,22 @@
 namespace {
 
 /** Most prefix hashes remembered per replica. */
-constexpr std::size_t kPrefixesKept = 32;
+constexpr std::size_t kMaxPrefixes = 32;
 
 /** An overdue load is estimated to need its elapsed time divided by this once
  * more. */
-constexpr int kOverduePart = 4;
-constexpr core::Millis kLeastReadyIn{50};
+constexpr int kOverdueDivisor = 4;
+constexpr core::Millis kMinReadyIn{50};
 
 constexpr core::Millis kScanPause{20};
 /** Expected time of a load that another entry ordered. */
-constexpr core::Millis kForeignLoad{2000};
+constexpr core::Millis kDefaultLoadTime{2000};
 
 core::Millis TimeLeft(core::Millis elapsed, core::Millis expected) {
   if (elapsed < expected) {
-    return std::max(expected - elapsed, kLeastReadyIn);
+    return std::max(expected - elapsed, kMinReadyIn);
   }
-  return std::max(elapsed / kOverduePart, kLeastReadyIn);
+  return std::max(elapsed / kOverdueDivisor, kMinReadyIn);
 }
 
 /** @return A copy without the lists of cached checkpoints, which are most of
@@ -56,11 +56,11 @@
   if (known.revision < endpoint.known.revision) return {};
   std::set<core::ModelId> touched = ModelsIn(endpoint.known.report);
   touched.merge(ModelsIn(known.report));
-  DropView(endpoint);
-  plain_[endpoint.known.report.kind].erase(known.id);
+  RemoveView(endpoint);
+  plain_endpoints_[endpoint.known.report.kind].erase(known.id);
   endpoint.known = known;
   for (auto& [model, overlay] : endpoint.overlay) {
-    overlay.foreign = 0;
+    overlay.placed_elsewhere = 0;
     overlay.ready = false;
     overlay.evicted = false;
     overlay.new_adapters.clear();
@@ -68,7 +68,7 @@
   }
   for (const gen::ReplicaReport& replica : known.report.replicas) {
     Overlay& overlay = endpoint.overlay[core::ModelId(replica.model)];
-    overlay.foreign = std::max(0, replica.running - overlay.slots);
+    overlay.placed_elsewhere = std::max(0, replica.running - overlay.slots);
     const bool loading = replica.state == gen::ReplicaState::LOADING;
     if (loading && overlay.loading_since == core::SteadyTime()) {
       overlay.loading_since = clock_.Now();
@@ -84,17 +84,17 @@
   if (known.report.kind == kModelEndpointKind) {
     AddView(endpoint);
   } else {
-    plain_[known.report.kind].insert(known.id);
+    plain_endpoints_[known.report.kind].insert(known.id);
   }
   return touched;
 }
 
-void FleetView::Forget(const core::EndpointId& id) {
+void FleetView::Remove(const core::EndpointId& id) {
   const std::lock_guard lock(mutex_);
   const auto it = endpoints_.find(id);
   if (it == endpoints_.end()) return;
-  DropView(it->second);
-  plain_[it->second.known.report.kind].erase(id);
+  RemoveView(it->second);
+  plain_endpoints_[it->second.known.report.kind].erase(id);
   endpoints_.erase(it);
 }
 
@@ -121,7 +121,7 @@
   RefreshReplicas(endpoint);
 }
 
-void FleetView::DropView(Endpoint& endpoint) {
+void FleetView::RemoveView(Endpoint& endpoint) {
   if (!endpoint.index) return;
   const std::size_t index = *endpoint.index;
   CountReplicas(views_[index], -1);
@@ -166,13 +166,13 @@
     }
     if (replica == nullptr) continue;
     replica->service = ServiceOf(model);
-    replica->ready_in = ReadyIn(overlay, kForeignLoad);
+    replica->ready_in = ReadyIn(overlay, kDefaultLoadTime);
     if (overlay.ready) replica->state = policy::ReplicaState::kReady;
     if (overlay.evicted) {
       replica->state = policy::ReplicaState::kUnloading;
       view.reserved_bytes -= replica->bytes;
     }
-    replica->running = overlay.slots + overlay.foreign;
+    replica->running = overlay.slots + overlay.placed_elsewhere;
     if (replica->running > 0) replica->idle = policy::Millis(0);
     replica->adapters.insert(overlay.new_adapters.begin(),
                              overlay.new_adapters.end());
@@ -227,7 +227,7 @@
     policy::ReplicaView* replica = FindReplica(endpoint, model);
     if (replica == nullptr || endpoint.suspects == 0) continue;
     const Overlay& overlay = endpoint.overlay[model];
-    replica->running = overlay.slots + overlay.foreign;
+    replica->running = overlay.slots + overlay.placed_elsewhere;
   }
 }
 
@@ -291,8 +291,8 @@
     const core::ServiceId& service, const core::ZoneId& zone,
     const std::set<core::EndpointId>& avoid) const {
   const std::lock_guard lock(mutex_);
-  const auto kind = plain_.find(service.value());
-  if (kind == plain_.end()) return std::nullopt;
+  const auto kind = plain_endpoints_.find(service.value());
+  if (kind == plain_endpoints_.end()) return std::nullopt;
   const Endpoint* best = nullptr;
   const auto rank = [&zone](const Endpoint& endpoint) {
     const bool away = endpoint.known.report.zone != zone.value();
@@ -321,11 +321,11 @@
   if (slot.alone) ++it->second.suspects;
   if (slot.prefix_hash != 0) {
     overlay.prefixes.push_back(slot.prefix_hash);
-    if (overlay.prefixes.size() > kPrefixesKept) overlay.prefixes.pop_front();
+    if (overlay.prefixes.size() > kMaxPrefixes) overlay.prefixes.pop_front();
   }
   policy::ReplicaView* replica = FindReplica(it->second, slot.model);
   if (replica == nullptr) return;
-  replica->running = overlay.slots + overlay.foreign;
+  replica->running = overlay.slots + overlay.placed_elsewhere;
   replica->idle = policy::Millis(0);
   replica->prefixes = {overlay.prefixes.begin(), overlay.prefixes.end()};
 }
@@ -338,18 +338,18 @@
     it->second.plain_slots = std::max(0, it->second.plain_slots - 1);
     return;
   }
-  if (slot.alone) DropSuspect(it->second);
+  if (slot.alone) RemoveSuspect(it->second);
   const auto found = it->second.overlay.find(slot.model);
   if (found == it->second.overlay.end()) return;
   Overlay& overlay = found->second;
   overlay.slots = std::max(0, overlay.slots - 1);
   policy::ReplicaView* replica = FindReplica(it->second, slot.model);
   if (replica != nullptr) {
-    replica->running = overlay.slots + overlay.foreign;
+    replica->running = overlay.slots + overlay.placed_elsewhere;
   }
 }
 
-void FleetView::DropSuspect(Endpoint& endpoint) {
+void FleetView::RemoveSuspect(Endpoint& endpoint) {
   // The endpoint may have been removed and added again since it was counted.
   endpoint.suspects = std::max(0, endpoint.suspects - 1);
 }
@@ -363,7 +363,7 @@
 void FleetView::EndReserve(const core::EndpointId& id) {
   const std::lock_guard lock(mutex_);
   const auto it = endpoints_.find(id);
-  if (it != endpoints_.end()) DropSuspect(it->second);
+  if (it != endpoints_.end()) RemoveSuspect(it->second);
 }
 
 void FleetView::BeginLoad(const LoadOrder& order) {
--- a/src/entry/fleet_view_base.h
+++ b/src/entry/fleet_view_base.h
@@ -41,9 +41,9 @@
   policy::Tier tier = policy::Tier::kRemote;
   core::Millis expected{0};
   /** Least time given to the load, however short its requests' deadlines. */
-  core::Millis least_time{0};
+  core::Millis min_time{0};
   /** The model is loaded or loading, so that only the adapter is loaded. */
-  bool base_there = false;
+  bool base_loaded = false;
 };
 
 /**
@@ -65,7 +65,7 @@
   std::set<core::ModelId> Update(const KnownEndpoint& known);
 
   /** Removes an endpoint whose VM counts as removed. */
-  void Forget(const core::EndpointId& id);
+  void Remove(const core::EndpointId& id);
 
   /** Sets the service of each model, for the services' replica limits. */
   void SetServices(std::map<core::ModelId, core::ServiceId> service_of);
@@ -118,7 +118,7 @@
   struct Overlay {
     int slots = 0;
     /** Requests reported as running that other entries placed. */
-    int foreign = 0;
+    int placed_elsewhere = 0;
     int loads = 0;
     std::int64_t load_bytes = 0;
     core::SteadyTime loading_since;
@@ -141,9 +141,9 @@
     int suspects = 0;
   };
 
-  static void DropSuspect(Endpoint& endpoint);
+  static void RemoveSuspect(Endpoint& endpoint);
   void AddView(Endpoint& endpoint);
-  void DropView(Endpoint& endpoint);
+  void RemoveView(Endpoint& endpoint);
   /** Rebuilds the replicas of the endpoint's view. */
   void RefreshReplicas(Endpoint& endpoint);
   void CountReplicas(const policy::EndpointView& view, int sign);
@@ -168,7 +168,7 @@
   std::unordered_map<core::EndpointId, Endpoint> endpoints_;
   std::vector<policy::EndpointView> views_;
   std::unordered_map<core::ModelId, std::set<core::EndpointId>> holders_;
-  std::map<std::string, std::set<core::EndpointId>> plain_;
+  std::map<std::string, std::set<core::EndpointId>> plain_endpoints_;
   std::map<core::ModelId, core::ServiceId> service_of_;
   std::map<core::ServiceId, int> service_replicas_;
   /** Time before which no further scan of the whole fleet is made for a waiting
--- a/src/entry/fleet_view_test.cc
+++ b/src/entry/fleet_view_test.cc
@@ -172,10 +172,10 @@
 // One load was very slow. If its time stayed the estimate for ever, all
 // requests would be refused as too late, and no load would run to correct it.
 BOOST_AUTO_TEST_CASE(MeasuredLoadTimeFadesToTheGuess) {
-  LoadEstimates loads = GuessLoads(0);
+  LoadEstimates loads = InitialLoadEstimates(0);
   const core::SteadyTime start;
   const core::Millis guess = LoadTimesAt(loads, start).remote;
-  LearnLoad(loads, policy::Tier::kRemote, std::chrono::seconds(60), start);
+  RecordLoadTime(loads, policy::Tier::kRemote, std::chrono::seconds(60), start);
   BOOST_TEST(LoadTimesAt(loads, start).remote.count() == 60000);
   const auto later = LoadTimesAt(loads, start + std::chrono::minutes(20));
   BOOST_TEST((later.remote - guess).count() < 10);
--- a/src/entry/gateway.cc
+++ b/src/entry/gateway.cc
@@ -19,7 +19,7 @@
 constexpr std::chrono::milliseconds kRetryAfter{1000};
 /** Incarnation reported for requests that this process runs itself; any value
  * but 0, which means that the request was not sent. */
-constexpr std::int64_t kSelf = 1;
+constexpr std::int64_t kOwnIncarnation = 1;
 
 /** Sends the error as the last event of a stream that has begun, so that the
  * caller does not take the stream without the final [DONE] for complete. */
@@ -37,7 +37,7 @@
 
 /** @return True if the failure is the entry's own, so that the next entry in
  * the ranking may run the request. */
-bool HomeIsAtFault(const AttemptResult& result) {
+bool MayTryNextEntry(const AttemptResult& result) {
   const bool not_sent = result.incarnation == 0;
   const ErrorCode code = result.error->code();
   return not_sent || code == ErrorCode::kLinkLost ||
@@ -46,12 +46,13 @@
 
 }  // namespace
 
-Gateway::Gateway(core::VmId self, CallerLimits limits, GatewayParts parts)
-    : self_(std::move(self)), limits_(limits), parts_(parts) {}
+Gateway::Gateway(core::VmId self, CallerLimits limits,
+                 GatewayDependencies parts)
+    : self_(std::move(self)), limits_(limits), deps_(parts) {}
 
 Task<> Gateway::Handle(const http::Request& request,
                        http::ResponseWriter& writer) {
-  const auto config = parts_.config.Current();
+  const auto config = deps_.config.Current();
   if (!config) {
     throw Error(ErrorCode::kNotConfigured, "no plan was confirmed yet",
                 kRetryAfter);
@@ -61,25 +62,26 @@
                                             ModelsJson(config->intent)));
     co_return;
   }
-  co_await RunCaller(ReadCallerRequest(request, config->intent, limits_),
-                     writer);
+  co_await RunRequest(ReadCallerRequest(request, config->intent, limits_),
+                      writer);
 }
 
-Task<> Gateway::RunCaller(CallerRequest request, http::ResponseWriter& writer) {
-  const core::SteadyTime arrived = parts_.clock.Now();
+Task<> Gateway::RunRequest(CallerRequest request,
+                           http::ResponseWriter& writer) {
+  const core::SteadyTime arrived = deps_.clock.Now();
   const core::SteadyTime deadline = arrived + request.timeout;
   HttpSink sink(writer, request.id.value(), request.stream);
   std::optional<Error> failure;
   try {
     if (request.non_idempotent) {
-      co_await RunAtHome(ToRun(request), deadline, sink);
+      co_await RunAtPrimaryEntry(ToRun(request), deadline, sink);
     } else {
-      co_await parts_.dispatcher.Run(ToRun(request), deadline, sink);
+      co_await deps_.dispatcher.Run(ToRun(request), deadline, sink);
     }
   } catch (const Error& e) {
     failure = e;
   }
-  Note(request, arrived, failure ? &*failure : nullptr);
+  RecordRequestEnd(request, arrived, failure ? &*failure : nullptr);
   if (!failure) co_return;
   if (writer.started() && request.stream) {
     co_await SendErrorEvent(writer, *failure, request.id.value());
@@ -88,14 +90,14 @@
 }
 
 /** Runs a non-idempotent request at its primary entry, or at the next one in
- * the ranking if that is unreachable. Two entries that run it at once are
- * harmless, as only the first writer of the claim dispatches it. */
-Task<> Gateway::RunAtHome(gen::Run run, core::SteadyTime deadline,
-                          AnswerSink& sink) {
+ * the ranking if that is unreachable. Concurrent runs at two
+ * entries are harmless, as only the first writer of the claim dispatches it. */
+Task<> Gateway::RunAtPrimaryEntry(gen::Run run, core::SteadyTime deadline,
+                                  AnswerSink& sink) {
   bool may_have_run = false;
-  for (const KnownEntry& home : parts_.placer.Homes(ClaimKey(run))) {
+  for (const KnownEntry& entry : deps_.placer.RankedEntries(ClaimKey(run))) {
     const AttemptResult result =
-        co_await RunAtHomeEntry(home, run, deadline, sink);
+        co_await RunAtEntry(entry, run, deadline, sink);
     if (result.end == AttemptEnd::kCompleted) co_return;
     if (result.end != AttemptEnd::kNotStarted) may_have_run = true;
     // An entry that was lost may have dispatched the request. A later entry
@@ -103,8 +105,8 @@
     const Error error = may_have_run
                             ? result.error->WithOutcome(core::Outcome::kUnknown)
                             : *result.error;
-    if (sink.started() || !HomeIsAtFault(result)) throw Error(error);
-    parts_.directory.NoteUnreachable(home.vm);
+    if (sink.started() || !MayTryNextEntry(result)) throw Error(error);
+    deps_.directory.MarkUnreachable(entry.vm);
     sink.Reset();
   }
   const Error none(ErrorCode::kNoEndpoint, "no home entry could be asked",
@@ -112,32 +114,34 @@
   throw may_have_run ? none.WithOutcome(core::Outcome::kUnknown) : none;
 }
 
-Task<AttemptResult> Gateway::RunAtHomeEntry(KnownEntry home, gen::Run run,
-                                            core::SteadyTime deadline,
-                                            AnswerSink& sink) {
-  if (home.vm != self_) {
-    co_return co_await RunAttempt(parts_.links, home.address, std::move(run),
-                                  deadline, sink, parts_.clock);
+Task<AttemptResult> Gateway::RunAtEntry(KnownEntry entry, gen::Run run,
+                                        core::SteadyTime deadline,
+                                        AnswerSink& sink) {
+  if (entry.vm != self_) {
+    co_return co_await RunAttempt(deps_.links, entry.address, std::move(run),
+                                  deadline, sink, deps_.clock);
   }
   try {
-    co_await parts_.once.Run(std::move(run), deadline, sink);
+    co_await deps_.once_runner.Run(std::move(run), deadline, sink);
   } catch (const Error& e) {
     const bool not_run = e.outcome() == core::Outcome::kNotRun;
     co_return AttemptResult{
-        not_run ? AttemptEnd::kNotStarted : AttemptEnd::kUnknown, e, kSelf};
+        not_run ? AttemptEnd::kNotStarted : AttemptEnd::kUnknown, e,
+        kOwnIncarnation};
   }
-  co_return AttemptResult{AttemptEnd::kCompleted, std::nullopt, kSelf};
+  co_return AttemptResult{AttemptEnd::kCompleted, std::nullopt,
+                          kOwnIncarnation};
 }
 
-void Gateway::Note(const CallerRequest& request, core::SteadyTime arrived,
-                   const Error* error) {
+void Gateway::RecordRequestEnd(const CallerRequest& request,
+                               core::SteadyTime arrived, const Error* error) {
   const auto took = std::chrono::duration_cast<std::chrono::milliseconds>(
-      parts_.clock.Now() - arrived);
-  parts_.metrics.RequestEnded(
+      deps_.clock.Now() - arrived);
+  deps_.metrics.RecordRequest(
       error == nullptr ? "ok" : core::InfoOf(error->code()).name, took);
   const bool not_run =
       error != nullptr && error->outcome() == core::Outcome::kNotRun;
-  parts_.log.Event(
+  deps_.log.Event(
       core::LogLevel::kInfo, core::LogCategory::kRequest, "request_ended",
       {{"request", request.id},
        {"service", request.service},
--- a/src/entry/gateway_base.h
+++ b/src/entry/gateway_base.h
@@ -20,12 +20,12 @@
 namespace sapphire::entry {
 
 /** Dependencies of a gateway; all outlive it. */
-struct GatewayParts {
+struct GatewayDependencies {
   contract::ConfigHolder& config;
   Directory& directory;
   Placer& placer;
   Dispatcher& dispatcher;
-  OnceRunner& once;
+  OnceRunner& once_runner;
   link::LinkNode& links;
   Metrics& metrics;
   const core::Clock& clock;
@@ -35,7 +35,7 @@
 /** Parses, runs and answers requests to /v1/... and /services/... */
 class Gateway {
  public:
-  Gateway(core::VmId self, CallerLimits limits, GatewayParts parts);
+  Gateway(core::VmId self, CallerLimits limits, GatewayDependencies parts);
 
   /**
    * Answers one request.
@@ -46,18 +46,18 @@
                       http::ResponseWriter& writer);
 
  private:
-  core::Task<> RunCaller(CallerRequest request, http::ResponseWriter& writer);
-  core::Task<> RunAtHome(gen::Run run, core::SteadyTime deadline,
-                         AnswerSink& sink);
-  core::Task<AttemptResult> RunAtHomeEntry(KnownEntry home, gen::Run run,
-                                           core::SteadyTime deadline,
-                                           AnswerSink& sink);
-  void Note(const CallerRequest& request, core::SteadyTime arrived,
-            const core::Error* error);
+  core::Task<> RunRequest(CallerRequest request, http::ResponseWriter& writer);
+  core::Task<> RunAtPrimaryEntry(gen::Run run, core::SteadyTime deadline,
+                                 AnswerSink& sink);
+  core::Task<AttemptResult> RunAtEntry(KnownEntry entry, gen::Run run,
+                                       core::SteadyTime deadline,
+                                       AnswerSink& sink);
+  void RecordRequestEnd(const CallerRequest& request, core::SteadyTime arrived,
+                        const core::Error* error);
 
   const core::VmId self_;
   const CallerLimits limits_;
-  const GatewayParts parts_;
+  const GatewayDependencies deps_;
 };
 
 }  // namespace sapphire::entry
--- a/src/entry/home.cc
+++ b/src/entry/home.cc
@@ -17,7 +17,7 @@
 /** Default retry hint to callers. */
 constexpr core::Millis kRetryAfter{1000};
 /** How long Serve waits for PlaceDone before it checks the link again. */
-constexpr core::Millis kServeRound{60000};
+constexpr core::Millis kPlaceDonePoll{60000};
 /** How long the first requests after a start wait for the first read of the
  * quarantine. */
 constexpr core::Millis kQuarantineGrace{500};
@@ -30,7 +30,8 @@
 /** A slot at an endpoint of a model, freed exactly once. */
 class HeldSlot final : public Placement {
  public:
-  HeldSlot(std::shared_ptr<Home::State> state, core::ModelId model, Grant grant)
+  HeldSlot(std::shared_ptr<Scheduler::State> state, core::ModelId model,
+           Grant grant)
       : state_(std::move(state)),
         model_(std::move(model)),
         grant_(std::move(grant)) {}
@@ -50,7 +51,7 @@
     state_->Release(model_, grant_.slot_id, result);
   }
 
-  const std::shared_ptr<Home::State> state_;
+  const std::shared_ptr<Scheduler::State> state_;
   const core::ModelId model_;
   const Grant grant_;
   bool done_ = false;
@@ -59,9 +60,9 @@
 /** A request in progress at a plain service's endpoint. */
 class HeldPlainSlot final : public Placement {
  public:
-  HeldPlainSlot(std::shared_ptr<Home::State> state, gen::Placed placed)
+  HeldPlainSlot(std::shared_ptr<Scheduler::State> state, gen::Placed placed)
       : state_(std::move(state)), placed_(std::move(placed)) {
-    state_->fleet.AddSlot(SlotHere());
+    state_->fleet.AddSlot(PlainSlot());
   }
   ~HeldPlainSlot() override { Done(gen::RunResult::ABANDONED); }
 
@@ -71,15 +72,15 @@
   [[nodiscard]] const gen::Placed& placed() const override { return placed_; }
   void Done(gen::RunResult::type /*result*/) override {
     if (std::exchange(done_, true)) return;
-    state_->fleet.RemoveSlot(SlotHere());
+    state_->fleet.RemoveSlot(PlainSlot());
   }
 
  private:
-  [[nodiscard]] Slot SlotHere() const {
+  [[nodiscard]] Slot PlainSlot() const {
     return {.endpoint = core::EndpointId(placed_.endpoint), .model = {}};
   }
 
-  const std::shared_ptr<Home::State> state_;
+  const std::shared_ptr<Scheduler::State> state_;
   const gen::Placed placed_;
   bool done_ = false;
 };
@@ -106,11 +107,13 @@
 
 }  // namespace
 
-Home::State::State(const core::Executor& executor_arg, HomeOptions options_arg,
-                   contract::ConfigHolder& config_arg, Directory& directory_arg,
-                   link::LinkNode& links_arg,
-                   external::KeyValueStore& store_arg,
-                   const core::Clock& clock_arg, const core::Logger& log_arg)
+Scheduler::State::State(const core::Executor& executor_arg,
+                        SchedulerOptions options_arg,
+                        contract::ConfigHolder& config_arg,
+                        Directory& directory_arg, link::LinkNode& links_arg,
+                        external::KeyValueStore& store_arg,
+                        const core::Clock& clock_arg,
+                        const core::Logger& log_arg)
     : executor(executor_arg),
       options(std::move(options_arg)),
       config(config_arg),
@@ -128,26 +131,26 @@
           executor,
           LedgerCleanupOptions{.self = options.self,
                                .interval = options.ledger_interval,
-                               .gone_grace = options.gone_grace},
+                               .removal_grace = options.removal_grace},
           config, directory, store, clock, log)),
       shards(static_cast<std::size_t>(std::max(options.shards, 1))) {}
 
-Home::State::Shard& Home::State::ShardOf(const core::ModelId& id) {
+Scheduler::State::Shard& Scheduler::State::ShardOf(const core::ModelId& id) {
   return shards[core::HashOf(id.value()) % shards.size()];
 }
 
-void Home::State::Start() {
+void Scheduler::State::Start() {
   const std::weak_ptr<State> weak = weak_from_this();
-  directory.OnEndpoint([weak](const KnownEndpoint& endpoint) {
+  directory.OnEndpointChange([weak](const KnownEndpoint& endpoint) {
     const auto self = weak.lock();
     if (!self || self->stopped) return;
     for (const core::ModelId& id : self->fleet.Update(endpoint)) {
       self->Evaluate(id);
     }
   });
-  directory.OnGone([weak](const core::VmId& vm) {
+  directory.OnVmRemoved([weak](const core::VmId& vm) {
     const auto self = weak.lock();
-    if (self) self->fleet.Forget(core::EndpointId(vm.value()));
+    if (self) self->fleet.Remove(core::EndpointId(vm.value()));
   });
   const auto adopt = [weak](const contract::Config& adopted) {
     const auto self = weak.lock();
@@ -170,7 +173,7 @@
               [self = shared_from_this()] { return self->Sweep(); });
 }
 
-void Home::State::Stop() {
+void Scheduler::State::Stop() {
   stopped = true;
   quarantine_store->Stop();
   ledger_cleanup->Stop();
@@ -186,7 +189,7 @@
   }
 }
 
-core::Task<> Home::State::Sweep() {
+core::Task<> Scheduler::State::Sweep() {
   for (int round = 0; !stopped; ++round) {
     co_await core::SleepFor(options.sweep_interval);
     if (queued == 0) continue;
@@ -196,28 +199,29 @@
     }
     for (Shard& shard : shards) {
       const std::lock_guard lock(shard.mutex);
-      for (auto& [id, queue] : shard.queues) EndOverdue(queue);
+      for (auto& [id, queue] : shard.queues) RefuseExpired(queue);
     }
   }
 }
 
-void Home::State::CountRefusal(const core::Error& error) {
+void Scheduler::State::CountRefusal(const core::Error& error) {
   const std::lock_guard lock(stats_mutex);
   ++stats.refused;
   ++stats.refused_by_code[error.code()];
   if (error.code() == ErrorCode::kQuarantined) ++stats.quarantined;
 }
 
-void Home::State::CheckQuarantine(std::int64_t fingerprint) {
+void Scheduler::State::CheckQuarantine(std::int64_t fingerprint) {
   if (!quarantine->Judge(fingerprint).IsQuarantined()) return;
   throw core::Error(ErrorCode::kQuarantined,
                     "this request has crashed two engines");
 }
 
-void Home::State::CheckRoom(const ModelQueue& queue,
-                            const core::OwnerId& owner) {
-  const auto refusal = policy::RefuseAtQueue(
-      WaitingOf(queue, options.max_queue), owner, UseOf(queue, clock.Now()));
+void Scheduler::State::CheckQueueLimits(const ModelQueue& queue,
+                                        const core::OwnerId& owner) {
+  const auto refusal =
+      policy::RefuseAtQueue(WaitingByOwner(queue, options.max_queue), owner,
+                            UsageByOwner(queue, clock.Now()));
   if (refusal) throw core::Error(*refusal, "", kRetryAfter);
 }
 
@@ -256,8 +260,8 @@
 
 }  // namespace
 
-std::shared_ptr<Waiter> Home::State::Admit(gen::Place request,
-                                           std::function<bool()> abandoned) {
+std::shared_ptr<Waiter> Scheduler::State::Admit(
+    gen::Place request, std::function<bool()> abandoned) {
   const auto current = config.Current();
   if (!current) throw core::Error(ErrorCode::kNotConfigured, "", kRetryAfter);
   const contract::Model& model = FindModel(*current, request);
@@ -274,17 +278,18 @@
     const std::lock_guard lock(shard.mutex);
     const auto [it, created] = shard.queues.try_emplace(model.name);
     ModelQueue& queue = it->second;
-    if (created) queue.load_times = GuessLoads(model.weight_bytes);
+    if (created) queue.load_times = InitialLoadEstimates(model.weight_bytes);
     policy::RecordArrival(queue.arrivals, now);
     policy::RecordFirstTry(queue.retries);
     const core::OwnerId& owner = waiter->queued().owner;
     queue.owners[owner].share = ShareOf(*current, owner);
-    CheckRoom(queue, owner);
+    CheckQueueLimits(queue, owner);
     // A request that waits alone is decided on below. One behind others is
     // refused right now if its turn would come after its deadline.
     if (!queue.waiters.empty() && !IsStarting()) {
       const int ahead = WaitingAhead(queue, waiter->queued().priority);
-      const auto decision = Consult(*current, model, queue, *waiter, ahead);
+      const auto decision =
+          ComputeDecision(*current, model, queue, *waiter, ahead);
       if (decision.action == policy::PlacementAction::kRefuse) {
         throw core::Error(decision.refusal, "",
                           std::max(decision.retry_after, kRetryAfter));
@@ -298,7 +303,7 @@
   return waiter;
 }
 
-void Home::State::Withdraw(const std::shared_ptr<Waiter>& waiter) {
+void Scheduler::State::Withdraw(const std::shared_ptr<Waiter>& waiter) {
   const core::ModelId id(waiter->request().model);
   std::optional<std::int64_t> granted;
   {
@@ -312,15 +317,16 @@
   if (granted) Release(id, *granted, gen::RunResult::ABANDONED);
 }
 
-void Home::State::LearnFromRun(ModelQueue& queue, std::int64_t slot_id,
-                               const RunningRequest& run,
-                               gen::RunResult::type result) {
+void Scheduler::State::RecordRunResult(ModelQueue& queue, std::int64_t slot_id,
+                                       const RunningRequest& run,
+                                       gen::RunResult::type result) {
   const core::SteadyTime now = clock.Now();
   const bool completed = result == gen::RunResult::COMPLETED;
   if (completed) {
-    Learn(queue.service_time,
-          std::chrono::duration_cast<core::Millis>(now - run.placed_at), now);
-    NoteHarmless(queue, run.fingerprint);
+    RecordSample(queue.service_time,
+                 std::chrono::duration_cast<core::Millis>(now - run.placed_at),
+                 now);
+    RecordHarmless(queue, run.fingerprint);
   }
   if (result != gen::RunResult::ENGINE_CRASHED) {
     if (quarantine->RecordEnd(run.fingerprint, slot_id, completed)) {
@@ -340,8 +346,8 @@
              {"crashes", quarantine->Judge(run.fingerprint).crashes}});
 }
 
-void Home::State::Release(const core::ModelId& model, std::int64_t slot_id,
-                          gen::RunResult::type result) {
+void Scheduler::State::Release(const core::ModelId& model, std::int64_t slot_id,
+                               gen::RunResult::type result) {
   {
     Shard& shard = ShardOf(model);
     const std::lock_guard lock(shard.mutex);
@@ -358,7 +364,7 @@
                 now);
     ForgetIdleOwners(queue, now);
     fleet.RemoveSlot(run.slot);
-    LearnFromRun(queue, slot_id, run, result);
+    RecordRunResult(queue, slot_id, run, result);
   }
   Evaluate(model);
 }
@@ -370,7 +376,7 @@
  * the previous primary entry. The first requests wait for the first read of the
  * quarantine, for a bounded time.
  */
-core::Task<> AwaitQuarantine(const Home::State& state) {
+core::Task<> AwaitQuarantine(const Scheduler::State& state) {
   const core::SteadyTime until = state.started_at + kQuarantineGrace;
   while (!state.quarantine_store->first_read_done()) {
     if (state.clock.Now() >= until) co_return;
@@ -378,8 +384,8 @@
   }
 }
 
-core::Task<std::unique_ptr<Placement>> PlaceIn(
-    std::shared_ptr<Home::State> state, gen::Place request,
+core::Task<std::unique_ptr<Placement>> PlaceRequest(
+    std::shared_ptr<Scheduler::State> state, gen::Place request,
     std::function<bool()> abandoned) {
   const core::ModelId model(request.model);
   co_await AwaitQuarantine(*state);
@@ -401,12 +407,13 @@
 }
 
 /** Waits for PlaceDone from the placing entry, or for the loss of its link. */
-core::Task<gen::RunResult::type> AwaitDone(std::shared_ptr<link::Call> call) {
+core::Task<gen::RunResult::type> AwaitPlaceDone(
+    std::shared_ptr<link::Call> call) {
   while (true) {
     try {
       // Receives before checking whether the call has ended: PlaceDone may have
       // arrived just before the end, and a crash it reports must be counted.
-      const gen::Message message = co_await call->Receive(kServeRound);
+      const gen::Message message = co_await call->Receive(kPlaceDonePoll);
       if (message.__isset.place_done) co_return message.place_done.result;
     } catch (const core::Error& e) {
       // Failure: the placing entry dies or is partitioned, which shows as a
@@ -418,8 +425,8 @@
   co_return gen::RunResult::ABANDONED;
 }
 
-core::Task<std::unique_ptr<Placement>> PlacePlain(
-    std::shared_ptr<Home::State> state, core::ServiceId service,
+core::Task<std::unique_ptr<Placement>> PlacePlainService(
+    std::shared_ptr<Scheduler::State> state, core::ServiceId service,
     core::Millis remaining, std::set<core::EndpointId> avoid) {
   if (remaining <= core::Millis(0)) {
     throw core::Error(ErrorCode::kDeadlineTooShort, "", kRetryAfter);
@@ -439,42 +446,44 @@
 
 }  // namespace
 
-Home::Home(const core::Executor& executor, HomeOptions options,
-           contract::ConfigHolder& config, Directory& directory,
-           link::LinkNode& links, external::KeyValueStore& store,
-           const core::Clock& clock, const core::Logger& log)
+Scheduler::Scheduler(const core::Executor& executor, SchedulerOptions options,
+                     contract::ConfigHolder& config, Directory& directory,
+                     link::LinkNode& links, external::KeyValueStore& store,
+                     const core::Clock& clock, const core::Logger& log)
     : state_(std::make_shared<State>(executor, std::move(options), config,
                                      directory, links, store, clock, log)) {
   state_->Start();
 }
 
-Home::~Home() { state_->Stop(); }
+Scheduler::~Scheduler() { state_->Stop(); }
 
-core::Task<std::unique_ptr<Placement>> Home::Place(
+core::Task<std::unique_ptr<Placement>> Scheduler::Place(
     gen::Place request, std::function<bool()> abandoned) {
-  return PlaceIn(state_, std::move(request), std::move(abandoned));
+  return PlaceRequest(state_, std::move(request), std::move(abandoned));
 }
 
-core::Task<std::unique_ptr<Placement>> Home::PlaceService(
+core::Task<std::unique_ptr<Placement>> Scheduler::PlaceService(
     core::ServiceId service, core::OwnerId /*owner*/,
     std::chrono::milliseconds remaining, std::set<core::EndpointId> avoid) {
-  return PlacePlain(state_, std::move(service), remaining, std::move(avoid));
+  return PlacePlainService(state_, std::move(service), remaining,
+                           std::move(avoid));
 }
 
-core::Task<> Home::Serve(std::shared_ptr<link::Call> call, gen::Place request) {
+core::Task<> Scheduler::Serve(std::shared_ptr<link::Call> call,
+                              gen::Place request) {
   // A named object, not a temporary of the co_await below: GCC 12 destroys such
   // a closure twice, and the call with it.
   std::function<bool()> abandoned = [call] { return call->ended(); };
   const std::unique_ptr<Placement> placement =
-      co_await PlaceIn(state_, std::move(request), std::move(abandoned));
+      co_await PlaceRequest(state_, std::move(request), std::move(abandoned));
   gen::Message message;
   message.__set_placed(placement->placed());
   co_await call->Send(std::move(message));
-  const gen::RunResult::type result = co_await AwaitDone(call);
+  const gen::RunResult::type result = co_await AwaitPlaceDone(call);
   placement->Done(result);
 }
 
-Home::Stats Home::stats() const {
+Scheduler::Stats Scheduler::stats() const {
   const std::lock_guard lock(state_->stats_mutex);
   Stats stats = state_->stats;
   stats.queued = state_->queued;
--- a/src/entry/home_base.h
+++ b/src/entry/home_base.h
@@ -24,7 +24,7 @@
 
 namespace sapphire::entry {
 
-struct HomeOptions {
+struct SchedulerOptions {
   core::VmId self;
   core::ZoneId zone;
   /** Most requests that may wait for one model. */
@@ -38,10 +38,10 @@
   std::chrono::milliseconds ledger_interval{15000};
   /** A grant's VM that is missing from the list for this long counts as
    * removed. */
-  std::chrono::milliseconds gone_grace{30000};
+  std::chrono::milliseconds removal_grace{30000};
   /** Called for each cold start with the tier loaded from and the request's
    * wait from arrival to placement. On any thread; must not block. */
-  std::function<void(policy::Tier, std::chrono::milliseconds)> cold_start_seen;
+  std::function<void(policy::Tier, std::chrono::milliseconds)> on_cold_start;
 };
 
 /** The endpoint granted to a request; holds a slot until Done or destruction.
@@ -59,17 +59,17 @@
  * queues them, decides with policy::DecidePlacement, orders loads with
  * EnsureModel, and counts the crashes of each request fingerprint.
  */
-class Home {
+class Scheduler {
  public:
   /** @pre All references outlive the object. */
-  Home(const core::Executor& executor, HomeOptions options,
-       contract::ConfigHolder& config, Directory& directory,
-       link::LinkNode& links, external::KeyValueStore& store,
-       const core::Clock& clock, const core::Logger& log);
-  ~Home();
+  Scheduler(const core::Executor& executor, SchedulerOptions options,
+            contract::ConfigHolder& config, Directory& directory,
+            link::LinkNode& links, external::KeyValueStore& store,
+            const core::Clock& clock, const core::Logger& log);
+  ~Scheduler();
 
-  Home(const Home&) = delete;
-  Home& operator=(const Home&) = delete;
+  Scheduler(const Scheduler&) = delete;
+  Scheduler& operator=(const Scheduler&) = delete;
 
   /**
    * Waits until the request can run at an endpoint.
--- a/src/entry/home_decide.cc
+++ b/src/entry/home_decide.cc
@@ -18,9 +18,9 @@
  * before it refuses requests for lack of endpoints. */
 constexpr core::Millis kStartGrace{2000};
 /** Least time given to a load that is started for callers' retries. */
-constexpr core::Millis kRetryLoadTime{30000};
+constexpr core::Millis kMinRetryLoadTime{30000};
 /** How long a failed load is reported as the reason of refusals. */
-constexpr std::chrono::seconds kLoadErrorTold{10};
+constexpr std::chrono::seconds kLoadErrorReportTime{10};
 
 std::int64_t AdapterBytes(const contract::Model& model,
                           const std::string& name) {
@@ -40,12 +40,12 @@
 
 /** @return The refusal for the caller: a recent load failure if there was one,
  * else the decision's own reason. */
-core::Error RefusalOf(const ModelQueue& queue,
-                      const policy::PlacementDecision& decision,
-                      core::SteadyTime now) {
+core::Error MakeRefusal(const ModelQueue& queue,
+                        const policy::PlacementDecision& decision,
+                        core::SteadyTime now) {
   const core::Millis retry_after = std::max(decision.retry_after, kRetryAfter);
   const bool recent = queue.last_load_error.has_value() &&
-                      now - queue.last_load_error_at < kLoadErrorTold;
+                      now - queue.last_load_error_at < kLoadErrorReportTime;
   if (!recent || decision.refusal == ErrorCode::kDeadlineTooShort) {
     return core::Error(decision.refusal, "", retry_after);
   }
@@ -66,15 +66,16 @@
 
 }  // namespace
 
-bool Home::State::IsStarting() const {
-  return clock.Now() - started_at < kStartGrace && !directory.settled();
+bool Scheduler::State::IsStarting() const {
+  return clock.Now() - started_at < kStartGrace &&
+         !directory.initial_reports_done();
 }
 
-bool Home::State::IsSuspect(const Waiter& waiter) const {
+bool Scheduler::State::IsSuspect(const Waiter& waiter) const {
   return quarantine->Judge(waiter.request().fingerprint).IsSuspect();
 }
 
-void Home::State::Evaluate(const core::ModelId& id) {
+void Scheduler::State::Evaluate(const core::ModelId& id) {
   if (stopped) return;
   const auto current = config.Current();
   std::vector<LoadOrder> orders;
@@ -84,7 +85,7 @@
     const auto it = shard.queues.find(id);
     if (it == shard.queues.end() || it->second.waiters.empty()) return;
     ModelQueue& queue = it->second;
-    EndOverdue(queue);
+    RefuseExpired(queue);
     if (!current || IsStarting()) return;
     const auto model = current->intent.models.find(id);
     if (model == current->intent.models.end()) {
@@ -99,7 +100,7 @@
   for (const LoadOrder& order : orders) StartLoad(order);
 }
 
-void Home::State::EvaluateAll() {
+void Scheduler::State::EvaluateAll() {
   std::vector<core::ModelId> waiting;
   for (Shard& shard : shards) {
     const std::lock_guard lock(shard.mutex);
@@ -110,7 +111,7 @@
   for (const core::ModelId& id : waiting) Evaluate(id);
 }
 
-void Home::State::EndOverdue(ModelQueue& queue) {
+void Scheduler::State::RefuseExpired(ModelQueue& queue) {
   const core::SteadyTime now = clock.Now();
   const std::vector<std::shared_ptr<Waiter>> all = queue.waiters;
   for (const auto& waiter : all) {
@@ -129,32 +130,33 @@
   }
 }
 
-bool Home::State::Dequeue(ModelQueue& queue, Waiter& waiter) {
+bool Scheduler::State::Dequeue(ModelQueue& queue, Waiter& waiter) {
   if (!RemoveWaiter(queue, &waiter)) return false;
   if (waiter.reserved) fleet.EndReserve(*waiter.reserved);
   waiter.reserved.reset();
   return true;
 }
 
-void Home::State::ReserveFor(Waiter& waiter, const core::EndpointId& endpoint) {
+void Scheduler::State::ReserveFor(Waiter& waiter,
+                                  const core::EndpointId& endpoint) {
   if (waiter.reserved == endpoint) return;
   if (waiter.reserved) fleet.EndReserve(*waiter.reserved);
   waiter.reserved = endpoint;
   fleet.Reserve(endpoint);
 }
 
-void Home::State::Refuse(ModelQueue& queue,
-                         const std::shared_ptr<Waiter>& waiter,
-                         const core::Error& error) {
+void Scheduler::State::Refuse(ModelQueue& queue,
+                              const std::shared_ptr<Waiter>& waiter,
+                              const core::Error& error) {
   if (!Dequeue(queue, *waiter)) return;
   --queued;
   CountRefusal(error);
   waiter->Finish(error);
 }
 
-void Home::State::Decide(const contract::Config& current,
-                         const contract::Model& model, ModelQueue& queue,
-                         std::vector<LoadOrder>& orders) {
+void Scheduler::State::Decide(const contract::Config& current,
+                              const contract::Model& model, ModelQueue& queue,
+                              std::vector<LoadOrder>& orders) {
   const auto class_of = [this](const Waiter& waiter) {
     const gen::Place& request = waiter.request();
     return WaitClass(core::AdapterId(request.adapter), IsSuspect(waiter),
@@ -168,21 +170,22 @@
   };
   while (const auto waiter = NextWaiter(queue, clock.Now(), skip)) {
     const int ahead = static_cast<int>(decided.size());
-    const Step step = DecideOne(current, model, queue, waiter, ahead, orders);
-    if (step == Step::kEnded) continue;
+    const DecisionOutcome step =
+        DecideOne(current, model, queue, waiter, ahead, orders);
+    if (step == DecisionOutcome::kFinished) continue;
     decided.insert(waiter.get());
-    if (step == Step::kHeldAlone) continue;
+    if (step == DecisionOutcome::kWaits) continue;
     // A suspect waits for an idle replica. Placing others meanwhile could
     // starve it.
     if (IsSuspect(*waiter)) return;
     held.insert(class_of(*waiter));
   }
-  RefuseHopeless(current, model, queue);
+  RefuseUnservable(current, model, queue);
 }
 
-void Home::State::RefuseHopeless(const contract::Config& current,
-                                 const contract::Model& model,
-                                 ModelQueue& queue) {
+void Scheduler::State::RefuseUnservable(const contract::Config& current,
+                                        const contract::Model& model,
+                                        ModelQueue& queue) {
   std::vector<std::shared_ptr<Waiter>> order = queue.waiters;
   std::sort(order.begin(), order.end(), [](const auto& a, const auto& b) {
     const auto key = [](const Waiter& waiter) {
@@ -195,10 +198,10 @@
   const int owners = CountOwners(queue);
   for (const auto& waiter : order) {
     int& own = ahead_of_owner[waiter->queued().owner];
-    const policy::PlacementDecision decision =
-        Consult(current, model, queue, *waiter, std::min(ahead, own * owners));
+    const policy::PlacementDecision decision = ComputeDecision(
+        current, model, queue, *waiter, std::min(ahead, own * owners));
     if (decision.action == PlacementAction::kRefuse) {
-      Refuse(queue, waiter, RefusalOf(queue, decision, clock.Now()));
+      Refuse(queue, waiter, MakeRefusal(queue, decision, clock.Now()));
       continue;
     }
     ++ahead;
@@ -206,11 +209,9 @@
   }
 }
 
-policy::PlacementDecision Home::State::Consult(const contract::Config& current,
-                                               const contract::Model& model,
-                                               const ModelQueue& queue,
-                                               const Waiter& waiter,
-                                               int ahead) {
+policy::PlacementDecision Scheduler::State::ComputeDecision(
+    const contract::Config& current, const contract::Model& model,
+    const ModelQueue& queue, const Waiter& waiter, int ahead) {
   const core::SteadyTime now = clock.Now();
   policy::PlacementRequest request;
   request.model = model.name;
@@ -223,7 +224,7 @@
   request.service_max_replicas = ServiceLimit(current, model);
   request.remaining =
       std::chrono::duration_cast<core::Millis>(waiter.queued().deadline - now);
-  request.service_time = ValueAt(queue.service_time, now);
+  request.service_time = EstimateAt(queue.service_time, now);
   request.zone = options.zone;
   request.prefix_hash = waiter.request().prefix_hash;
   request.avoid = AvoidSet(queue, waiter.request(), now);
@@ -232,36 +233,33 @@
                       LoadTimesAt(queue.load_times, now));
 }
 
-Home::State::Step Home::State::DecideOne(const contract::Config& current,
-                                         const contract::Model& model,
-                                         ModelQueue& queue,
-                                         const std::shared_ptr<Waiter>& waiter,
-                                         int ahead,
-                                         std::vector<LoadOrder>& orders) {
+Scheduler::State::DecisionOutcome Scheduler::State::DecideOne(
+    const contract::Config& current, const contract::Model& model,
+    ModelQueue& queue, const std::shared_ptr<Waiter>& waiter, int ahead,
+    std::vector<LoadOrder>& orders) {
   const policy::PlacementDecision decision =
-      Consult(current, model, queue, *waiter, ahead);
+      ComputeDecision(current, model, queue, *waiter, ahead);
   switch (decision.action) {
     case PlacementAction::kRun:
-      return Run(current, model, queue, waiter, decision, orders);
+      return TryGrant(current, model, queue, waiter, decision, orders);
     case PlacementAction::kLoad:
-      return Load(model, queue, waiter, decision, orders);
+      return RequestLoad(model, queue, waiter, decision, orders);
     case PlacementAction::kWait:
       if (!decision.endpoint.empty()) ReserveFor(*waiter, decision.endpoint);
-      return Step::kHeld;
+      return DecisionOutcome::kClassWaits;
     case PlacementAction::kRefuse:
       break;
   }
   if (decision.load_for_retry) {
     LoadForRetry(model, queue, waiter, decision, orders);
   }
-  Refuse(queue, waiter, RefusalOf(queue, decision, clock.Now()));
-  return Step::kEnded;
+  Refuse(queue, waiter, MakeRefusal(queue, decision, clock.Now()));
+  return DecisionOutcome::kFinished;
 }
 
-core::Millis Home::State::KeepAlive(const contract::Config& current,
-                                    const ModelQueue& queue,
-                                    const core::ModelId& model,
-                                    const core::EndpointId& endpoint) const {
+core::Millis Scheduler::State::KeepAliveFor(
+    const contract::Config& current, const ModelQueue& queue,
+    const core::ModelId& model, const core::EndpointId& endpoint) const {
   const contract::Weights& prices = current.intent.weights;
   const policy::CostWeights weights = policy::SharedWeights(
       {.cold_start = prices.cold_start, .idle = prices.idle},
@@ -272,19 +270,17 @@
                                policy::LoadTimeFrom(times, tier));
 }
 
-Home::State::Step Home::State::Run(const contract::Config& current,
-                                   const contract::Model& model,
-                                   ModelQueue& queue,
-                                   const std::shared_ptr<Waiter>& waiter,
-                                   const policy::PlacementDecision& decision,
-                                   std::vector<LoadOrder>& orders) {
+Scheduler::State::DecisionOutcome Scheduler::State::TryGrant(
+    const contract::Config& current, const contract::Model& model,
+    ModelQueue& queue, const std::shared_ptr<Waiter>& waiter,
+    const policy::PlacementDecision& decision, std::vector<LoadOrder>& orders) {
   const gen::Place& request = waiter->request();
   const core::AdapterId adapter(request.adapter);
   if (!fleet.HasAdapter(decision.endpoint, model.name, adapter)) {
-    return Load(model, queue, waiter, decision, orders);
+    return RequestLoad(model, queue, waiter, decision, orders);
   }
   const auto address = fleet.AddressOf(decision.endpoint);
-  if (!address) return Step::kHeld;
+  if (!address) return DecisionOutcome::kClassWaits;
   const crash::Verdict verdict = quarantine->Judge(request.fingerprint);
   // Failure: copies of one request are sent at once and each crashes an engine
   // before the first crash is known. Until one copy has completed, copies run
@@ -293,7 +289,7 @@
       !verdict.IsSuspect() && queue.harmless.contains(request.fingerprint);
   if (verdict.dispatch == policy::DispatchVerdict::kWaitForCopies &&
       !harmless && !verdict.copies.contains(decision.endpoint)) {
-    return Step::kHeldAlone;
+    return DecisionOutcome::kWaits;
   }
   const core::SteadyTime now = clock.Now();
   const Slot slot{.endpoint = decision.endpoint,
@@ -305,7 +301,7 @@
   grant.placed.endpoint = decision.endpoint.value();
   grant.placed.address = *address;
   grant.placed.keep_alive_ms =
-      KeepAlive(current, queue, model.name, decision.endpoint).count();
+      KeepAliveFor(current, queue, model.name, decision.endpoint).count();
   fleet.AddSlot(slot);
   queue.running[grant.slot_id] = {.slot = slot,
                                   .owner = waiter->queued().owner,
@@ -318,30 +314,29 @@
   --queued;
   CountPlaced(*waiter, now);
   waiter->Finish(std::move(grant));
-  return Step::kEnded;
+  return DecisionOutcome::kFinished;
 }
 
-void Home::State::CountPlaced(const Waiter& waiter, core::SteadyTime now) {
+void Scheduler::State::CountPlaced(const Waiter& waiter, core::SteadyTime now) {
   {
     const std::lock_guard lock(stats_mutex);
     ++stats.placed;
     if (waiter.cold_tier) ++stats.cold_starts;
   }
-  if (waiter.cold_tier && options.cold_start_seen) {
-    options.cold_start_seen(*waiter.cold_tier,
-                            std::chrono::duration_cast<core::Millis>(
-                                now - waiter.queued().arrived));
+  if (waiter.cold_tier && options.on_cold_start) {
+    options.on_cold_start(*waiter.cold_tier,
+                          std::chrono::duration_cast<core::Millis>(
+                              now - waiter.queued().arrived));
   }
 }
 
-Home::State::Step Home::State::Load(const contract::Model& model,
-                                    ModelQueue& queue,
-                                    const std::shared_ptr<Waiter>& waiter,
-                                    const policy::PlacementDecision& decision,
-                                    std::vector<LoadOrder>& orders) {
+Scheduler::State::DecisionOutcome Scheduler::State::RequestLoad(
+    const contract::Model& model, ModelQueue& queue,
+    const std::shared_ptr<Waiter>& waiter,
+    const policy::PlacementDecision& decision, std::vector<LoadOrder>& orders) {
   const core::AdapterId adapter(waiter->request().adapter);
   if (queue.loads.contains(LoadKey(decision.endpoint, adapter))) {
-    return Step::kHeld;
+    return DecisionOutcome::kClassWaits;
   }
   // Failure: endpoints fail one load after the other, and every attempt takes
   // store bandwidth from loads that could succeed. Attempts after a failure are
@@ -350,19 +345,20 @@
     Refuse(queue, waiter,
            core::Error(ErrorCode::kLoadFailed, "the retry budget is used up",
                        kRetryAfter));
-    return Step::kEnded;
+    return DecisionOutcome::kFinished;
   }
   BeginLoad(model, queue, adapter, decision, orders);
   for (const auto& other : queue.waiters) {
     if (!other->cold_tier) other->cold_tier = queue.load_tier;
   }
-  return Step::kHeld;
+  return DecisionOutcome::kClassWaits;
 }
 
-void Home::State::LoadForRetry(const contract::Model& model, ModelQueue& queue,
-                               const std::shared_ptr<Waiter>& waiter,
-                               const policy::PlacementDecision& decision,
-                               std::vector<LoadOrder>& orders) {
+void Scheduler::State::LoadForRetry(const contract::Model& model,
+                                    ModelQueue& queue,
+                                    const std::shared_ptr<Waiter>& waiter,
+                                    const policy::PlacementDecision& decision,
+                                    std::vector<LoadOrder>& orders) {
   // No request waits for this load, so at most one runs at a time.
   if (!queue.loads.empty()) return;
   if (queue.failed_loads_in_row > 0 && !policy::TakeRetry(queue.retries)) {
@@ -370,28 +366,29 @@
   }
   const core::AdapterId adapter(waiter->request().adapter);
   BeginLoad(model, queue, adapter, decision, orders);
-  orders.back().least_time =
-      std::max(kRetryLoadTime, 2 * orders.back().expected);
+  orders.back().min_time =
+      std::max(kMinRetryLoadTime, 2 * orders.back().expected);
 }
 
-void Home::State::BeginLoad(const contract::Model& model, ModelQueue& queue,
-                            const core::AdapterId& adapter,
-                            const policy::PlacementDecision& decision,
-                            std::vector<LoadOrder>& orders) {
+void Scheduler::State::BeginLoad(const contract::Model& model,
+                                 ModelQueue& queue,
+                                 const core::AdapterId& adapter,
+                                 const policy::PlacementDecision& decision,
+                                 std::vector<LoadOrder>& orders) {
   LoadOrder order;
   order.endpoint = decision.endpoint;
   order.model = model.name;
   order.adapter = adapter;
   order.evict = decision.evict;
   order.bytes = AdapterBytes(model, adapter.value());
-  order.base_there = fleet.HasReplica(order.endpoint, order.model);
-  if (!order.base_there) {
+  order.base_loaded = fleet.HasReplica(order.endpoint, order.model);
+  if (!order.base_loaded) {
     order.bytes += model.weight_bytes + model.kv_budget_bytes;
   }
   order.tier = fleet.TierOf(order.endpoint, order.model);
   const policy::LoadTimes times = LoadTimesAt(queue.load_times, clock.Now());
-  order.expected = order.base_there ? times.adapter
-                                    : policy::LoadTimeFrom(times, order.tier);
+  order.expected = order.base_loaded ? times.adapter
+                                     : policy::LoadTimeFrom(times, order.tier);
   queue.loads.insert(LoadKey(order.endpoint, adapter));
   queue.load_tier = order.tier;
   fleet.BeginLoad(order);
--- a/src/entry/home_load.cc
+++ b/src/entry/home_load.cc
@@ -13,19 +13,19 @@
 using core::ErrorCode;
 
 /** Least time given to a load, however short the deadlines of its requests. */
-constexpr core::Millis kLeastLoadTime{1000};
+constexpr core::Millis kMinLoadTime{1000};
 /** Time the endpoint's answer may take beyond the time given to the load. */
 constexpr core::Millis kAnswerMargin{500};
 
 /** @return True if the error is no fault of the endpoint: the load continues
  * beyond the time it was given, or all load slots are taken right now. */
-bool IsOnlySlow(ErrorCode code) {
+bool IsTransientLoadError(ErrorCode code) {
   return code == ErrorCode::kTimedOut || code == ErrorCode::kDeadlineTooShort ||
          code == ErrorCode::kQueueFull;
 }
 
 /** @return How long an endpoint is excluded from loads after this error. */
-core::Millis AvoidFor(ErrorCode code) {
+core::Millis ExclusionTime(ErrorCode code) {
   switch (code) {
     case ErrorCode::kLeaving:
       return std::chrono::seconds(10);
@@ -60,7 +60,7 @@
 
 }  // namespace
 
-void Home::State::StartLoad(const LoadOrder& order) {
+void Scheduler::State::StartLoad(const LoadOrder& order) {
   {
     const std::lock_guard lock(stats_mutex);
     ++stats.loads_ordered;
@@ -75,7 +75,7 @@
   });
 }
 
-core::Task<> Home::State::OrderLoad(LoadOrder order) {
+core::Task<> Scheduler::State::OrderLoad(LoadOrder order) {
   const core::SteadyTime started = clock.Now();
   std::optional<core::Error> failure;
   try {
@@ -88,7 +88,8 @@
   EndLoad(order, started, failure ? &*failure : nullptr);
 }
 
-core::Task<> Home::State::SendLoad(LoadOrder order, core::SteadyTime started) {
+core::Task<> Scheduler::State::SendLoad(LoadOrder order,
+                                        core::SteadyTime started) {
   const auto address = fleet.AddressOf(order.endpoint);
   if (!address) throw core::Error(ErrorCode::kLinkLost, "not connected");
   const auto current = config.Current();
@@ -102,10 +103,10 @@
     Shard& shard = ShardOf(order.model);
     const std::lock_guard lock(shard.mutex);
     const ModelQueue& queue = shard.queues[order.model];
-    const core::SteadyTime latest = LatestDeadline(
-        queue, started + std::max(order.least_time, kLeastLoadTime));
+    const core::SteadyTime latest =
+        LatestDeadline(queue, started + std::max(order.min_time, kMinLoadTime));
     remaining = std::chrono::duration_cast<core::Millis>(latest - started);
-    keep_alive = KeepAlive(*current, queue, order.model, order.endpoint);
+    keep_alive = KeepAliveFor(*current, queue, order.model, order.endpoint);
   }
   const auto call = co_await links.Open(
       *address,
@@ -116,8 +117,8 @@
   }
 }
 
-void Home::State::EndLoad(const LoadOrder& order, core::SteadyTime started,
-                          const core::Error* failure) {
+void Scheduler::State::EndLoad(const LoadOrder& order, core::SteadyTime started,
+                               const core::Error* failure) {
   const core::SteadyTime now = clock.Now();
   const auto took = std::chrono::duration_cast<core::Millis>(now - started);
   {
@@ -131,11 +132,11 @@
       queue.failed_loads_in_row = 0;
       queue.last_load_error.reset();
       queue.avoid_until.erase(key);
-      if (!order.base_there) {
-        LearnLoad(queue.load_times, order.tier, took, now);
+      if (!order.base_loaded) {
+        RecordLoadTime(queue.load_times, order.tier, took, now);
       }
     } else {
-      NoteLoadFailure(queue, order, *failure);
+      RecordLoadFailure(queue, order, *failure);
     }
   }
   log.Event(
@@ -149,19 +150,21 @@
   Evaluate(order.model);
 }
 
-void Home::State::NoteLoadFailure(ModelQueue& queue, const LoadOrder& order,
-                                  const core::Error& failure) {
+void Scheduler::State::RecordLoadFailure(ModelQueue& queue,
+                                         const LoadOrder& order,
+                                         const core::Error& failure) {
   // Failure: the weight store is slow, and a load outlasts every request that
   // waited for it. The report shows it still loading. Excluding the endpoint
   // would skip it just when the load is about to succeed.
-  const bool goes_on = IsOnlySlow(failure.code()) &&
+  const bool goes_on = IsTransientLoadError(failure.code()) &&
                        fleet.HasReplica(order.endpoint, order.model);
   if (goes_on && failure.code() != ErrorCode::kQueueFull) return;
   const core::SteadyTime now = clock.Now();
   // A failed adapter load does not exclude the endpoint for the base model.
   const core::AdapterId adapter =
-      order.base_there ? order.adapter : core::AdapterId();
-  queue.avoid_until[{order.endpoint, adapter}] = now + AvoidFor(failure.code());
+      order.base_loaded ? order.adapter : core::AdapterId();
+  queue.avoid_until[{order.endpoint, adapter}] =
+      now + ExclusionTime(failure.code());
   if (goes_on) return;
   ++queue.failed_loads_in_row;
   queue.last_load_error = failure;
--- a/src/entry/home_state_base.h
+++ b/src/entry/home_state_base.h
@@ -23,7 +23,7 @@
 namespace sapphire::entry {
 
 /** Shared state, kept alive by its own coroutines and by every placement. */
-struct Home::State : std::enable_shared_from_this<Home::State> {
+struct Scheduler::State : std::enable_shared_from_this<Scheduler::State> {
   /** Queues of the models that hash to this shard. The lock is never held over
    * a co_await. */
   struct Shard {
@@ -31,7 +31,7 @@
     std::unordered_map<core::ModelId, ModelQueue> queues;
   };
 
-  State(const core::Executor& executor_arg, HomeOptions options_arg,
+  State(const core::Executor& executor_arg, SchedulerOptions options_arg,
         contract::ConfigHolder& config_arg, Directory& directory_arg,
         link::LinkNode& links_arg, external::KeyValueStore& store_arg,
         const core::Clock& clock_arg, const core::Logger& log_arg);
@@ -49,10 +49,10 @@
   void Withdraw(const std::shared_ptr<Waiter>& waiter);
   void Release(const core::ModelId& model, std::int64_t slot_id,
                gen::RunResult::type result);
-  void CheckRoom(const ModelQueue& queue, const core::OwnerId& owner);
+  void CheckQueueLimits(const ModelQueue& queue, const core::OwnerId& owner);
   void CheckQuarantine(std::int64_t fingerprint);
-  void LearnFromRun(ModelQueue& queue, std::int64_t slot_id,
-                    const RunningRequest& run, gen::RunResult::type result);
+  void RecordRunResult(ModelQueue& queue, std::int64_t slot_id,
+                       const RunningRequest& run, gen::RunResult::type result);
   void CountRefusal(const core::Error& error);
   core::Task<> Sweep();
 
@@ -64,14 +64,15 @@
   void Decide(const contract::Config& config, const contract::Model& model,
               ModelQueue& queue, std::vector<LoadOrder>& orders);
   /** Outcome of one decision, and what it means for the waiters behind. */
-  enum class Step {
-    kEnded,     ///< The waiter was granted a slot or refused.
-    kHeld,      ///< It waits, and so do all waiters of its class.
-    kHeldAlone  ///< It waits for a reason that concerns only itself.
+  enum class DecisionOutcome {
+    kFinished,    ///< The waiter was granted a slot or refused.
+    kClassWaits,  ///< It waits, and so do all waiters of its class.
+    kWaits        ///< It waits for a reason that concerns only itself.
   };
-  Step DecideOne(const contract::Config& config, const contract::Model& model,
-                 ModelQueue& queue, const std::shared_ptr<Waiter>& waiter,
-                 int ahead, std::vector<LoadOrder>& orders);
+  DecisionOutcome DecideOne(const contract::Config& config,
+                            const contract::Model& model, ModelQueue& queue,
+                            const std::shared_ptr<Waiter>& waiter, int ahead,
+                            std::vector<LoadOrder>& orders);
   /**
    * Refuses waiters that can't be served in time at their position in the
    * queue. Failure: only the first waiter was decided on, so that the others
@@ -79,20 +80,21 @@
    * The position is estimated low: an owner behind others may be served by its
    * share earlier than its position in the whole queue says.
    */
-  void RefuseHopeless(const contract::Config& current,
-                      const contract::Model& model, ModelQueue& queue);
-  policy::PlacementDecision Consult(const contract::Config& config,
-                                    const contract::Model& model,
-                                    const ModelQueue& queue,
-                                    const Waiter& waiter, int ahead);
-  Step Run(const contract::Config& config, const contract::Model& model,
-           ModelQueue& queue, const std::shared_ptr<Waiter>& waiter,
-           const policy::PlacementDecision& decision,
-           std::vector<LoadOrder>& orders);
-  Step Load(const contract::Model& model, ModelQueue& queue,
-            const std::shared_ptr<Waiter>& waiter,
-            const policy::PlacementDecision& decision,
-            std::vector<LoadOrder>& orders);
+  void RefuseUnservable(const contract::Config& current,
+                        const contract::Model& model, ModelQueue& queue);
+  policy::PlacementDecision ComputeDecision(const contract::Config& config,
+                                            const contract::Model& model,
+                                            const ModelQueue& queue,
+                                            const Waiter& waiter, int ahead);
+  DecisionOutcome TryGrant(const contract::Config& config,
+                           const contract::Model& model, ModelQueue& queue,
+                           const std::shared_ptr<Waiter>& waiter,
+                           const policy::PlacementDecision& decision,
+                           std::vector<LoadOrder>& orders);
+  DecisionOutcome RequestLoad(const contract::Model& model, ModelQueue& queue,
+                              const std::shared_ptr<Waiter>& waiter,
+                              const policy::PlacementDecision& decision,
+                              std::vector<LoadOrder>& orders);
   /** Starts a load for the caller's retry when the remaining time is too short
    * for this request. */
   void LoadForRetry(const contract::Model& model, ModelQueue& queue,
@@ -112,10 +114,10 @@
   /** Reserves `endpoint` for the waiter until it leaves the queue. */
   void ReserveFor(Waiter& waiter, const core::EndpointId& endpoint);
   /** Refuses waiters that were abandoned, timed out or got quarantined. */
-  void EndOverdue(ModelQueue& queue);
-  core::Millis KeepAlive(const contract::Config& config,
-                         const ModelQueue& queue, const core::ModelId& model,
-                         const core::EndpointId& endpoint) const;
+  void RefuseExpired(ModelQueue& queue);
+  core::Millis KeepAliveFor(const contract::Config& config,
+                            const ModelQueue& queue, const core::ModelId& model,
+                            const core::EndpointId& endpoint) const;
   [[nodiscard]] bool IsStarting() const;
   [[nodiscard]] bool IsSuspect(const Waiter& waiter) const;
 
@@ -128,13 +130,13 @@
   void EndLoad(const LoadOrder& order, core::SteadyTime started,
                const core::Error* failure);
 
-  void NoteLoadFailure(ModelQueue& queue, const LoadOrder& order,
-                       const core::Error& failure);
+  void RecordLoadFailure(ModelQueue& queue, const LoadOrder& order,
+                         const core::Error& failure);
 
   Shard& ShardOf(const core::ModelId& id);
 
   const core::Executor executor;
-  const HomeOptions options;
+  const SchedulerOptions options;
   contract::ConfigHolder& config;
   Directory& directory;
   link::LinkNode& links;
--- a/src/entry/home_test.cc
+++ b/src/entry/home_test.cc
@@ -1,6 +1,6 @@
 /** @file home_test.cc Tests the scheduler under bursts, lost endpoints and
  * crashes. */
-#define BOOST_TEST_MODULE entry_home
+#define BOOST_TEST_MODULE entry_scheduler
 #include <boost/test/unit_test.hpp>
 
 #include "crash/quarantine_base.h"
@@ -29,10 +29,10 @@
 
   Outcome Place(gen::Place request) { return Place(*entry, request); }
   Outcome Place(FakeEntry& at, const gen::Place& request) {
-    return threads.Start(TryPlace(at.home(), request)).get();
+    return threads.Start(TryPlace(at.scheduler(), request)).get();
   }
   int Loads() const { return left.loads + right.loads; }
-  FakeEndpoint& Named(const std::string& name) {
+  FakeEndpoint& EndpointNamed(const std::string& name) {
     return name == "left" ? left : right;
   }
 
@@ -50,9 +50,9 @@
 };
 
 /** Places a request, holds its slot briefly and releases it. */
-core::Task<bool> RunOnce(Home& home, std::atomic<int>& running,
+core::Task<bool> RunOnce(Scheduler& scheduler, std::atomic<int>& running,
                          std::atomic<int>& peak) {
-  Outcome outcome = co_await TryPlace(home, PlaceOf(kModel, kLong));
+  Outcome outcome = co_await TryPlace(scheduler, PlaceOf(kModel, kLong));
   if (!outcome.placement) co_return false;
   const int now = ++running;
   int seen = peak;
@@ -74,14 +74,14 @@
   all.reserve(500);
   for (int i = 0; i < 500; ++i) {
     all.push_back(
-        fleet.threads.Start(RunOnce(fleet.entry->home(), running, peak)));
+        fleet.threads.Start(RunOnce(fleet.entry->scheduler(), running, peak)));
   }
   int served = 0;
   for (auto& one : all) served += one.get() ? 1 : 0;
   BOOST_TEST(served == 500);
   BOOST_TEST(fleet.Loads() == 1);
   BOOST_TEST(peak <= 4);
-  const Home::Stats stats = fleet.entry->home().stats();
+  const Scheduler::Stats stats = fleet.entry->scheduler().stats();
   BOOST_TEST(stats.placed == 500);
   BOOST_TEST(stats.loads_ordered == 1);
   BOOST_TEST(stats.queued == 0);
@@ -94,7 +94,7 @@
   fleet.left.mode = LoadMode::kHang;
   fleet.right.mode = LoadMode::kHang;
   auto placing = fleet.threads.Start(
-      TryPlace(fleet.entry->home(), PlaceOf(kModel, kLong)));
+      TryPlace(fleet.entry->scheduler(), PlaceOf(kModel, kLong)));
   BOOST_REQUIRE(Eventually([&] { return fleet.Loads() == 1; }));
   FakeEndpoint& lost = fleet.left.loads == 1 ? fleet.left : fleet.right;
   FakeEndpoint& other = &lost == &fleet.left ? fleet.right : fleet.left;
@@ -112,7 +112,7 @@
   fleet.left.mode = LoadMode::kFail;
   fleet.right.mode = LoadMode::kFail;
   auto placing = fleet.threads.Start(
-      TryPlace(fleet.entry->home(), PlaceOf(kModel, kLong)));
+      TryPlace(fleet.entry->scheduler(), PlaceOf(kModel, kLong)));
   BOOST_REQUIRE(Eventually([&] { return fleet.Loads() == 1; }));
   FakeEndpoint& other = fleet.left.loads == 1 ? fleet.right : fleet.left;
   other.mode = LoadMode::kSucceed;
@@ -175,7 +175,7 @@
   fleet.left.mode = LoadMode::kOutlast;
   fleet.right.mode = LoadMode::kOutlast;
   auto first = fleet.threads.Start(
-      TryPlace(fleet.entry->home(), PlaceOf(kModel, core::Millis(1500))));
+      TryPlace(fleet.entry->scheduler(), PlaceOf(kModel, core::Millis(1500))));
   BOOST_REQUIRE(Eventually([&] {
     const auto all = fleet.entry->directory().Endpoints();
     return std::any_of(all.begin(), all.end(), [](const auto& known) {
@@ -184,7 +184,7 @@
   }));
   FakeEndpoint& holder = fleet.left.loads == 1 ? fleet.left : fleet.right;
   auto second = fleet.threads.Start(
-      TryPlace(fleet.entry->home(), PlaceOf(kModel, kLong)));
+      TryPlace(fleet.entry->scheduler(), PlaceOf(kModel, kLong)));
   BOOST_TEST(
       (second.wait_for(core::Millis(300)) == std::future_status::timeout));
   holder.FinishLoading();
@@ -203,7 +203,7 @@
   BOOST_REQUIRE(outcome.error);
   BOOST_TEST((outcome.error->outcome() == core::Outcome::kNotRun));
   BOOST_TEST(outcome.error->retry_after().has_value());
-  BOOST_TEST(fleet.entry->home().stats().queued == 0);
+  BOOST_TEST(fleet.entry->scheduler().stats().queued == 0);
 }
 
 // A request has crashed two engines and is sent a third time, to another entry
@@ -251,7 +251,7 @@
   Outcome innocent = fleet.Place(PlaceOf(kModel, kLong, 1));
   BOOST_REQUIRE(innocent.placement);
   auto fatal = fleet.threads.Start(
-      TryPlace(fleet.entry->home(), PlaceOf(kModel, kLong, 666)));
+      TryPlace(fleet.entry->scheduler(), PlaceOf(kModel, kLong, 666)));
   BOOST_TEST(
       (fatal.wait_for(core::Millis(300)) == std::future_status::timeout));
   innocent.placement->Done(gen::RunResult::COMPLETED);
@@ -311,7 +311,7 @@
   fleet.left.mode = LoadMode::kHang;
   fleet.right.mode = LoadMode::kHang;
   auto waiting = fleet.threads.Start(
-      TryPlace(fleet.entry->home(), PlaceOf(kModel, kLong)));
+      TryPlace(fleet.entry->scheduler(), PlaceOf(kModel, kLong)));
   BOOST_REQUIRE(Eventually([&] { return fleet.Loads() == 1; }));
   contract::Config other = ConfigOf("another", 1, 1);
   other.version = 2;
@@ -336,7 +336,7 @@
   waiting.reserve(20);
   for (int i = 0; i < 20; ++i) {
     waiting.push_back(
-        fleet.threads.Start(TryPlace(fleet.entry->home(), with_adapter)));
+        fleet.threads.Start(TryPlace(fleet.entry->scheduler(), with_adapter)));
   }
   BOOST_REQUIRE(Eventually([&] { return fleet.Loads() == 2; }));
   BOOST_TEST(fleet.Place(PlaceOf(kModel, kLong)).placement != nullptr);
@@ -350,10 +350,10 @@
   BOOST_TEST((unknown.error->code() == core::ErrorCode::kUnknownAdapter));
 }
 
-core::Task<Outcome> TryPlaceService(Home& home, std::string service) {
+core::Task<Outcome> TryPlaceService(Scheduler& scheduler, std::string service) {
   Outcome outcome;
   try {
-    outcome.placement = co_await home.PlaceService(
+    outcome.placement = co_await scheduler.PlaceService(
         core::ServiceId(service), core::OwnerId("one"), kLong, {});
   } catch (const core::Error& e) {
     outcome.error = e;
@@ -368,7 +368,8 @@
   FakeEndpoint booth(fleet.threads, "booth", fleet.clock, fleet.log, "booths");
   fleet.list.Add("booth", external::VmRole::kEndpoint, booth.address());
   const auto place = [&fleet](const char* service) {
-    return fleet.threads.Start(TryPlaceService(fleet.entry->home(), service))
+    return fleet.threads
+        .Start(TryPlaceService(fleet.entry->scheduler(), service))
         .get();
   };
   BOOST_REQUIRE(Eventually([&] { return place("booths").placement; }));
@@ -381,12 +382,13 @@
   fleet.threads.Stop();
 }
 
-core::Task<int> PlaceInTurn(Home& home, std::string owner,
+core::Task<int> PlaceInTurn(Scheduler& scheduler, std::string owner,
                             std::atomic<int>& turn) {
   // The duration of the holder's run serves as the service time estimate; on a
   // busy machine, 200 times that is longer than kLong.
   constexpr core::Millis kAmple{600'000};
-  Outcome outcome = co_await TryPlace(home, PlaceOf(kModel, kAmple, 0, owner));
+  Outcome outcome =
+      co_await TryPlace(scheduler, PlaceOf(kModel, kAmple, 0, owner));
   const int mine = outcome.placement ? turn++ : -1;
   if (outcome.placement) {
     outcome.placement->Done(gen::RunResult::COMPLETED);
@@ -405,15 +407,15 @@
   std::vector<std::future<int>> loud;
   loud.reserve(200);
   for (int i = 0; i < 200; ++i) {
-    loud.push_back(
-        fleet.threads.Start(PlaceInTurn(fleet.entry->home(), "loud", turn)));
+    loud.push_back(fleet.threads.Start(
+        PlaceInTurn(fleet.entry->scheduler(), "loud", turn)));
   }
-  BOOST_REQUIRE(
-      Eventually([&] { return fleet.entry->home().stats().queued == 200; }));
+  BOOST_REQUIRE(Eventually(
+      [&] { return fleet.entry->scheduler().stats().queued == 200; }));
   auto quiet =
-      fleet.threads.Start(PlaceInTurn(fleet.entry->home(), "quiet", turn));
-  BOOST_REQUIRE(
-      Eventually([&] { return fleet.entry->home().stats().queued == 201; }));
+      fleet.threads.Start(PlaceInTurn(fleet.entry->scheduler(), "quiet", turn));
+  BOOST_REQUIRE(Eventually(
+      [&] { return fleet.entry->scheduler().stats().queued == 201; }));
   holder.placement->Done(gen::RunResult::COMPLETED);
   BOOST_TEST(quiet.get() <= 1);
   for (auto& one : loud) BOOST_TEST(one.get() >= 0);
@@ -443,7 +445,7 @@
       fleet.threads.Start(OpenPlace(placer, fleet.entry->address())).get();
   BOOST_REQUIRE(call);
   auto second = fleet.threads.Start(
-      TryPlace(fleet.entry->home(), PlaceOf(kModel, kLong)));
+      TryPlace(fleet.entry->scheduler(), PlaceOf(kModel, kLong)));
   BOOST_TEST(
       (second.wait_for(core::Millis(200)) == std::future_status::timeout));
   placer.Close();
@@ -465,10 +467,10 @@
       NoVersions(), fleet.clock, fleet.log);
   auto waiting = fleet.threads.Start(OpenPlace(placer, fleet.entry->address()));
   BOOST_REQUIRE(
-      Eventually([&] { return fleet.entry->home().stats().queued == 1; }));
+      Eventually([&] { return fleet.entry->scheduler().stats().queued == 1; }));
   placer.Close();
   BOOST_TEST(
-      Eventually([&] { return fleet.entry->home().stats().queued == 0; }));
+      Eventually([&] { return fleet.entry->scheduler().stats().queued == 0; }));
   BOOST_CHECK_THROW(waiting.get(), core::Error);
   fleet.threads.Stop();
 }
--- a/src/entry/ledger_cleanup.cc
+++ b/src/entry/ledger_cleanup.cc
@@ -59,11 +59,11 @@
       log_(log) {}
 
 void LedgerCleanup::Start() {
-  directory_.OnGone([weak = weak_from_this()](const core::VmId& vm) {
+  directory_.OnVmRemoved([weak = weak_from_this()](const core::VmId& vm) {
     const auto self = weak.lock();
     if (!self) return;
     const std::lock_guard lock(self->mutex_);
-    self->gone_.insert(vm);
+    self->removed_.insert(vm);
   });
   core::Spawn(executor_, log_, "ledger_cleanup",
               [self = shared_from_this()] { return self->Follow(); });
@@ -77,7 +77,7 @@
     std::size_t known = 0;
     {
       const std::lock_guard lock(mutex_);
-      known = gone_.size();
+      known = removed_.size();
     }
     if (known == handled && clock_.Now() < next) continue;
     co_await Sweep();
@@ -102,20 +102,20 @@
   return own;
 }
 
-bool LedgerCleanup::IsGone(const core::VmId& vm) {
-  if (!directory_.list_seen() || directory_.Lists(vm)) {
+bool LedgerCleanup::IsRemoved(const core::VmId& vm) {
+  if (!directory_.has_list() || directory_.IsListed(vm)) {
     const std::lock_guard lock(mutex_);
     missing_since_.erase(vm);
-    gone_.erase(vm);
+    removed_.erase(vm);
     return false;
   }
   const std::lock_guard lock(mutex_);
-  if (gone_.contains(vm)) return true;
+  if (removed_.contains(vm)) return true;
   // This entry never saw the holder listed: the VM was removed while this entry
   // did not run. Only a listed VM takes a grant, so the VM counts as removed
   // once the list has had time to catch up.
   const auto it = missing_since_.try_emplace(vm, clock_.Now()).first;
-  return clock_.Now() - it->second >= options_.gone_grace;
+  return clock_.Now() - it->second >= options_.removal_grace;
 }
 
 core::Task<> LedgerCleanup::Sweep() {
@@ -140,12 +140,12 @@
   const auto ledger = co_await store_.Get(key);
   if (!ledger) co_return;
   for (const core::VmId& vm : GrantHolders(ledger->value)) {
-    if (!IsGone(vm)) continue;
-    co_await EndGrants(key, vm);
+    if (!IsRemoved(vm)) continue;
+    co_await RemoveGrants(key, vm);
   }
 }
 
-core::Task<> LedgerCleanup::EndGrants(std::string key, core::VmId vm) {
+core::Task<> LedgerCleanup::RemoveGrants(std::string key, core::VmId vm) {
   for (int i = 0; i < kSwapTries; ++i) {
     const auto ledger = co_await store_.Get(key);
     if (!ledger) co_return;
--- a/src/entry/ledger_cleanup_base.h
+++ b/src/entry/ledger_cleanup_base.h
@@ -35,7 +35,7 @@
   core::VmId self;
   std::chrono::milliseconds interval{15000};
   /** A holder missing from the list for this long counts as removed. */
-  std::chrono::milliseconds gone_grace{30000};
+  std::chrono::milliseconds removal_grace{30000};
 };
 
 /**
@@ -63,9 +63,9 @@
  private:
   core::Task<> Follow();
   core::Task<> SweepService(core::ServiceId service);
-  core::Task<> EndGrants(std::string key, core::VmId vm);
+  core::Task<> RemoveGrants(std::string key, core::VmId vm);
   [[nodiscard]] std::vector<core::ServiceId> OwnServices() const;
-  [[nodiscard]] bool IsGone(const core::VmId& vm);
+  [[nodiscard]] bool IsRemoved(const core::VmId& vm);
 
   const core::Executor executor_;
   const LedgerCleanupOptions options_;
@@ -77,7 +77,7 @@
   std::atomic<bool> stopped_{false};
   std::mutex mutex_;
   /** VMs that the list showed before and no longer shows. */
-  std::set<core::VmId> gone_;
+  std::set<core::VmId> removed_;
   std::map<core::VmId, core::SteadyTime> missing_since_;
 };
 
--- a/src/entry/metrics.cc
+++ b/src/entry/metrics.cc
@@ -58,25 +58,26 @@
 Metrics::Metrics() : state_(std::make_unique<State>()) {}
 Metrics::~Metrics() = default;
 
-void Metrics::RequestEnded(std::string_view result,
-                           std::chrono::milliseconds took) {
+void Metrics::RecordRequest(std::string_view result,
+                            std::chrono::milliseconds took) {
   state_->requests.Add({{"result", std::string(result)}}, kSeconds)
       .Observe(Seconds(took).count());
 }
 
-void Metrics::ColdStart(std::string_view tier,
-                        std::chrono::milliseconds waited) {
+void Metrics::RecordColdStart(std::string_view tier,
+                              std::chrono::milliseconds waited) {
   state_->cold_starts.Add({{"tier", std::string(tier)}}, kSeconds)
       .Observe(Seconds(waited).count());
 }
 
-void Metrics::KeyValueCall(std::string_view kind, std::string_view outcome) {
+void Metrics::RecordKeyValueCall(std::string_view kind,
+                                 std::string_view outcome) {
   state_->kv_calls
       .Add({{"kind", std::string(kind)}, {"outcome", std::string(outcome)}})
       .Increment();
 }
 
-std::string Metrics::Text(const Levels& levels) {
+std::string Metrics::Text(const MetricValues& levels) {
   const auto set = [this](const char* name, auto value) {
     state_->levels.Add({{"name", name}}).Set(static_cast<double>(value));
   };
@@ -86,12 +87,12 @@
   set("endpoints_connected", levels.endpoints_connected);
   set("entries_live", levels.entries_live);
   set("leaving", levels.leaving);
-  set("home_placed", levels.home.placed);
-  set("home_refused", levels.home.refused);
-  set("home_loads_ordered", levels.home.loads_ordered);
-  set("home_cold_starts", levels.home.cold_starts);
-  set("home_quarantined", levels.home.quarantined);
-  set("home_queued", levels.home.queued);
+  set("home_placed", levels.scheduler.placed);
+  set("home_refused", levels.scheduler.refused);
+  set("home_loads_ordered", levels.scheduler.loads_ordered);
+  set("home_cold_starts", levels.scheduler.cold_starts);
+  set("home_quarantined", levels.scheduler.quarantined);
+  set("home_queued", levels.scheduler.queued);
   set("link_frames_sent", levels.links.frames_sent);
   set("link_frames_received", levels.links.frames_received);
   set("link_bytes_sent", levels.links.bytes_sent);
@@ -107,7 +108,7 @@
     set_replicas(service, "reported", count.reported);
     set_replicas(service, "limit", count.limit);
   }
-  for (const auto& [code, count] : levels.home.refused_by_code) {
+  for (const auto& [code, count] : levels.scheduler.refused_by_code) {
     state_->refusals.Add({{"error", std::string(core::InfoOf(code).name)}})
         .Set(static_cast<double>(count));
   }
--- a/src/entry/metrics_base.h
+++ b/src/entry/metrics_base.h
@@ -23,7 +23,7 @@
 };
 
 /** Values sampled when the metrics are collected. */
-struct Levels {
+struct MetricValues {
   std::int64_t config_version = 0;
   int requests_in_progress = 0;
   int once_runs_in_progress = 0;
@@ -31,7 +31,7 @@
   int entries_live = 0;
   bool leaving = false;
   std::map<core::ServiceId, ServiceReplicas> services;
-  Home::Stats home;
+  Scheduler::Stats scheduler;
   link::LinkCounters links;
 };
 
@@ -44,15 +44,15 @@
   Metrics& operator=(const Metrics&) = delete;
 
   /** @param result "ok" or the error's name. */
-  void RequestEnded(std::string_view result, std::chrono::milliseconds took);
+  void RecordRequest(std::string_view result, std::chrono::milliseconds took);
   /** A request that waited for a load. @param tier "memory", "disk" or
    * "remote". */
-  void ColdStart(std::string_view tier, std::chrono::milliseconds waited);
+  void RecordColdStart(std::string_view tier, std::chrono::milliseconds waited);
   /** @param kind The operation. @param outcome "ok" or the error's name. */
-  void KeyValueCall(std::string_view kind, std::string_view outcome);
+  void RecordKeyValueCall(std::string_view kind, std::string_view outcome);
 
   /** @return All metrics in the Prometheus text format. */
-  std::string Text(const Levels& levels);
+  std::string Text(const MetricValues& levels);
 
  private:
   struct State;
--- a/src/entry/model_queue.cc
+++ b/src/entry/model_queue.cc
@@ -10,15 +10,15 @@
 namespace {
 
 /** Most fingerprints remembered as harmless per model. */
-constexpr std::size_t kHarmlessKept = 1024;
+constexpr std::size_t kMaxHarmless = 1024;
 /** The scheduler ends every wait itself; this only bounds a single timer. */
-constexpr std::chrono::minutes kWaitRound{10};
+constexpr std::chrono::minutes kWaitTimeout{10};
 constexpr std::chrono::seconds kUsageHalfLife{10};
 /** Owners remembered per model before idle ones are forgotten. */
-constexpr std::size_t kIdleOwnersKept = 64;
+constexpr std::size_t kMaxIdleOwners = 64;
 
-double RecentAt(const OwnerUsage& usage, core::SteadyTime now) {
-  const std::chrono::duration<double> age = now - usage.recent_as_of;
+double RecentUsageAt(const OwnerUsage& usage, core::SteadyTime now) {
+  const std::chrono::duration<double> age = now - usage.recent_at;
   const std::chrono::duration<double> half_life = kUsageHalfLife;
   return usage.recent_ms * std::exp2(-(age / half_life));
 }
@@ -28,14 +28,14 @@
 void ChargeOwner(OwnerUsage& usage, core::Millis slot_time,
                  core::SteadyTime now) {
   const auto charged = std::max<std::int64_t>(slot_time.count(), 1);
-  usage.recent_ms = RecentAt(usage, now) + static_cast<double>(charged);
-  usage.recent_as_of = now;
+  usage.recent_ms = RecentUsageAt(usage, now) + static_cast<double>(charged);
+  usage.recent_at = now;
 }
 
 void ForgetIdleOwners(ModelQueue& queue, core::SteadyTime now) {
-  if (queue.owners.size() <= kIdleOwnersKept || !queue.waiters.empty()) return;
+  if (queue.owners.size() <= kMaxIdleOwners || !queue.waiters.empty()) return;
   std::erase_if(queue.owners, [now](const auto& item) {
-    return item.second.running == 0 && RecentAt(item.second, now) < 1;
+    return item.second.running == 0 && RecentUsageAt(item.second, now) < 1;
   });
 }
 
@@ -50,7 +50,7 @@
   while (true) {
     const std::uint64_t seen = signal_.epoch();
     if (finished_) co_return;
-    co_await signal_.Wait(seen, kWaitRound);
+    co_await signal_.Wait(seen, kWaitTimeout);
   }
 }
 
@@ -67,7 +67,7 @@
   }
   if (candidates.empty()) return nullptr;
   return queue
-      .waiters[indexes[policy::PickNext(candidates, UseOf(queue, now))]];
+      .waiters[indexes[policy::PickNext(candidates, UsageByOwner(queue, now))]];
 }
 
 bool RemoveWaiter(ModelQueue& queue, const Waiter* waiter) {
@@ -96,14 +96,14 @@
   return latest;
 }
 
-std::map<core::OwnerId, policy::OwnerUse> UseOf(const ModelQueue& queue,
-                                                core::SteadyTime now) {
+std::map<core::OwnerId, policy::OwnerUse> UsageByOwner(const ModelQueue& queue,
+                                                       core::SteadyTime now) {
   const std::int64_t each =
-      std::max<std::int64_t>(ValueAt(queue.service_time, now).count(), 1);
+      std::max<std::int64_t>(EstimateAt(queue.service_time, now).count(), 1);
   std::map<core::OwnerId, policy::OwnerUse> use;
   for (const auto& [owner, usage] : queue.owners) {
     const double slot_ms =
-        RecentAt(usage, now) + static_cast<double>(usage.running * each);
+        RecentUsageAt(usage, now) + static_cast<double>(usage.running * each);
     const double most = std::numeric_limits<int>::max();
     use[owner] = {.running = static_cast<int>(std::min(slot_ms, most)),
                   .share = usage.share};
@@ -111,7 +111,7 @@
   return use;
 }
 
-policy::QueueUse WaitingOf(const ModelQueue& queue, int max_queue) {
+policy::QueueUse WaitingByOwner(const ModelQueue& queue, int max_queue) {
   policy::QueueUse use{.max_queue = max_queue, .waiting = {}};
   for (const auto& waiter : queue.waiters) {
     ++use.waiting[waiter->queued().owner];
@@ -134,9 +134,9 @@
   return avoid;
 }
 
-void NoteHarmless(ModelQueue& queue, std::int64_t fingerprint) {
+void RecordHarmless(ModelQueue& queue, std::int64_t fingerprint) {
   if (fingerprint == 0) return;
-  if (queue.harmless.size() >= kHarmlessKept) queue.harmless.clear();
+  if (queue.harmless.size() >= kMaxHarmless) queue.harmless.clear();
   queue.harmless.insert(fingerprint);
 }
 
--- a/src/entry/model_queue_base.h
+++ b/src/entry/model_queue_base.h
@@ -91,7 +91,7 @@
   /** Slot time of requests that ended, halved every few seconds. It preserves
    * the shares at moments when nothing runs. */
   double recent_ms = 0;
-  core::SteadyTime recent_as_of;
+  core::SteadyTime recent_at;
 };
 
 /** Adds the slot time of a request that ended. */
@@ -147,11 +147,11 @@
                                 core::SteadyTime least);
 
 /** @return Each owner's slot time in ms, of recent and of running requests. */
-std::map<core::OwnerId, policy::OwnerUse> UseOf(const ModelQueue& queue,
-                                                core::SteadyTime now);
+std::map<core::OwnerId, policy::OwnerUse> UsageByOwner(const ModelQueue& queue,
+                                                       core::SteadyTime now);
 
 /** @return The number of waiting requests per owner. */
-policy::QueueUse WaitingOf(const ModelQueue& queue, int max_queue);
+policy::QueueUse WaitingByOwner(const ModelQueue& queue, int max_queue);
 
 /** @return The endpoints at which `request` must not be placed. */
 std::set<core::EndpointId> AvoidSet(const ModelQueue& queue,
@@ -159,7 +159,7 @@
                                     core::SteadyTime now);
 
 /** Records that a request with this fingerprint has completed. */
-void NoteHarmless(ModelQueue& queue, std::int64_t fingerprint);
+void RecordHarmless(ModelQueue& queue, std::int64_t fingerprint);
 
 }  // namespace sapphire::entry
 
--- a/src/entry/once_runner.cc
+++ b/src/entry/once_runner.cc
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr int kMaxPlaces = 4;
+constexpr int kMaxPlacements = 4;
 
 Error OutcomeUnknown(const std::string& why) {
   return Error(ErrorCode::kOutcomeUnknown, why);
@@ -34,7 +34,7 @@
   co_await sink.End();
 }
 
-void CheckSameWork(std::int64_t stored, const gen::Run& run) {
+void CheckSameRequest(std::int64_t stored, const gen::Run& run) {
   if (stored == run.fingerprint) return;
   throw Error(ErrorCode::kBadHeader,
               "Idempotency-Key: was used with another request");
@@ -73,7 +73,7 @@
                        AnswerSink& sink) {
   const std::string key = ClaimKey(run);
   const auto recording = JoinOrStart(key, run, deadline);
-  CheckSameWork(recording->fingerprint(), run);
+  CheckSameRequest(recording->fingerprint(), run);
   co_await recording->Follow(sink, deadline, clock_);
 }
 
@@ -112,13 +112,14 @@
                                     std::shared_ptr<Recording> recording) {
   Claim claim;
   claim.attempt = core::AttemptId(core::RandomHexId());
-  claim.home = options_.self;
+  claim.entry = options_.self;
   claim.fingerprint = run.fingerprint;
   claim.created = clock_.WallNow();
   const AcquireResult acquired = co_await claims_.Acquire(key, claim, deadline);
   if (!acquired.acquired) {
-    CheckSameWork(acquired.claim.fingerprint, run);
-    co_await FollowOther(acquired.claim, std::move(run), deadline, recording);
+    CheckSameRequest(acquired.claim.fingerprint, run);
+    co_await FollowExisting(acquired.claim, std::move(run), deadline,
+                            recording);
     co_return;
   }
   AttemptResult result =
@@ -140,22 +141,22 @@
 
 /** Handles a claim held by another attempt: replays its stored answer or
  * follows its run at the entry that runs it. Never runs the request itself. */
-Task<> OnceRunner::FollowOther(Claim standing, gen::Run run,
-                               core::SteadyTime deadline,
-                               std::shared_ptr<Recording> recording) {
-  if (standing.answer) {
-    co_await Replay(*standing.answer, *recording);
+Task<> OnceRunner::FollowExisting(Claim existing, gen::Run run,
+                                  core::SteadyTime deadline,
+                                  std::shared_ptr<Recording> recording) {
+  if (existing.answer) {
+    co_await Replay(*existing.answer, *recording);
     co_return;
   }
-  if (standing.state == ClaimState::kDone) {
+  if (existing.state == ClaimState::kDone) {
     throw Error(ErrorCode::kAlreadyRan, "its answer is not kept");
   }
   // Claimed by this VM, but by no run in memory: a previous process made it.
-  if (standing.home == options_.self) {
+  if (existing.entry == options_.self) {
     throw OutcomeUnknown("the entry that ran it has restarted");
   }
-  for (const KnownEntry& entry : placer_.Homes("")) {
-    if (entry.vm != standing.home) continue;
+  for (const KnownEntry& entry : placer_.RankedEntries("")) {
+    if (entry.vm != existing.entry) continue;
     const AttemptResult result = co_await RunAttempt(
         links_, entry.address, run, deadline, *recording, clock_);
     if (result.end == AttemptEnd::kCompleted) co_return;
@@ -170,11 +171,11 @@
   std::set<core::EndpointId> avoid;
   AttemptResult result;
   // The run outlives its first caller, since a resend may be waiting for it.
-  const auto nobody_leaves = [] { return false; };
-  for (int i = 0; i < kMaxPlaces; ++i) {
+  const auto never_abandoned = [] { return false; };
+  for (int i = 0; i < kMaxPlacements; ++i) {
     std::unique_ptr<Placement> place;
     try {
-      place = co_await placer_.Place(run, avoid, deadline, nobody_leaves);
+      place = co_await placer_.Place(run, avoid, deadline, never_abandoned);
     } catch (const Error& e) {
       co_return AttemptResult{AttemptEnd::kNotStarted, e, 0};
     }
@@ -200,8 +201,7 @@
                                              deadline, *recording, clock_);
   const bool ask = result.end == AttemptEnd::kUnknown && !recording->started();
   if (ask) {
-    const auto limit =
-        std::min(deadline, clock_.Now() + options_.void_patience);
+    const auto limit = std::min(deadline, clock_.Now() + options_.void_timeout);
     const bool never_ran =
         co_await VoidAttempt(links_, placed.address, run.attempt_id,
                              result.incarnation, limit, clock_);
@@ -217,7 +217,7 @@
 
 Task<> OnceRunner::ForgetLater(std::string key,
                                std::shared_ptr<Recording> recording) {
-  co_await core::SleepFor(options_.keep_ended);
+  co_await core::SleepFor(options_.finished_retention);
   Shard& shard = ShardOf(key);
   const std::lock_guard lock(shard.mutex);
   const auto it = shard.runs.find(key);
--- a/src/entry/once_runner_base.h
+++ b/src/entry/once_runner_base.h
@@ -24,9 +24,9 @@
 struct OnceRunnerOptions {
   core::VmId self;
   /** How long a finished run stays in memory for resends. */
-  std::chrono::milliseconds keep_ended{60'000};
+  std::chrono::milliseconds finished_retention{60'000};
   /** How long a lost endpoint is queried whether the request started. */
-  std::chrono::milliseconds void_patience{2000};
+  std::chrono::milliseconds void_timeout{2000};
 };
 
 /** The recorded answer of one run, which any number of callers can follow. */
@@ -76,9 +76,9 @@
   core::Task<> ClaimAndDispatch(std::string key, gen::Run run,
                                 core::SteadyTime deadline,
                                 std::shared_ptr<Recording> recording);
-  core::Task<> FollowOther(Claim standing, gen::Run run,
-                           core::SteadyTime deadline,
-                           std::shared_ptr<Recording> recording);
+  core::Task<> FollowExisting(Claim existing, gen::Run run,
+                              core::SteadyTime deadline,
+                              std::shared_ptr<Recording> recording);
   core::Task<AttemptResult> DispatchOnce(gen::Run run,
                                          core::SteadyTime deadline,
                                          std::shared_ptr<Recording> recording);
--- a/src/entry/placer.cc
+++ b/src/entry/placer.cc
@@ -54,7 +54,7 @@
 
 /** @return True if the failure is the entry's own, so that the next entry in
  * the ranking may answer. */
-bool HomeIsAtFault(const Error& error) {
+bool MayTryNextEntry(const Error& error) {
   const bool ended_there = error.code() == ErrorCode::kCancelled &&
                            error.outcome() == core::Outcome::kUnknown;
   return error.code() == ErrorCode::kLinkLost || ended_there;
@@ -63,17 +63,18 @@
 }  // namespace
 
 Placer::Placer(const core::Executor& executor, core::VmId self,
-               Directory& directory, Home& home, link::LinkNode& links,
-               const core::Clock& clock, const core::Logger& log)
+               Directory& directory, Scheduler& scheduler,
+               link::LinkNode& links, const core::Clock& clock,
+               const core::Logger& log)
     : executor_(executor),
       self_(std::move(self)),
       directory_(directory),
-      home_(home),
+      scheduler_(scheduler),
       links_(links),
       clock_(clock),
       log_(log) {}
 
-std::vector<KnownEntry> Placer::Homes(std::string_view key) const {
+std::vector<KnownEntry> Placer::RankedEntries(std::string_view key) const {
   const std::vector<KnownEntry> entries = directory_.Entries();
   std::vector<core::VmId> names;
   names.reserve(entries.size());
@@ -93,23 +94,23 @@
                                                core::SteadyTime deadline,
                                                Abandoned abandoned) {
   if (run.model.empty()) {
-    co_return co_await home_.PlaceService(
+    co_return co_await scheduler_.PlaceService(
         core::ServiceId(run.service_id), core::OwnerId(run.owner),
         Remaining(clock_, deadline), std::move(avoid));
   }
   gen::Place request = ToPlace(run);
   for (const core::EndpointId& id : avoid) request.avoid.push_back(id.value());
-  for (const KnownEntry& home : Homes(run.model)) {
+  for (const KnownEntry& entry : RankedEntries(run.model)) {
     if (Remaining(clock_, deadline) <= milliseconds::zero()) break;
     try {
-      co_return co_await PlaceAt(home, request, deadline, abandoned);
+      co_return co_await PlaceAt(entry, request, deadline, abandoned);
     } catch (const Error& e) {
-      if (home.vm == self_ || !HomeIsAtFault(e)) throw;
-      directory_.NoteUnreachable(home.vm);
+      if (entry.vm == self_ || !MayTryNextEntry(e)) throw;
+      directory_.MarkUnreachable(entry.vm);
       log_.Event(core::LogLevel::kWarning, core::LogCategory::kRequest,
                  "home_unreachable",
                  {{"request", run.request_id},
-                  {"home", home.vm},
+                  {"home", entry.vm},
                   {"error", e.what()}});
     }
   }
@@ -117,17 +118,18 @@
               kRetryAfter);
 }
 
-Task<std::unique_ptr<Placement>> Placer::PlaceAt(KnownEntry home,
+Task<std::unique_ptr<Placement>> Placer::PlaceAt(KnownEntry entry,
                                                  gen::Place request,
                                                  core::SteadyTime deadline,
                                                  Abandoned abandoned) {
   request.remaining_ms = Remaining(clock_, deadline).count();
-  if (home.vm == self_) {
-    co_return co_await home_.Place(std::move(request), std::move(abandoned));
+  if (entry.vm == self_) {
+    co_return co_await scheduler_.Place(std::move(request),
+                                        std::move(abandoned));
   }
   gen::Message first;
   first.__set_place(request);
-  const auto call = co_await links_.Open(home.address, std::move(first));
+  const auto call = co_await links_.Open(entry.address, std::move(first));
   gen::Message answer =
       co_await AwaitPlaced(call, deadline, std::move(abandoned));
   if (!answer.__isset.placed) {
--- a/src/entry/placer_base.h
+++ b/src/entry/placer_base.h
@@ -31,11 +31,12 @@
 
   /** @pre All references outlive the placer and its placements. */
   Placer(const core::Executor& executor, core::VmId self, Directory& directory,
-         Home& home, link::LinkNode& links, const core::Clock& clock,
+         Scheduler& scheduler, link::LinkNode& links, const core::Clock& clock,
          const core::Logger& log);
 
   /** @return The live entries ranked for `key`, its primary entry first. */
-  [[nodiscard]] std::vector<KnownEntry> Homes(std::string_view key) const;
+  [[nodiscard]] std::vector<KnownEntry> RankedEntries(
+      std::string_view key) const;
 
   /**
    * @param run The request; one for a plain service is placed by this entry.
@@ -50,7 +51,7 @@
                                                Abandoned abandoned);
 
  private:
-  core::Task<std::unique_ptr<Placement>> PlaceAt(KnownEntry home,
+  core::Task<std::unique_ptr<Placement>> PlaceAt(KnownEntry entry,
                                                  gen::Place request,
                                                  core::SteadyTime deadline,
                                                  Abandoned abandoned);
@@ -61,7 +62,7 @@
   const core::Executor executor_;
   const core::VmId self_;
   Directory& directory_;
-  Home& home_;
+  Scheduler& scheduler_;
   link::LinkNode& links_;
   const core::Clock& clock_;
   const core::Logger& log_;
--- a/src/entry/recording.cc
+++ b/src/entry/recording.cc
@@ -29,7 +29,7 @@
 Task<> Recording::End() {
   {
     const std::lock_guard lock(mutex_);
-    whole_ = true;
+    complete_ = true;
   }
   changed_.Notify();
   co_return;
@@ -43,7 +43,7 @@
 void Recording::Fail(core::Error error) {
   {
     const std::lock_guard lock(mutex_);
-    if (whole_ || error_) return;
+    if (complete_ || error_) return;
     error_ = std::move(error);
   }
   changed_.Notify();
@@ -64,7 +64,7 @@
       if (!head_passed) head = head_;
       const bool more = passed < parts_.size();
       if (!head && more) part = parts_[passed];
-      whole = !head && !more && whole_;
+      whole = !head && !more && complete_;
       if (!head && !more) error = error_;
     }
     if (head) {
@@ -88,7 +88,7 @@
 
 std::optional<StoredAnswer> Recording::answer() const {
   const std::lock_guard lock(mutex_);
-  if (!whole_ || !head_) return std::nullopt;
+  if (!complete_ || !head_) return std::nullopt;
   StoredAnswer answer{*head_, {}};
   for (const std::string& part : parts_) answer.body += part;
   return answer;
--- a/src/entry/recording_base.h
+++ b/src/entry/recording_base.h
@@ -60,7 +60,7 @@
   core::Signal changed_;
   std::optional<gen::RunHead> head_;
   std::vector<std::string> parts_;
-  bool whole_ = false;
+  bool complete_ = false;
   std::optional<core::Error> error_;
 };
 
--- a/src/entry/sapphire_entry_main.cc
+++ b/src/entry/sapphire_entry_main.cc
@@ -30,15 +30,16 @@
   return options;
 }
 
-HomeOptions HomeOptionsFrom(const core::Settings& settings, Metrics& metrics) {
-  HomeOptions options;
+SchedulerOptions SchedulerOptionsFrom(const core::Settings& settings,
+                                      Metrics& metrics) {
+  SchedulerOptions options;
   options.self = core::VmId(settings.String("vm"));
   options.zone = core::ZoneId(settings.String("zone"));
   options.max_queue = static_cast<int>(settings.Integer("max_queue"));
-  options.gone_grace = settings.Millis("gone_grace_ms");
-  options.cold_start_seen = [&metrics](policy::Tier tier,
-                                       std::chrono::milliseconds waited) {
-    metrics.ColdStart(policy::TierName(tier), waited);
+  options.removal_grace = settings.Millis("gone_grace_ms");
+  options.on_cold_start = [&metrics](policy::Tier tier,
+                                     std::chrono::milliseconds waited) {
+    metrics.RecordColdStart(policy::TierName(tier), waited);
   };
   return options;
 }
@@ -56,12 +57,12 @@
       static_cast<std::size_t>(settings.Integer("max_header_bytes"));
   options.callers = {settings.Millis("default_timeout_ms"),
                      settings.Millis("max_timeout_ms")};
-  options.home = HomeOptionsFrom(settings, metrics);
-  options.claims.patience = settings.Millis("claim_patience_ms");
-  options.keep_ended = settings.Millis("keep_ended_ms");
+  options.scheduler = SchedulerOptionsFrom(settings, metrics);
+  options.claims.acquire_timeout = settings.Millis("claim_patience_ms");
+  options.finished_retention = settings.Millis("keep_ended_ms");
   options.vm_list_interval = settings.Millis("vm_list_interval_ms");
   options.lame_duck = settings.Millis("lame_duck_ms");
-  options.drain_limit = settings.Millis("drain_ms");
+  options.drain_timeout = settings.Millis("drain_ms");
   return options;
 }
 
@@ -79,7 +80,7 @@
         counting_store_(
             *store_,
             [this](const external::StoreCall& call) {
-              metrics_.KeyValueCall(call.kind, call.outcome);
+              metrics_.RecordKeyValueCall(call.kind, call.outcome);
             },
             clock),
         entry_(context_.get_executor(), OptionsFrom(settings, metrics_),
--- a/src/entry/testing_key_value.h
+++ b/src/entry/testing_key_value.h
@@ -20,8 +20,9 @@
 /** A fault injected into a write. */
 enum class WriteFault {
   kAnswerLost,  ///< The write takes effect; the caller gets an unknown outcome.
-  kLandsLate,   ///< As kAnswerLost, but takes effect only at LandLate.
-  kNeverLands,  ///< No effect; the caller gets an unknown outcome.
+  kTakesEffectLate,  ///< As kAnswerLost, but takes effect only at
+                     ///< ApplyLateWrites.
+  kNoEffect,         ///< No effect; the caller gets an unknown outcome.
 };
 
 /** Single-threaded. Each call advances the clock by one millisecond. */
@@ -37,18 +38,18 @@
   bool down_after_fault = false;
   /** Values that the next reads of the head return instead of the stored one.
    */
-  std::deque<std::optional<external::KvEntry>> head_shown;
+  std::deque<std::optional<external::KvEntry>> head_overrides;
   /** Answers of the next watches, before real changes. */
   std::deque<external::WatchBatch> batches;
   /** Deletes are delayed until this becomes false. */
   bool hold_deletes = false;
   /** Watches miss changes while true. */
-  bool mute_watches = false;
+  bool miss_changes = false;
   int gets = 0;
   int watches = 0;
 
   /** Applies the delayed writes. */
-  void LandLate() {
+  void ApplyLateWrites() {
     for (auto& [key, expected, value] : std::exchange(late_, {})) {
       Swap(key, expected, value);
     }
@@ -79,9 +80,9 @@
   core::Task<std::optional<external::KvEntry>> Get(std::string key) override {
     co_await Step();
     ++gets;
-    if (key == "config/head" && !head_shown.empty()) {
-      auto shown = head_shown.front();
-      head_shown.pop_front();
+    if (key == "config/head" && !head_overrides.empty()) {
+      auto shown = head_overrides.front();
+      head_overrides.pop_front();
       co_return shown;
     }
     co_return Peek(key);
@@ -104,7 +105,7 @@
       const WriteFault fault = head_faults.front();
       head_faults.pop_front();
       if (fault == WriteFault::kAnswerLost) Swap(key, expected, value);
-      if (fault == WriteFault::kLandsLate) {
+      if (fault == WriteFault::kTakesEffectLate) {
         late_.push_back({key, expected, value});
       }
       throw core::Error(core::ErrorCode::kPlatformUnknownOutcome, "lost");
@@ -161,7 +162,7 @@
     while (batch.events.empty() && clock_.Now() < end) {
       co_await core::SleepFor(std::chrono::milliseconds(1));
       co_await Step();
-      if (!mute_watches) batch.events = ChangesSince(prefix, revision);
+      if (!miss_changes) batch.events = ChangesSince(prefix, revision);
     }
     batch.revision = revision_;
     co_return batch;
