--- a/src/entry/fleet_fake_base.h
+++ b/src/entry/fleet_fake_base.h
@@ -24,7 +24,7 @@
 #include "core/random_func.h"
 #include "core/task_func.h"
 #include "entry/directory_base.h"
-#include "entry/home_base.h"
+#include "entry/scheduler_base.h"
 #include "external/key_value_base.h"
 #include "external/vm_list_base.h"
 #include "link/link_base.h"
--- a/src/entry/metrics_base.h
+++ b/src/entry/metrics_base.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <string_view>
 
-#include "entry/home_base.h"
+#include "entry/scheduler_base.h"
 #include "link/link_type.h"
 
 namespace sapphire::entry {
--- a/src/entry/placer_base.h
+++ b/src/entry/placer_base.h
@@ -14,7 +14,7 @@
 #include "core/log_base.h"
 #include "core/task_type.h"
 #include "entry/directory_base.h"
-#include "entry/home_base.h"
+#include "entry/scheduler_base.h"
 #include "gen/link_types.h"
 #include "link/link_base.h"
 
--- a/src/entry/home.cc
+++ b/src/entry/scheduler.cc
@@ -1,12 +1,12 @@
-/** @file home.cc Admission, withdrawal and release of requests. */
+/** @file scheduler.cc Admission, withdrawal and release of requests. */
 #include <algorithm>
 #include <optional>
 #include <utility>
 
 #include "core/random_func.h"
 #include "core/task_func.h"
-#include "entry/home_base.h"
-#include "entry/home_state_base.h"
+#include "entry/scheduler_base.h"
+#include "entry/scheduler_state_base.h"
 
 namespace sapphire::entry {
 
--- a/src/entry/home_base.h
+++ b/src/entry/scheduler_base.h
@@ -1,7 +1,7 @@
-/** @file home_base.h Schedules the requests of the models that this entry is
- * the primary entry of: one queue and one load decision per model. */
-#ifndef SAPPHIRE_ENTRY_HOME_BASE_H_
-#define SAPPHIRE_ENTRY_HOME_BASE_H_
+/** @file scheduler_base.h Schedules the requests of the models that this entry
+ * is the primary entry of: one queue and one load decision per model. */
+#ifndef SAPPHIRE_ENTRY_SCHEDULER_BASE_H_
+#define SAPPHIRE_ENTRY_SCHEDULER_BASE_H_
 
 #include <chrono>
 #include <cstdint>
@@ -114,4 +114,4 @@
 
 }  // namespace sapphire::entry
 
-#endif  // SAPPHIRE_ENTRY_HOME_BASE_H_
+#endif  // SAPPHIRE_ENTRY_SCHEDULER_BASE_H_
--- a/src/entry/home_decide.cc
+++ b/src/entry/scheduler_decide.cc
@@ -1,9 +1,10 @@
-/** @file home_decide.cc Scheduling decisions for the waiters of one model. */
+/** @file scheduler_decide.cc Scheduling decisions for the waiters of one model.
+ */
 #include <algorithm>
 #include <limits>
 #include <utility>
 
-#include "entry/home_state_base.h"
+#include "entry/scheduler_state_base.h"
 #include "policy/placement_func.h"
 
 namespace sapphire::entry {
--- a/src/entry/home_load.cc
+++ b/src/entry/scheduler_load.cc
@@ -1,10 +1,10 @@
-/** @file home_load.cc Orders endpoints to load models. */
+/** @file scheduler_load.cc Orders endpoints to load models. */
 #include <algorithm>
 #include <optional>
 #include <utility>
 
 #include "core/task_func.h"
-#include "entry/home_state_base.h"
+#include "entry/scheduler_state_base.h"
 
 namespace sapphire::entry {
 
--- a/src/entry/home_state_base.h
+++ b/src/entry/scheduler_state_base.h
@@ -1,6 +1,7 @@
-/** @file home_state_base.h State of the scheduler: shards of model queues. */
-#ifndef SAPPHIRE_ENTRY_HOME_STATE_BASE_H_
-#define SAPPHIRE_ENTRY_HOME_STATE_BASE_H_
+/** @file scheduler_state_base.h State of the scheduler: shards of model queues.
+ */
+#ifndef SAPPHIRE_ENTRY_SCHEDULER_STATE_BASE_H_
+#define SAPPHIRE_ENTRY_SCHEDULER_STATE_BASE_H_
 
 #include <atomic>
 #include <chrono>
@@ -16,9 +17,9 @@
 #include "crash/quarantine_base.h"
 #include "crash/quarantine_store_base.h"
 #include "entry/fleet_view_base.h"
-#include "entry/home_base.h"
 #include "entry/ledger_cleanup_base.h"
 #include "entry/model_queue_base.h"
+#include "entry/scheduler_base.h"
 
 namespace sapphire::entry {
 
@@ -40,7 +41,7 @@
   void Start();
   void Stop();
 
-  // Admission, withdrawal and release of requests: home.cc.
+  // Admission, withdrawal and release of requests: scheduler.cc.
 
   /** Queues a request and decides on it. @throws core::Error if refused. */
   std::shared_ptr<Waiter> Admit(gen::Place request,
@@ -56,7 +57,7 @@
   void CountRefusal(const core::Error& error);
   core::Task<> Sweep();
 
-  // Decisions: home_decide.cc.
+  // Decisions: scheduler_decide.cc.
 
   /** Decides again on the waiters of one model. */
   void Evaluate(const core::ModelId& id);
@@ -121,7 +122,7 @@
   [[nodiscard]] bool IsStarting() const;
   [[nodiscard]] bool IsSuspect(const Waiter& waiter) const;
 
-  // Loads: home_load.cc.
+  // Loads: scheduler_load.cc.
 
   void StartLoad(const LoadOrder& order);
   core::Task<> OrderLoad(LoadOrder order);
@@ -160,4 +161,4 @@
 
 }  // namespace sapphire::entry
 
-#endif  // SAPPHIRE_ENTRY_HOME_STATE_BASE_H_
+#endif  // SAPPHIRE_ENTRY_SCHEDULER_STATE_BASE_H_
--- a/src/entry/home_test.cc
+++ b/src/entry/scheduler_test.cc
@@ -1,4 +1,4 @@
-/** @file home_test.cc Tests the scheduler under bursts, lost endpoints and
+/** @file scheduler_test.cc Tests the scheduler under bursts, lost endpoints and
  * crashes. */
 #define BOOST_TEST_MODULE entry_scheduler
 #include <boost/test/unit_test.hpp>
