--- a/src/entry/admin_test.cc
+++ b/src/entry/admin_test.cc
@@ -220,7 +220,7 @@
 
 // A VM's process is frozen or does not adopt new versions. The answer to a
 // confirmation must name this VM.
-BOOST_FIXTURE_TEST_CASE(VmsThatLagAreNamed, Fixture) {
+BOOST_FIXTURE_TEST_CASE(VmsThatLagAreReported, Fixture) {
   Add("vm-1", follower.address);
   Add("vm-2", frozen.address());
   const json::value answer =
@@ -235,7 +235,7 @@
 
 // In a large fleet not every entry has a link to every other. An entry without
 // a link adopts the version all the same and must not be reported as behind.
-BOOST_FIXTURE_TEST_CASE(EntriesWithoutLinkAreAsked, Fixture) {
+BOOST_FIXTURE_TEST_CASE(EntriesWithoutLinkAreNotReportedAsBehind, Fixture) {
   list.Add("e-2", external::VmRole::kEntry, far_entry.address);
   BOOST_REQUIRE(
       fake::Eventually([&] { return directory.Entries().size() == 2; }));
@@ -245,7 +245,7 @@
   BOOST_TEST(far_entry.holder.version() == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(FaultsAreNamed, Fixture) {
+BOOST_FIXTURE_TEST_CASE(ErrorsNameTheirCause, Fixture) {
   std::string bad(kIntent);
   bad.replace(bad.find("max_replicas"), 12, "max_replica");
   CheckProblem(Fetch("POST", "plans?file=m.toml", "application/toml", bad), 400,
--- a/src/entry/config_store_test.cc
+++ b/src/entry/config_store_test.cc
@@ -86,7 +86,7 @@
 
 // Plans expire with their leases. A confirmed one still returns its version; an
 // unconfirmed one is unknown and changes nothing.
-BOOST_FIXTURE_TEST_CASE(LapsedPlansAreSettledByTheHead, Fixture) {
+BOOST_FIXTURE_TEST_CASE(ExpiredPlansAreResolvedByTheHead, Fixture) {
   const core::PlanId first = Plan(a, RandomIntent(random, 30));
   Confirm(a, first);
   const core::PlanId second = Plan(a, RandomIntent(random, 30));
@@ -98,7 +98,7 @@
 // Two plans on the same base are confirmed concurrently through different
 // entries. Exactly one must succeed, and the configuration must be entirely its
 // own; the other must get a conflict.
-BOOST_DATA_TEST_CASE_F(Fixture, OfTwoPlansOnOneBaseOneIsConfirmed,
+BOOST_DATA_TEST_CASE_F(Fixture, ExactlyOneOfTwoPlansOnOneBaseIsConfirmed,
                        data::xrange(12), seed) {
   random.seed(seed);
   Confirm(a, Plan(a, RandomIntent(random, 30)));
@@ -122,7 +122,7 @@
 
 // The write of a confirmation takes effect but its answer is lost. The operator
 // must get a success, and the change must count only once.
-BOOST_FIXTURE_TEST_CASE(LostAnswerIsSettled, Fixture) {
+BOOST_FIXTURE_TEST_CASE(LostAnswerIsResolved, Fixture) {
   const core::PlanId id = Plan(a, RandomIntent(random, 30));
   kv.head_faults = {WriteFault::kAnswerLost};
   BOOST_TEST(Confirm(a, id) == 1);
@@ -131,7 +131,7 @@
 
 // A write of the head times out and takes effect only after a second attempt
 // and another plan. It must not restore the older configuration.
-BOOST_FIXTURE_TEST_CASE(LateWriteDoesNoHarm, Fixture) {
+BOOST_FIXTURE_TEST_CASE(LateWriteDoesNotRestoreAnOlderVersion, Fixture) {
   const core::PlanId first = Plan(a, RandomIntent(random, 30));
   kv.head_faults = {WriteFault::kTakesEffectLate};
   BOOST_TEST(Confirm(a, first) == 1);
@@ -143,7 +143,7 @@
 // No attempt learns its outcome before the timeout, so the operator must get an
 // unknown outcome. After the write has taken effect, confirming the plan again
 // must return its version and change nothing.
-BOOST_FIXTURE_TEST_CASE(UnknownOutcomeIsSaidAndSettledLater, Fixture) {
+BOOST_FIXTURE_TEST_CASE(UnknownOutcomeIsReportedAndResolvedLater, Fixture) {
   const core::PlanId id = Plan(a, RandomIntent(random, 30));
   kv.head_faults.assign(1'000, WriteFault::kTakesEffectLate);
   CheckRefused(a, id, ErrorCode::kPlatformUnknownOutcome);
@@ -157,7 +157,7 @@
 // Later other plans are confirmed on top. Confirming the first plan again must
 // return its version: a conflict would be wrong, although the head holds
 // another plan by then.
-BOOST_FIXTURE_TEST_CASE(EarlierSuccessIsRemembered, Fixture) {
+BOOST_FIXTURE_TEST_CASE(EarlierSuccessIsReportedAfterLaterPlans, Fixture) {
   const core::PlanId id = Plan(a, RandomIntent(random, 30));
   kv.head_faults = {WriteFault::kAnswerLost};
   kv.down_after_fault = true;
@@ -195,7 +195,7 @@
 // A replica that lags returns an older head, briefly or for long. A plan on the
 // newest head must not get a conflict, as it may still come into force; a plan
 // on the older head must.
-BOOST_FIXTURE_TEST_CASE(OlderHeadLeadsToNoChange, Fixture) {
+BOOST_FIXTURE_TEST_CASE(OlderHeadIsNoConflictForANewerPlan, Fixture) {
   Confirm(a, Plan(a, RandomIntent(random, 30)));
   const auto older = kv.Peek("config/head");
   const core::PlanId on_older = Plan(a, RandomIntent(random, 30));
@@ -216,7 +216,7 @@
 // deletes the parts it replaced while the second needs them again. Whenever the
 // deletes take effect, all parts of the newest head must exist, or entries that
 // start later find no configuration.
-BOOST_DATA_TEST_CASE_F(Fixture, ReversalFindsItsParts, data::xrange(40), seed) {
+BOOST_DATA_TEST_CASE_F(Fixture, ReversalKeepsItsParts, data::xrange(40), seed) {
   const auto first = RandomIntent(random, 30);
   auto second = first;
   for (int i = 0; i < 5; ++i) Mutate(random, second);
--- a/src/entry/config_watch_test.cc
+++ b/src/entry/config_watch_test.cc
@@ -71,7 +71,7 @@
       io.get_executor(), OptionsWith(kNever), kv, parts, clock, log};
 };
 
-BOOST_FIXTURE_TEST_CASE(EachVersionComesIntoForce, Fixture) {
+BOOST_FIXTURE_TEST_CASE(EachVersionIsAdopted, Fixture) {
   for (int i = 1; i <= 5; ++i) {
     const auto wanted = RandomIntent(random, 20);
     BOOST_TEST(Confirm(wanted) == i);
@@ -96,7 +96,7 @@
 // After a change, the service answers a read and a watch from a replica that
 // lags and returns the older head. The older configuration must not be
 // restored.
-BOOST_FIXTURE_TEST_CASE(OlderHeadIsPassedOver, Fixture) {
+BOOST_FIXTURE_TEST_CASE(OlderHeadIsIgnored, Fixture) {
   Confirm(RandomIntent(random, 20));
   const auto older = kv.Peek("config/head");
   const auto newest = RandomIntent(random, 20);
@@ -113,7 +113,7 @@
 
 // The service has lost its history in a restart, and the watch reports a gap. A
 // change missed in the gap must still be found.
-BOOST_FIXTURE_TEST_CASE(GapIsFilled, Fixture) {
+BOOST_FIXTURE_TEST_CASE(ChangeInAGapIsFound, Fixture) {
   Confirm(RandomIntent(random, 20));
   BOOST_TEST(RunUntilVersion(1));
   ConfirmUnseen(RandomIntent(random, 20));
@@ -124,7 +124,7 @@
 
 // A watch misses a change without reporting a gap. The periodic read of the
 // head must find the change.
-BOOST_FIXTURE_TEST_CASE(SilentGapIsFilled, Fixture) {
+BOOST_FIXTURE_TEST_CASE(ChangeInAnUnreportedGapIsFound, Fixture) {
   watch.Stop();
   io.run();
   Confirm(RandomIntent(random, 20));
@@ -140,7 +140,7 @@
 
 // The service is down for a while, and a plan is confirmed once it is back. The
 // entry must keep the last configuration meanwhile and then adopt the new one.
-BOOST_FIXTURE_TEST_CASE(OutageIsSurvived, Fixture) {
+BOOST_FIXTURE_TEST_CASE(ConfigurationIsAdoptedAfterAnOutage, Fixture) {
   Confirm(RandomIntent(random, 20));
   BOOST_TEST(RunUntilVersion(1));
   kv.down = true;
@@ -154,7 +154,7 @@
 
 // Between reading a head and its parts, the next plan is confirmed and deletes
 // replaced parts. The entry must recover and adopt the newer head.
-BOOST_FIXTURE_TEST_CASE(PartsDeletedMeanwhileAreNoEnd, Fixture) {
+BOOST_FIXTURE_TEST_CASE(WatchRecoversFromPartsDeletedMeanwhile, Fixture) {
   Confirm(RandomIntent(random, 20));
   const auto older = kv.Peek("config/head");
   Confirm(RandomIntent(random, 20));
--- a/src/entry/directory_test.cc
+++ b/src/entry/directory_test.cc
@@ -52,7 +52,7 @@
 
 // The platform's list is down for a long time while the endpoints are healthy.
 // They must stay in use, and none may count as removed.
-BOOST_AUTO_TEST_CASE(ListThatIsDownChangesNothing) {
+BOOST_AUTO_TEST_CASE(ListOutageKeepsEndpointsInUse) {
   Fleet fleet;
   std::atomic<int> gone{0};
   fleet.entry->directory().OnVmRemoved([&gone](const core::VmId&) { ++gone; });
@@ -64,7 +64,7 @@
 
 // The list lags and still shows an endpoint whose VM has died. The lost link
 // must mark it as disconnected immediately.
-BOOST_AUTO_TEST_CASE(LostLinkCountsWhileTheListLags) {
+BOOST_AUTO_TEST_CASE(LostLinkDisconnectsWhileTheListLags) {
   Fleet fleet;
   fleet.left->node().Close();
   BOOST_REQUIRE(Eventually([&] { return fleet.Connected() == 1; }));
@@ -75,7 +75,7 @@
 
 // A link breaks briefly while the endpoint is healthy. It must be reconnected
 // without intervention.
-BOOST_AUTO_TEST_CASE(EndpointThatComesBackIsUsedAgain) {
+BOOST_AUTO_TEST_CASE(ReconnectedEndpointIsUsedAgain) {
   Fleet fleet;
   const std::string address = fleet.left->address();
   fleet.left->node().Close();
@@ -90,7 +90,7 @@
 // A VM is reclaimed while it holds a grant. Once the list drops it, its grant
 // must be removed, or it counts against the model's limit for ever. The other
 // VM's grant and the fence counter must not change.
-BOOST_AUTO_TEST_CASE(GrantsOfAVmThatIsGoneAreEnded) {
+BOOST_AUTO_TEST_CASE(GrantsOfARemovedVmAreRemoved) {
   Fleet fleet;
   fleet.store.Put(kLedgerKey, kLedger);
   fleet.left->node().Close();
@@ -107,7 +107,7 @@
 // The list drops a VM that runs and holds a replica. Removing its grant would
 // let the model be loaded once more than the limit allows, so the grant must
 // stay while the link is up.
-BOOST_AUTO_TEST_CASE(VmWithALiveLinkIsNotGone) {
+BOOST_AUTO_TEST_CASE(VmWithALiveLinkKeepsItsGrants) {
   Fleet fleet;
   fleet.store.Put(kLedgerKey, kLedger);
   fleet.list.Remove("left");
@@ -118,7 +118,7 @@
 
 // The list's service restarts and for a while shows only a few VMs, not even
 // this entry. VMs missing from such a list must not count as removed.
-BOOST_AUTO_TEST_CASE(ListWithoutThisEntryIsNotBelieved) {
+BOOST_AUTO_TEST_CASE(ListWithoutThisEntryRemovesNoVms) {
   Fleet fleet;
   fleet.store.Put(kLedgerKey, kLedger);
   fleet.left->node().Close();
@@ -130,7 +130,7 @@
 
 // A VM was replaced and its address reused by another, while the list still
 // shows the old one. Orders for the old VM must not reach the new one.
-BOOST_AUTO_TEST_CASE(EndpointUnderAnotherNameIsNotTaken) {
+BOOST_AUTO_TEST_CASE(EndpointUnderAnotherNameIsRejected) {
   Fleet fleet;
   fleet.list.Add("old", external::VmRole::kEndpoint, fleet.right->address());
   fleet.AwaitReads(15);
@@ -141,7 +141,7 @@
 
 // An entry stops answering while the list shows it as live. Requests sent to it
 // as a primary entry would all fail, so it must be excluded until it answers.
-BOOST_AUTO_TEST_CASE(EntryThatDoesNotAnswerIsPassedOver) {
+BOOST_AUTO_TEST_CASE(UnreachableEntryIsExcluded) {
   Fleet fleet;
   FakeEntry other(fleet.threads, "entry-2", fleet.list, fleet.store,
                   fleet.config, fleet.clock, fleet.log);
--- a/src/entry/fleet_view_test.cc
+++ b/src/entry/fleet_view_test.cc
@@ -56,7 +56,7 @@
 // Several requests are placed between two reports. With reports alone, all
 // would go to the one replica that looks idle and wait there although another
 // is free.
-BOOST_AUTO_TEST_CASE(OwnPlacementsCountBeforeTheyAreReported) {
+BOOST_AUTO_TEST_CASE(PlacementsCountBeforeTheyAreReported) {
   View view;
   view.fleet.Update(EndpointOf("a", 0, true));
   view.fleet.Update(EndpointOf("b", 0, true));
@@ -114,7 +114,7 @@
 
 // The loss of a link and an older report arrive on two threads in the wrong
 // order. The older report must not revive the endpoint.
-BOOST_AUTO_TEST_CASE(OlderReportDoesNotUndoALoss) {
+BOOST_AUTO_TEST_CASE(OlderReportDoesNotReviveALostEndpoint) {
   View view;
   KnownEndpoint report = EndpointOf("a", 0, true);
   report.revision = 1;
@@ -128,7 +128,7 @@
 
 // The replica count of a service must stay exact over updates, losses and
 // reconnections; a count that drifts would refuse or allow loads for ever.
-BOOST_AUTO_TEST_CASE(ServiceCountDoesNotDrift) {
+BOOST_AUTO_TEST_CASE(ServiceReplicaCountStaysExact) {
   View view;
   for (int round = 0; round < 3; ++round) {
     for (const char* name : {"a", "b", "c"}) {
@@ -171,7 +171,7 @@
 
 // One load was very slow. If its time stayed the estimate for ever, all
 // requests would be refused as too late, and no load would run to correct it.
-BOOST_AUTO_TEST_CASE(MeasuredLoadTimeFadesToTheGuess) {
+BOOST_AUTO_TEST_CASE(MeasuredLoadTimeDecaysToTheGuess) {
   LoadEstimates loads = InitialLoadEstimates(0);
   const core::SteadyTime start;
   const core::Millis guess = LoadTimesAt(loads, start).remote;
--- a/src/entry/scheduler_test.cc
+++ b/src/entry/scheduler_test.cc
@@ -66,7 +66,7 @@
 // Hundreds of requests for an unloaded model arrive at once. The scheduler must
 // order a single load, queue the rest, and serve all of them without exceeding
 // the replica's concurrency limit.
-BOOST_AUTO_TEST_CASE(BurstForSleepingModelLoadsItOnce) {
+BOOST_AUTO_TEST_CASE(BurstForUnloadedModelLoadsItOnce) {
   Fleet fleet;
   std::atomic<int> running{0};
   std::atomic<int> peak{0};
@@ -89,7 +89,7 @@
 
 // The endpoint's VM is reclaimed during a load: its link breaks before the load
 // is answered. The request must be served by another endpoint.
-BOOST_AUTO_TEST_CASE(EndpointLostWhileLoadingIsReplaced) {
+BOOST_AUTO_TEST_CASE(RequestIsPlacedElsewhereWhenItsLoadingEndpointIsLost) {
   Fleet fleet;
   fleet.left.mode = LoadMode::kHang;
   fleet.right.mode = LoadMode::kHang;
@@ -107,7 +107,7 @@
 
 // The load fails at one endpoint because of a broken checkpoint. The scheduler
 // must try the other endpoint before it refuses the request.
-BOOST_AUTO_TEST_CASE(FailedLoadIsTriedElsewhere) {
+BOOST_AUTO_TEST_CASE(FailedLoadIsRetriedAtAnotherEndpoint) {
   Fleet fleet;
   fleet.left.mode = LoadMode::kFail;
   fleet.right.mode = LoadMode::kFail;
@@ -124,7 +124,7 @@
 
 // The checkpoint is broken at every endpoint. Once all were tried, the request
 // must be refused immediately, with a retry hint.
-BOOST_AUTO_TEST_CASE(LoadThatFailsEverywhereIsRefused) {
+BOOST_AUTO_TEST_CASE(LoadFailureAtAllEndpointsRefusesTheRequest) {
   Fleet fleet;
   fleet.left.mode = LoadMode::kFail;
   fleet.right.mode = LoadMode::kFail;
@@ -154,7 +154,7 @@
 // Requests arrive with less time left than any load takes. They must be refused
 // immediately with a retry hint. Exactly one load is started all the same, or
 // the model would never be loaded for the retry.
-BOOST_AUTO_TEST_CASE(TooShortDeadlineIsRefusedAtOnce) {
+BOOST_AUTO_TEST_CASE(TooShortDeadlineIsRefusedAndStartsOneLoad) {
   Fleet fleet;
   for (int i = 0; i < 3; ++i) {
     const Outcome outcome = fleet.Place(PlaceOf(kModel, core::Millis(20)));
@@ -170,7 +170,7 @@
 // The weight store is slow: a load outlasts the deadline of its first request,
 // and the endpoint reports so while it continues to load. The next request must
 // wait for this load: no refusal and no second load.
-BOOST_AUTO_TEST_CASE(LoadThatOutlastsItsRequestServesTheNext) {
+BOOST_AUTO_TEST_CASE(LoadThatOutlastsItsRequestServesTheNextRequest) {
   Fleet fleet;
   fleet.left.mode = LoadMode::kOutlast;
   fleet.right.mode = LoadMode::kOutlast;
@@ -195,7 +195,7 @@
 
 // The weight store has stalled, and the load hangs beyond the request's
 // deadline. The request must still be refused at its deadline.
-BOOST_AUTO_TEST_CASE(DeadlineEndsAWaitThatNothingElseEnds) {
+BOOST_AUTO_TEST_CASE(DeadlineEndsTheWaitForAHangingLoad) {
   Fleet fleet;
   fleet.left.mode = LoadMode::kHang;
   fleet.right.mode = LoadMode::kHang;
@@ -209,7 +209,7 @@
 // A request has crashed two engines and is sent a third time, to another entry
 // that has become the model's primary entry. It must be refused there before it
 // crashes a third engine.
-BOOST_AUTO_TEST_CASE(SecondCrashQuarantinesAlsoAtTheNextHome) {
+BOOST_AUTO_TEST_CASE(QuarantineAppliesAtTheNextPrimaryEntry) {
   Fleet fleet;
   constexpr std::int64_t kFatal = 666;
   for (int crash = 0; crash < 2; ++crash) {
@@ -238,7 +238,7 @@
 // A crash fails three requests, two of them innocent, and all three are sent
 // again. Each must run alone: the innocent ones complete and are cleared, and
 // only the fatal one is refused.
-BOOST_AUTO_TEST_CASE(InnocentBesideACrashIsClearedByRunningAlone) {
+BOOST_AUTO_TEST_CASE(InnocentSuspectsAreClearedByRunningAlone) {
   Fleet fleet;
   std::vector<Outcome> together;
   for (const std::int64_t fingerprint : {1, 2, 666}) {
@@ -266,7 +266,7 @@
 // The key-value service is down during the crashes. The scheduler must still
 // refuse the third attempt from memory, and write the crashes once the service
 // is back.
-BOOST_AUTO_TEST_CASE(QuarantineHoldsWhileTheStoreIsDown) {
+BOOST_AUTO_TEST_CASE(QuarantineWorksWhileTheStoreIsDown) {
   Fleet fleet;
   fleet.store.down = true;
   for (int crash = 0; crash < 2; ++crash) {
@@ -288,7 +288,7 @@
 
 // An endpoint reports that it is leaving. From that report on nothing new may
 // be loaded or placed there.
-BOOST_AUTO_TEST_CASE(LeavingEndpointGetsNothingNew) {
+BOOST_AUTO_TEST_CASE(LeavingEndpointGetsNoNewRequestsOrLoads) {
   Fleet fleet;
   const auto left = [&fleet] {
     return *fleet.entry->directory().Find(core::EndpointId("left"));
@@ -306,7 +306,7 @@
 
 // Operators remove a model while requests wait for it. The requests must be
 // refused instead of waiting until their deadlines.
-BOOST_AUTO_TEST_CASE(WithdrawnModelEndsItsQueue) {
+BOOST_AUTO_TEST_CASE(RemovedModelRefusesItsQueue) {
   Fleet fleet;
   fleet.left.mode = LoadMode::kHang;
   fleet.right.mode = LoadMode::kHang;
@@ -324,7 +324,7 @@
 // Many requests for an adapter that is not loaded arrive at once, along with
 // requests for the base model. The adapter must be loaded once, before its
 // first request is placed, and must not delay the other requests.
-BOOST_AUTO_TEST_CASE(AdapterIsLoadedOnceAndHoldsNobodyElseUp) {
+BOOST_AUTO_TEST_CASE(AdapterIsLoadedOnceWithoutDelayingOthers) {
   Fleet fleet(1, 100);
   BOOST_REQUIRE(fleet.Place(PlaceOf(kModel, kLong)).placement);
   BOOST_REQUIRE(fleet.Loads() == 1);
@@ -363,7 +363,7 @@
 
 // The only endpoint of a plain service disconnects. Requests are placed there
 // before, and must be refused immediately with a retry hint afterwards.
-BOOST_AUTO_TEST_CASE(PlainServiceWithoutEndpointIsRefusedAtOnce) {
+BOOST_AUTO_TEST_CASE(PlainServiceWithoutEndpointIsRefusedImmediately) {
   Fleet fleet;
   FakeEndpoint booth(fleet.threads, "booth", fleet.clock, fleet.log, "booths");
   fleet.list.Add("booth", external::VmRole::kEndpoint, booth.address());
@@ -433,7 +433,7 @@
 
 // Another entry dies while it holds the only slot. The broken link must free
 // the slot, or the model would stay blocked for ever.
-BOOST_AUTO_TEST_CASE(VanishedPlacerFreesItsSlot) {
+BOOST_AUTO_TEST_CASE(LostLinkOfPlacingEntryFreesItsSlot) {
   Fleet fleet(1, 1);
   link::LinkNode placer(
       fleet.threads.executor(), LinkOptionsOf("entry-9", gen::Role::ENTRY),
