--- a/src/entry/config_watch_base.h
+++ b/src/entry/config_watch_base.h
@@ -18,7 +18,7 @@
   std::chrono::milliseconds wait{20'000};
   /** Interval at which the head is read even if no change was reported. */
   std::chrono::milliseconds refresh_interval{60'000};
-  /** Pause after a failure; doubles up to the longest. */
+  /** Pause after a failure; doubles up to `max_pause`. */
   std::chrono::milliseconds first_pause{100};
   std::chrono::milliseconds max_pause{5'000};
 };
--- a/src/entry/entry_base.h
+++ b/src/entry/entry_base.h
@@ -68,7 +68,7 @@
    * Shuts down gracefully: reports not ready, continues to serve while the
    * balancer still sends requests, then accepts nothing new and waits for the
    * requests in progress.
-   * @return True if all of them ended within the drain limit.
+   * @return True if all of them ended within the drain timeout.
    * @pre The calling coroutine runs on a strand.
    */
   core::Task<bool> Leave();
