--- a/src/entry/config_store_test.cc
+++ b/src/entry/config_store_test.cc
@@ -47,7 +47,7 @@
   }
 
   /** @return The configuration that a newly started entry reads. */
-  std::shared_ptr<const contract::Config> Fresh() {
+  std::shared_ptr<const contract::Config> ReadAsNewEntry() {
     Entry entry(kv, clock, log);
     ConfigStore& store = entry.store;
     testing::RunTask(io, store.SavePlan(RandomIntent(random, 1), {}));
@@ -68,9 +68,9 @@
 BOOST_FIXTURE_TEST_CASE(NothingChangesBeforeConfirmation, Fixture) {
   const auto wanted = RandomIntent(random, 30);
   const core::PlanId id = Plan(a, wanted);
-  BOOST_TEST(!Fresh());
+  BOOST_TEST(!ReadAsNewEntry());
   BOOST_TEST(Confirm(b, id) == 1);
-  BOOST_CHECK(Fresh()->intent == wanted);
+  BOOST_CHECK(ReadAsNewEntry()->intent == wanted);
   BOOST_CHECK(b.holder.Current()->intent == wanted);
 }
 
@@ -81,7 +81,7 @@
   // The same after so many later plans that the head's history has dropped it.
   for (int i = 0; i < 40; ++i) Confirm(a, Plan(a, RandomIntent(random, 3)));
   BOOST_TEST(Confirm(b, first) == 1);
-  BOOST_TEST(Fresh()->version == 41);
+  BOOST_TEST(ReadAsNewEntry()->version == 41);
 }
 
 // Plans expire with their leases. A confirmed one still returns its version; an
@@ -114,7 +114,7 @@
   io.restart();
   io.run();
   BOOST_TEST((result_a.value.has_value() != result_b.value.has_value()));
-  const auto now = Fresh();
+  const auto now = ReadAsNewEntry();
   BOOST_TEST(now->version == 2);
   BOOST_CHECK(now->intent == (result_a.value ? wanted_a : wanted_b));
   CheckRefused(a, result_a.value ? id_b : id_a, ErrorCode::kPlanConflict);
@@ -126,7 +126,7 @@
   const core::PlanId id = Plan(a, RandomIntent(random, 30));
   kv.head_faults = {WriteFault::kAnswerLost};
   BOOST_TEST(Confirm(a, id) == 1);
-  BOOST_TEST(Fresh()->version == 1);
+  BOOST_TEST(ReadAsNewEntry()->version == 1);
 }
 
 // A write of the head times out and takes effect only after a second attempt
@@ -137,7 +137,7 @@
   BOOST_TEST(Confirm(a, first) == 1);
   BOOST_TEST(Confirm(b, Plan(b, RandomIntent(random, 30))) == 2);
   kv.ApplyLateWrites();
-  BOOST_TEST(Fresh()->version == 2);
+  BOOST_TEST(ReadAsNewEntry()->version == 2);
 }
 
 // No attempt learns its outcome before the timeout, so the operator must get an
@@ -150,7 +150,7 @@
   kv.head_faults.clear();
   kv.ApplyLateWrites();
   BOOST_TEST(Confirm(b, id) == 1);
-  BOOST_TEST(Fresh()->version == 1);
+  BOOST_TEST(ReadAsNewEntry()->version == 1);
 }
 
 // The write takes effect, and the service goes down before the entry learns so.
@@ -165,7 +165,7 @@
   kv.down = false;
   for (int i = 0; i < 10; ++i) Confirm(b, Plan(b, RandomIntent(random, 3)));
   BOOST_TEST(Confirm(a, id) == 1);
-  BOOST_TEST(Fresh()->version == 11);
+  BOOST_TEST(ReadAsNewEntry()->version == 11);
 }
 
 // As above, but another plan is confirmed first: the delayed writes can't take
@@ -178,7 +178,7 @@
   BOOST_TEST(Confirm(b, Plan(b, RandomIntent(random, 30))) == 1);
   kv.ApplyLateWrites();
   CheckRefused(a, id, ErrorCode::kPlanConflict);
-  BOOST_TEST(Fresh()->version == 1);
+  BOOST_TEST(ReadAsNewEntry()->version == 1);
 }
 
 // With the service down, planning and confirming must fail with an error that
@@ -207,7 +207,7 @@
   kv.head_overrides.assign(1'000, older);
   CheckRefused(b, on_newer, ErrorCode::kPlatformUnavailable);
   kv.head_overrides.clear();
-  BOOST_TEST(Fresh()->version == 2);
+  BOOST_TEST(ReadAsNewEntry()->version == 2);
   kv.head_overrides = {older, older};
   BOOST_TEST(Confirm(b, on_newer) == 3);
 }
@@ -235,7 +235,7 @@
   io.run();
   BOOST_TEST(changed.value.value_or(0) == 2);
   BOOST_TEST(reversed.value.value_or(0) == 3);
-  const auto now = Fresh();
+  const auto now = ReadAsNewEntry();
   BOOST_TEST(now->version == 3);
   BOOST_CHECK(now->intent == first);
 }
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -85,7 +85,7 @@
   run.keep_alive_ms = placed.keep_alive_ms;
   const AttemptResult result =
       co_await RunAttempt(links_, placed.address, run, deadline, sink, clock_);
-  place.Done(ResultOf(result.end));
+  place.Finish(ResultOf(result.end));
   if (result.end != AttemptEnd::kCompleted) {
     log_.Event(core::LogLevel::kInfo, core::LogCategory::kRequest,
                "attempt_failed",
--- a/src/entry/ledger_cleanup.cc
+++ b/src/entry/ledger_cleanup.cc
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr int kSwapTries = 8;
-constexpr core::Millis kStep{200};
+constexpr int kMaxSwapAttempts = 8;
+constexpr core::Millis kPollInterval{200};
 
 core::VmId HolderOf(const json::value& grant) {
   return core::VmId(json::value_to<std::string>(grant.at("vm")));
@@ -66,14 +66,14 @@
     self->removed_.insert(vm);
   });
   core::Spawn(executor_, log_, "ledger_cleanup",
-              [self = shared_from_this()] { return self->Follow(); });
+              [self = shared_from_this()] { return self->RunLoop(); });
 }
 
-core::Task<> LedgerCleanup::Follow() {
+core::Task<> LedgerCleanup::RunLoop() {
   core::SteadyTime next = clock_.Now() + options_.interval;
   std::size_t handled = 0;
   while (!stopped_) {
-    co_await core::SleepFor(kStep);
+    co_await core::SleepFor(kPollInterval);
     std::size_t known = 0;
     {
       const std::lock_guard lock(mutex_);
@@ -86,7 +86,7 @@
   }
 }
 
-std::vector<core::ServiceId> LedgerCleanup::OwnServices() const {
+std::vector<core::ServiceId> LedgerCleanup::PrimaryServices() const {
   std::vector<core::ServiceId> own;
   const auto current = config_.Current();
   if (!current) return own;
@@ -119,7 +119,7 @@
 }
 
 core::Task<> LedgerCleanup::Sweep() {
-  for (const core::ServiceId& service : OwnServices()) {
+  for (const core::ServiceId& service : PrimaryServices()) {
     bool failed = false;
     try {
       co_await SweepService(service);
@@ -146,7 +146,7 @@
 }
 
 core::Task<> LedgerCleanup::RemoveGrants(std::string key, core::VmId vm) {
-  for (int i = 0; i < kSwapTries; ++i) {
+  for (int i = 0; i < kMaxSwapAttempts; ++i) {
     const auto ledger = co_await store_.Get(key);
     if (!ledger) co_return;
     const auto without = WithoutGrantsOf(ledger->value, vm);
--- a/src/entry/ledger_cleanup_base.h
+++ b/src/entry/ledger_cleanup_base.h
@@ -61,10 +61,10 @@
   core::Task<> Sweep();
 
  private:
-  core::Task<> Follow();
+  core::Task<> RunLoop();
   core::Task<> SweepService(core::ServiceId service);
   core::Task<> RemoveGrants(std::string key, core::VmId vm);
-  [[nodiscard]] std::vector<core::ServiceId> OwnServices() const;
+  [[nodiscard]] std::vector<core::ServiceId> PrimaryServices() const;
   [[nodiscard]] bool IsRemoved(const core::VmId& vm);
 
   const core::Executor executor_;
--- a/src/entry/once_runner.cc
+++ b/src/entry/once_runner.cc
@@ -211,7 +211,7 @@
                            "the link was lost before it started");
     }
   }
-  place->Done(ResultOf(result));
+  place->Finish(ResultOf(result));
   co_return result;
 }
 
--- a/src/entry/placer.cc
+++ b/src/entry/placer.cc
@@ -33,7 +33,7 @@
 
   [[nodiscard]] const gen::Placed& placed() const override { return placed_; }
 
-  void Done(gen::RunResult::type result) override {
+  void Finish(gen::RunResult::type result) override {
     if (!call_) return;
     gen::PlaceDone done;
     done.result = result;
--- a/src/entry/scheduler.cc
+++ b/src/entry/scheduler.cc
@@ -43,7 +43,7 @@
   [[nodiscard]] const gen::Placed& placed() const override {
     return grant_.placed;
   }
-  void Done(gen::RunResult::type result) override { Free(result); }
+  void Finish(gen::RunResult::type result) override { Free(result); }
 
  private:
   void Free(gen::RunResult::type result) {
@@ -64,13 +64,13 @@
       : state_(std::move(state)), placed_(std::move(placed)) {
     state_->fleet.AddSlot(PlainSlot());
   }
-  ~HeldPlainSlot() override { Done(gen::RunResult::ABANDONED); }
+  ~HeldPlainSlot() override { Finish(gen::RunResult::ABANDONED); }
 
   HeldPlainSlot(const HeldPlainSlot&) = delete;
   HeldPlainSlot& operator=(const HeldPlainSlot&) = delete;
 
   [[nodiscard]] const gen::Placed& placed() const override { return placed_; }
-  void Done(gen::RunResult::type /*result*/) override {
+  void Finish(gen::RunResult::type /*result*/) override {
     if (std::exchange(done_, true)) return;
     state_->fleet.RemoveSlot(PlainSlot());
   }
@@ -480,7 +480,7 @@
   message.__set_placed(placement->placed());
   co_await call->Send(std::move(message));
   const gen::RunResult::type result = co_await AwaitPlaceDone(call);
-  placement->Done(result);
+  placement->Finish(result);
 }
 
 Scheduler::Stats Scheduler::stats() const {
--- a/src/entry/scheduler_base.h
+++ b/src/entry/scheduler_base.h
@@ -44,14 +44,14 @@
   std::function<void(policy::Tier, std::chrono::milliseconds)> on_cold_start;
 };
 
-/** The endpoint granted to a request; holds a slot until Done or destruction.
+/** The endpoint granted to a request; holds a slot until Finish or destruction.
  */
 class Placement {
  public:
   virtual ~Placement() = default;
   [[nodiscard]] virtual const gen::Placed& placed() const = 0;
   /** Frees the slot and reports the run's result to the scheduler. */
-  virtual void Done(gen::RunResult::type result) = 0;
+  virtual void Finish(gen::RunResult::type result) = 0;
 };
 
 /**
--- a/src/entry/scheduler_test.cc
+++ b/src/entry/scheduler_test.cc
@@ -59,7 +59,7 @@
   while (now > seen && !peak.compare_exchange_weak(seen, now)) continue;
   co_await core::SleepFor(core::Millis(1));
   --running;
-  outcome.placement->Done(gen::RunResult::COMPLETED);
+  outcome.placement->Finish(gen::RunResult::COMPLETED);
   co_return true;
 }
 
@@ -215,7 +215,7 @@
   for (int crash = 0; crash < 2; ++crash) {
     const Outcome outcome = fleet.Place(PlaceOf(kModel, kLong, kFatal));
     BOOST_REQUIRE(outcome.placement);
-    outcome.placement->Done(gen::RunResult::ENGINE_CRASHED);
+    outcome.placement->Finish(gen::RunResult::ENGINE_CRASHED);
   }
   const Outcome third = fleet.Place(PlaceOf(kModel, kLong, kFatal));
   BOOST_REQUIRE(third.error);
@@ -246,7 +246,7 @@
     BOOST_REQUIRE(together.back().placement);
   }
   for (const Outcome& outcome : together) {
-    outcome.placement->Done(gen::RunResult::ENGINE_CRASHED);
+    outcome.placement->Finish(gen::RunResult::ENGINE_CRASHED);
   }
   Outcome innocent = fleet.Place(PlaceOf(kModel, kLong, 1));
   BOOST_REQUIRE(innocent.placement);
@@ -254,8 +254,8 @@
       TryPlace(fleet.entry->scheduler(), PlaceOf(kModel, kLong, 666)));
   BOOST_TEST(
       (fatal.wait_for(core::Millis(300)) == std::future_status::timeout));
-  innocent.placement->Done(gen::RunResult::COMPLETED);
-  fatal.get().placement->Done(gen::RunResult::ENGINE_CRASHED);
+  innocent.placement->Finish(gen::RunResult::COMPLETED);
+  fatal.get().placement->Finish(gen::RunResult::ENGINE_CRASHED);
   BOOST_TEST(fleet.Place(PlaceOf(kModel, kLong, 1)).placement != nullptr);
   BOOST_TEST(fleet.Place(PlaceOf(kModel, kLong, 2)).placement != nullptr);
   const Outcome refused = fleet.Place(PlaceOf(kModel, kLong, 666));
@@ -272,7 +272,7 @@
   for (int crash = 0; crash < 2; ++crash) {
     const Outcome outcome = fleet.Place(PlaceOf(kModel, kLong, 666));
     BOOST_REQUIRE(outcome.placement);
-    outcome.placement->Done(gen::RunResult::ENGINE_CRASHED);
+    outcome.placement->Finish(gen::RunResult::ENGINE_CRASHED);
   }
   const Outcome third = fleet.Place(PlaceOf(kModel, kLong, 666));
   BOOST_REQUIRE(third.error);
@@ -391,7 +391,7 @@
       co_await TryPlace(scheduler, PlaceOf(kModel, kAmple, 0, owner));
   const int mine = outcome.placement ? turn++ : -1;
   if (outcome.placement) {
-    outcome.placement->Done(gen::RunResult::COMPLETED);
+    outcome.placement->Finish(gen::RunResult::COMPLETED);
   }
   co_return mine;
 }
@@ -416,7 +416,7 @@
       fleet.threads.Start(PlaceInTurn(fleet.entry->scheduler(), "quiet", turn));
   BOOST_REQUIRE(Eventually(
       [&] { return fleet.entry->scheduler().stats().queued == 201; }));
-  holder.placement->Done(gen::RunResult::COMPLETED);
+  holder.placement->Finish(gen::RunResult::COMPLETED);
   BOOST_TEST(quiet.get() <= 1);
   for (auto& one : loud) BOOST_TEST(one.get() >= 0);
 }
