--- a/src/entry/admin.cc
+++ b/src/entry/admin.cc
@@ -71,8 +71,9 @@
   return message;
 }
 
-/** A pull that claims to be ahead of everybody. */
-gen::Message PullNothing() {
+/** @return A pull with the highest possible version, so that the peer sends no
+ * configuration. */
+gen::Message EmptyPullMessage() {
   gen::ConfigPull pull;
   pull.have_version = std::numeric_limits<std::int64_t>::max();
   gen::Message message;
@@ -98,13 +99,13 @@
       clock_(clock),
       log_(log) {}
 
-bool Admin::Owns(std::string_view target) {
+bool Admin::IsAdminPath(std::string_view target) {
   return target.starts_with(kPrefix);
 }
 
 core::Task<> Admin::Handle(const http::Request& request,
                            http::ResponseWriter& writer) {
-  if (!Owns(request.target)) UnknownPath(request);
+  if (!IsAdminPath(request.target)) UnknownPath(request);
   const std::vector<std::string> path = PathSegments(request.target);
   const std::shared_ptr<const contract::Config> config = config_.Current();
   std::string body;
@@ -148,27 +149,27 @@
 
 core::Task<std::string> Admin::MakePlan(const http::Request& request) {
   const contract::Plan plan =
-      co_await store_.SavePlan(IntentFrom(request), Observed());
+      co_await store_.SavePlan(IntentFrom(request), ObservedReplicas());
   co_return PlanJson(plan);
 }
 
 core::Task<std::string> Admin::ShowPlan(core::PlanId id) {
-  co_return SavedPlanJson(co_await store_.ReadPlan(id, Observed()));
+  co_return SavedPlanJson(co_await store_.ReadPlan(id, ObservedReplicas()));
 }
 
 core::Task<std::string> Admin::ConfirmPlan(core::PlanId id) {
   const std::int64_t version = co_await store_.Confirm(id);
-  const std::vector<VmVersion> not_yet = co_await WaitInForce(version);
+  const std::vector<VmVersion> not_yet = co_await WaitUntilInForce(version);
   log_.Event(not_yet.empty() ? LogLevel::kInfo : LogLevel::kWarning,
              LogCategory::kAdmin, "config_in_force",
              {{"plan", id}, {"version", version}, {"not_yet", not_yet.size()}});
   co_return ConfirmJson(id, version, not_yet);
 }
 
-// Guards against an entry of a large fleet being reported as not having the
-// version only because this one has no link to it. A link shows the peer's
-// version from its first frame on, and carries the new one to it as well; the
-// call that brings it up asks for what the peer has and is given up at once.
+// Guards against reporting that an entry of a large fleet lacks the version
+// only because there is no link to it. A link carries the versions of both
+// sides from its first frame on. The call that opens the link requests no data
+// and is dropped immediately.
 void Admin::LinkToOtherEntries(const core::Executor& executor) {
   std::set<core::VmId> linked = {options_.self};
   for (const link::PeerInfo& peer : links_.Peers()) linked.insert(peer.vm);
@@ -176,15 +177,16 @@
     if (linked.contains(entry.vm)) continue;
     core::Spawn(
         executor, log_, "link_to_entry",
-        [&links = links_, address = entry.address, pull = PullNothing()] {
+        [&links = links_, address = entry.address, pull = EmptyPullMessage()] {
           return OpenAndDrop(links, address, pull);
         });
   }
 }
 
-core::Task<std::vector<VmVersion>> Admin::WaitInForce(std::int64_t version) {
+core::Task<std::vector<VmVersion>> Admin::WaitUntilInForce(
+    std::int64_t version) {
   LinkToOtherEntries(co_await boost::asio::this_coro::executor);
-  const core::SteadyTime deadline = clock_.Now() + options_.in_force_wait;
+  const core::SteadyTime deadline = clock_.Now() + options_.in_force_timeout;
   while (true) {
     std::vector<VmVersion> behind = Versions();
     std::erase_if(behind,
@@ -194,13 +196,13 @@
   }
 }
 
-// Guards against an operator being told that a configuration is in force
-// everywhere while a VM that is frozen or cut off still works by the one from
-// before. Such a VM has no link and is no home, but the platform still lists
-// it: the list is what the links are held against.
+// Guards against reporting a configuration as in force everywhere while a VM
+// that is frozen or partitioned still uses the previous one. Such a VM has no
+// link and is not among the live entries, but the platform still lists it, so
+// the list is the base and the links add the versions.
 std::vector<VmVersion> Admin::Versions() const {
   std::map<core::VmId, VmVersion> by_vm;
-  for (const external::VmRecord& it : directory_.Listed()) {
+  for (const external::VmRecord& it : directory_.ListedVms()) {
     by_vm[it.vm] = {it.vm,
                     it.zone,
                     it.role == external::VmRole::kEntry,
@@ -250,7 +252,7 @@
   co_return DrainJson(id, answer.drain_state.running);
 }
 
-std::vector<contract::ObservedReplica> Admin::Observed() const {
+std::vector<contract::ObservedReplica> Admin::ObservedReplicas() const {
   std::vector<contract::ObservedReplica> observed;
   for (const KnownEndpoint& endpoint : directory_.Endpoints()) {
     for (const gen::ReplicaReport& replica : endpoint.report.replicas) {
--- a/src/entry/admin_test.cc
+++ b/src/entry/admin_test.cc
@@ -1,4 +1,6 @@
-/** @file admin_test.cc The operators' interface over HTTP, with real links. */
+/** @file admin_test.cc Tests the operators' interface over HTTP with real
+ * links.
+ */
 #define BOOST_TEST_MODULE admin
 #include <boost/json.hpp>
 #include <boost/test/unit_test.hpp>
@@ -27,7 +29,7 @@
 kv_budget_bytes = "1 GiB"
 )";
 
-/** An endpoint that takes configurations from links, and drains. */
+/** An endpoint that adopts configurations from links and can be drained. */
 struct Follower {
   Follower(fake::Threads& threads, const std::string& vm,
            const core::Clock& clock, const core::Logger& log)
@@ -178,7 +180,7 @@
       {milliseconds(300), milliseconds(1)}, kv, holder, parts, clock, log};
   Admin admin{{.self = core::VmId("e-1"),
                .zone = core::ZoneId("a"),
-               .in_force_wait = milliseconds(1'000)},
+               .in_force_timeout = milliseconds(1'000)},
               holder,
               store,
               directory,
@@ -216,9 +218,9 @@
   BOOST_TEST(models.at("models").at(0).at("replicas").as_array().size() == 1U);
 }
 
-// A VM's process is frozen, or an old one that doesn't follow: its operator
-// confirms a plan and has to be told that this VM does not have it yet.
-BOOST_FIXTURE_TEST_CASE(VmsThatLagAreNamed, Fixture) {
+// A VM's process is frozen or does not adopt new versions. The answer to a
+// confirmation must name this VM.
+BOOST_FIXTURE_TEST_CASE(VmsThatLagAreReported, Fixture) {
   Add("vm-1", follower.address);
   Add("vm-2", frozen.address());
   const json::value answer =
@@ -231,9 +233,9 @@
   BOOST_TEST(status.at("vms").at(2).at("version").as_int64() == 0);
 }
 
-// In a large fleet not every entry has a link to every other. One without a
-// link follows the version as the others do, and must not be named as behind.
-BOOST_FIXTURE_TEST_CASE(EntriesWithoutLinkAreAsked, Fixture) {
+// In a large fleet not every entry has a link to every other. An entry without
+// a link adopts the version all the same and must not be reported as behind.
+BOOST_FIXTURE_TEST_CASE(EntriesWithoutLinkAreNotReportedAsBehind, Fixture) {
   list.Add("e-2", external::VmRole::kEntry, far_entry.address);
   BOOST_REQUIRE(
       fake::Eventually([&] { return directory.Entries().size() == 2; }));
@@ -243,7 +245,7 @@
   BOOST_TEST(far_entry.holder.version() == 1);
 }
 
-BOOST_FIXTURE_TEST_CASE(FaultsAreNamed, Fixture) {
+BOOST_FIXTURE_TEST_CASE(ErrorsNameTheirCause, Fixture) {
   std::string bad(kIntent);
   bad.replace(bad.find("max_replicas"), 12, "max_replica");
   CheckProblem(Fetch("POST", "plans?file=m.toml", "application/toml", bad), 400,
--- a/src/entry/caller_request.cc
+++ b/src/entry/caller_request.cc
@@ -1,4 +1,4 @@
-/** @file caller_request.cc Reads callers' HTTP requests. */
+/** @file caller_request.cc Parses callers' HTTP requests. */
 #include <algorithm>
 #include <boost/json.hpp>
 #include <charconv>
@@ -18,7 +18,7 @@
 constexpr std::string_view kServicesPrefix = "/services/";
 constexpr std::size_t kMaxTokenLength = 128;
 constexpr int kMaxPriority = 100;
-/** Prompts that share this many first bytes likely share cached prefixes. */
+/** Prompts that share this many leading bytes likely share a cached prefix. */
 constexpr std::size_t kPrefixBytes = 256;
 
 [[noreturn]] void BadHeader(std::string_view name, const std::string& what) {
@@ -84,7 +84,8 @@
   return value->get_bool();
 }
 
-/** @return What engines cache prefixes of: the prompt or the messages. */
+/** @return The text whose prefixes engines cache: the prompt or the messages.
+ */
 std::string PromptText(const boost::json::object& body,
                        std::string_view field) {
   const boost::json::value* value = body.if_contains(field);
@@ -130,9 +131,9 @@
   out.prefix_hash = static_cast<std::int64_t>(core::HashOf(prefix) >> 1);
 }
 
-/** @return True if "METHOD /prefix" covers this call. */
-bool Covers(const std::string& pattern, const std::string& method,
-            std::string_view path) {
+/** @return True if the call matches a "METHOD /prefix" pattern. */
+bool MatchesPattern(const std::string& pattern, const std::string& method,
+                    std::string_view path) {
   const std::string_view text = pattern;
   const std::size_t space = text.find(' ');
   if (space == std::string_view::npos) return false;
@@ -153,9 +154,10 @@
   if (out.path.empty() || out.path.front() != '/') out.path.insert(0, "/");
   const std::string_view path = http::PathOf(out.path);
   const auto& patterns = it->second.non_idempotent;
-  out.non_idempotent = std::any_of(
-      patterns.begin(), patterns.end(),
-      [&](const auto& pattern) { return Covers(pattern, out.method, path); });
+  out.non_idempotent =
+      std::any_of(patterns.begin(), patterns.end(), [&](const auto& pattern) {
+        return MatchesPattern(pattern, out.method, path);
+      });
 }
 
 std::int64_t FingerprintOf(const CallerRequest& request) {
--- a/src/entry/config_store.cc
+++ b/src/entry/config_store.cc
@@ -1,4 +1,4 @@
-/** @file config_store.cc Operators' side: saves and confirms plans. */
+/** @file config_store.cc Saves and confirms configuration plans. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -24,17 +24,18 @@
 
 namespace {
 
-/** Plans the head remembers: at the busiest deployment's rate of changes
- * these cover ten minutes, many times what a confirmation may take. */
+/** Number of confirmed plans kept in the head. At the busiest deployment's rate
+ * of changes they cover ten minutes, many times what a confirmation may take.
+ */
 constexpr std::size_t kHistoryLength = 32;
-/** Attempts at a part that others write or delete at the same time. */
+/** Attempts to write a part that others write or delete at the same time. */
 constexpr int kPartAttempts = 8;
 
 bool Contains(const std::vector<std::string>& hashes, const std::string& hash) {
   return std::ranges::find(hashes, hash) != hashes.end();
 }
 
-/** @return The version as which the head remembers the plan; 0 if it does not.
+/** @return The version of the plan in the head's history; 0 if it is not there.
  */
 std::int64_t VersionOf(const ConfigHead& head, const core::PlanId& id) {
   for (const contract::ConfirmedPlan& confirmed : head.history) {
@@ -53,7 +54,7 @@
   return next;
 }
 
-core::Error Conflict(const core::PlanId& id, const ConfigHead& head) {
+core::Error ConflictError(const core::PlanId& id, const ConfigHead& head) {
   return core::Error(
       ErrorCode::kPlanConflict,
       fmt::format("plan {}: version {} (plan {}) came into force first; make "
@@ -61,17 +62,17 @@
                   id.value(), head.version, head.plan.value()));
 }
 
-/** How one attempt at a write that may be repeated ended. */
-struct Attempt {
+/** Result of one attempt at a write that may be repeated. */
+struct WriteAttempt {
   std::optional<external::CasResult> result;
   /** Set if there is no result. */
   ErrorCode failure = ErrorCode::kInternal;
   std::string reason;
 };
 
-core::Task<Attempt> TryCas(external::KeyValueStore& store, std::string key,
-                           std::int64_t expected, std::string value) {
-  Attempt attempt;
+core::Task<WriteAttempt> TryCas(external::KeyValueStore& store, std::string key,
+                                std::int64_t expected, std::string value) {
+  WriteAttempt attempt;
   try {
     attempt.result = co_await store.CompareAndSwap(
         std::move(key), expected, std::move(value), std::string());
@@ -86,10 +87,11 @@
   co_return attempt;
 }
 
-/** Whether a plan's record was kept does not matter when its id is not given
- * out: both failures mean the same to an operator. */
-core::Task<Attempt> TrySave(core::Task<> save) {
-  Attempt attempt;
+/** Runs a save and turns its error into a failed attempt. Whether the record
+ * was stored does not matter, as the plan's id is not returned after a failure:
+ * both kinds of failure mean the same to an operator. */
+core::Task<WriteAttempt> TrySave(core::Task<> save) {
+  WriteAttempt attempt;
   try {
     co_await std::move(save);
   } catch (const core::Error& e) {
@@ -129,7 +131,7 @@
       {plan.base_version + 1, plan.id, std::move(wanted)});
   PlanRecord record{plan.id, plan.base_version, contract::HashesOf(encoded), "",
                     0};
-  const Attempt attempt = co_await TrySave(SaveRecord(record, encoded));
+  const WriteAttempt attempt = co_await TrySave(SaveRecord(record, encoded));
   if (!attempt.reason.empty()) {
     throw core::Error(ErrorCode::kPlatformUnavailable,
                       "the plan was not kept and nothing was changed; make it "
@@ -192,7 +194,7 @@
     }
     if (!entry) {
       const StoredHead now = co_await ReadHead(store_);
-      throw Conflict(record.id, now.head);
+      throw ConflictError(record.id, now.head);
     }
     encoded.parts.push_back({hash, entry->value});
   }
@@ -225,11 +227,11 @@
 core::Task<std::int64_t> ConfigStore::Confirm(core::PlanId id) {
   StoredHead before = co_await ReadHead(store_);
   PlanRecord record;
-  // A plan in force is known by the head even if its record has expired.
+  // The head's history shows a confirmed plan even if its record has expired.
   if (VersionOf(before.head, id) == 0) {
     record = co_await ReadRecord(id);
     if (record.confirmed_version != 0) co_return record.confirmed_version;
-    before = co_await ReadHeadFrom(record.base_version);
+    before = co_await ReadHeadAtLeast(record.base_version);
   }
   const std::int64_t earlier = VersionOf(before.head, id);
   if (earlier != 0) {
@@ -237,7 +239,7 @@
     co_return earlier;
   }
   if (record.base_version != before.head.version) {
-    throw Conflict(id, before.head);
+    throw ConflictError(id, before.head);
   }
   co_return co_await PutInForce(std::move(record), std::move(before));
 }
@@ -247,26 +249,26 @@
   co_await AdoptHead(store_, parts_, before.head);
   const ConfigHead next = NextHead(before.head, record);
   EncodedConfig encoded = co_await ReadParts(record, next.version);
-  // The same checks as when the plan was made, on what will be in force.
+  // Repeats the checks of SavePlan on the configuration that comes into force.
   contract::Validate(
       contract::DecodeConfig(next.version, record.id, encoded.parts).intent);
   co_await PutParts(before.head, encoded);
   const std::vector<external::KvEntry> replaced =
       co_await ReadReplaced(before.head, next.part_hashes);
-  record.confirmed_version = co_await Swap(before, next);
+  record.confirmed_version = co_await SwapHead(before, next);
   parts_.Adopt(std::move(encoded));
   log_.Event(LogLevel::kInfo, LogCategory::kAdmin, "plan_confirmed",
              {{"plan", record.id}, {"version", record.confirmed_version}});
-  co_await AfterConfirm(record, replaced);
+  co_await CleanUpAfterConfirm(record, replaced);
   co_return record.confirmed_version;
 }
 
-// Guards against calling it a conflict when the service merely shows a head
-// older than the plan's base, as from a replica that lags. It would show as an
-// operator who is told that his plan can't come into force any more, and then
-// it does. Versions only grow, so a head above the base proves a conflict, but
-// one below it proves nothing.
-core::Task<StoredHead> ConfigStore::ReadHeadFrom(std::int64_t version) {
+// Guards against reporting a conflict when the service returns a head older
+// than the plan's base, as from a replica that lags: the operator would be told
+// that the plan can't come into force any more, and then it does. Versions only
+// increase, so a head above the base proves a conflict, but one below it proves
+// nothing.
+core::Task<StoredHead> ConfigStore::ReadHeadAtLeast(std::int64_t version) {
   const core::SteadyTime deadline = clock_.Now() + options_.confirm_timeout;
   while (true) {
     StoredHead stored = co_await ReadHead(store_);
@@ -289,16 +291,15 @@
   }
 }
 
-// Guards against a part vanishing from under the new head: the confirmation
-// before this one deletes parts that it replaced, and one of these may be
-// wanted again (a change and its reversal). It would show as entries that
-// never find a part of the newest head. A part that exists is therefore
-// written anew: its revision moves, and the other's delete, which expects the
-// revision from before, fails.
+// Guards against the deletion of a part of the new head: the previous
+// confirmation deletes the parts it replaced, and one of these may be needed
+// again (a change and its reversal). Entries would never find a part of the
+// newest head. An existing part is therefore rewritten: its revision changes,
+// and the other confirmation's delete, which expects the old revision, fails.
 core::Task<> ConfigStore::PutPart(Part part) {
   std::int64_t expected = 0;
   for (int i = 0; i < kPartAttempts; ++i) {
-    const Attempt attempt =
+    const WriteAttempt attempt =
         co_await TryCas(store_, PartKey(part.hash), expected, part.data);
     if (!attempt.result) {
       co_await core::SleepFor(options_.retry_pause);
@@ -324,19 +325,20 @@
   co_return replaced;
 }
 
-// Guards against a lost answer and against a write that lands late. Lost: the
-// swap took effect, the operator is told of a failure, and tries again. Late:
-// the write lands after the operator was told that it had not. Each attempt
-// expects the same old revision, so at most one takes effect, however often
-// and late they land; and each that fails shows the head as it is, in which
-// the plan's id tells whether it was ours. Only a head that has moved on
-// without our id proves that no attempt can land any more.
-core::Task<std::int64_t> ConfigStore::Swap(StoredHead before, ConfigHead next) {
+// Guards against a lost answer and a late write. Lost answer: the swap took
+// effect, but the operator gets a failure and retries. Late write: the write
+// takes effect after the operator was told that it had not. All attempts expect
+// the same old revision, so at most one takes effect, however often and late
+// they arrive. A failed attempt returns the current head, whose history shows
+// whether this plan was confirmed. Only a newer head without this plan proves
+// that no attempt can take effect any more.
+core::Task<std::int64_t> ConfigStore::SwapHead(StoredHead before,
+                                               ConfigHead next) {
   const std::string value = contract::HeadToJson(next);
   const core::SteadyTime deadline = clock_.Now() + options_.confirm_timeout;
   bool may_have_landed = false;
   while (true) {
-    const Attempt attempt =
+    const WriteAttempt attempt =
         co_await TryCas(store_, std::string(kHeadKey), before.revision, value);
     if (attempt.result && attempt.result->swapped) co_return next.version;
     if (attempt.result) {
@@ -346,7 +348,7 @@
               : ConfigHead();
       const std::int64_t version = VersionOf(now, next.plan);
       if (version != 0) co_return version;
-      throw Conflict(next.plan, now);
+      throw ConflictError(next.plan, now);
     }
     if (attempt.failure == ErrorCode::kPlatformUnknownOutcome) {
       may_have_landed = true;
@@ -361,9 +363,9 @@
   }
 }
 
-// Tidying only: its failure leaves unused keys behind, or a plan that the
-// head's history alone remembers.
-core::Task<> ConfigStore::AfterConfirm(
+// Cleanup only: a failure leaves unused keys behind, or a plan whose
+// confirmation is recorded only in the head's history.
+core::Task<> ConfigStore::CleanUpAfterConfirm(
     PlanRecord record, std::vector<external::KvEntry> replaced) {
   try {
     const std::optional<external::KvEntry> saved =
--- a/src/entry/config_store_test.cc
+++ b/src/entry/config_store_test.cc
@@ -1,4 +1,5 @@
-/** @file config_store_test.cc Confirming plans under failure. */
+/** @file config_store_test.cc Tests the confirmation of plans under failures.
+ */
 #define BOOST_TEST_MODULE config_store
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -19,7 +20,7 @@
 using std::chrono::milliseconds;
 using testing::WriteFault;
 
-/** What one entry holds. */
+/** The configuration state of one entry. */
 struct Entry {
   Entry(external::KeyValueStore& kv, const core::Clock& clock,
         const core::Logger& log)
@@ -45,8 +46,8 @@
     BOOST_CHECK_EXCEPTION(Confirm(entry, id), core::Error, is_code);
   }
 
-  /** @return What an entry that just started finds. */
-  std::shared_ptr<const contract::Config> Fresh() {
+  /** @return The configuration that a newly started entry reads. */
+  std::shared_ptr<const contract::Config> ReadAsNewEntry() {
     Entry entry(kv, clock, log);
     ConfigStore& store = entry.store;
     testing::RunTask(io, store.SavePlan(RandomIntent(random, 1), {}));
@@ -67,9 +68,9 @@
 BOOST_FIXTURE_TEST_CASE(NothingChangesBeforeConfirmation, Fixture) {
   const auto wanted = RandomIntent(random, 30);
   const core::PlanId id = Plan(a, wanted);
-  BOOST_TEST(!Fresh());
+  BOOST_TEST(!ReadAsNewEntry());
   BOOST_TEST(Confirm(b, id) == 1);
-  BOOST_CHECK(Fresh()->intent == wanted);
+  BOOST_CHECK(ReadAsNewEntry()->intent == wanted);
   BOOST_CHECK(b.holder.Current()->intent == wanted);
 }
 
@@ -77,15 +78,15 @@
   const core::PlanId first = Plan(a, RandomIntent(random, 30));
   BOOST_TEST(Confirm(a, first) == 1);
   BOOST_TEST(Confirm(b, first) == 1);
-  // Still so when many plans have come since and the head has forgotten it.
+  // The same after so many later plans that the head's history has dropped it.
   for (int i = 0; i < 40; ++i) Confirm(a, Plan(a, RandomIntent(random, 3)));
   BOOST_TEST(Confirm(b, first) == 1);
-  BOOST_TEST(Fresh()->version == 41);
+  BOOST_TEST(ReadAsNewEntry()->version == 41);
 }
 
-// Leases lapse, and with them the plans. One that is in force answers with its
-// version all the same; one that isn't is unknown and changes nothing.
-BOOST_FIXTURE_TEST_CASE(LapsedPlansAreSettledByTheHead, Fixture) {
+// Plans expire with their leases. A confirmed one still returns its version; an
+// unconfirmed one is unknown and changes nothing.
+BOOST_FIXTURE_TEST_CASE(ExpiredPlansAreResolvedByTheHead, Fixture) {
   const core::PlanId first = Plan(a, RandomIntent(random, 30));
   Confirm(a, first);
   const core::PlanId second = Plan(a, RandomIntent(random, 30));
@@ -94,10 +95,10 @@
   CheckRefused(b, second, ErrorCode::kUnknownPlan);
 }
 
-// Two operators look at the same configuration and confirm different plans at
-// the same moment through different entries. One of them must be told that
-// the other came first; the configuration must be wholly the other's.
-BOOST_DATA_TEST_CASE_F(Fixture, OfTwoPlansOnOneBaseOneIsConfirmed,
+// Two plans on the same base are confirmed concurrently through different
+// entries. Exactly one must succeed, and the configuration must be entirely its
+// own; the other must get a conflict.
+BOOST_DATA_TEST_CASE_F(Fixture, ExactlyOneOfTwoPlansOnOneBaseIsConfirmed,
                        data::xrange(12), seed) {
   random.seed(seed);
   Confirm(a, Plan(a, RandomIntent(random, 30)));
@@ -113,51 +114,50 @@
   io.restart();
   io.run();
   BOOST_TEST((result_a.value.has_value() != result_b.value.has_value()));
-  const auto now = Fresh();
+  const auto now = ReadAsNewEntry();
   BOOST_TEST(now->version == 2);
   BOOST_CHECK(now->intent == (result_a.value ? wanted_a : wanted_b));
   CheckRefused(a, result_a.value ? id_b : id_a, ErrorCode::kPlanConflict);
 }
 
-// The operator confirms, the write takes effect, its answer is lost on the
-// way. He must be told of success, and once only may it count as a change.
-BOOST_FIXTURE_TEST_CASE(LostAnswerIsSettled, Fixture) {
+// The write of a confirmation takes effect but its answer is lost. The operator
+// must get a success, and the change must count only once.
+BOOST_FIXTURE_TEST_CASE(LostAnswerIsResolved, Fixture) {
   const core::PlanId id = Plan(a, RandomIntent(random, 30));
   kv.head_faults = {WriteFault::kAnswerLost};
   BOOST_TEST(Confirm(a, id) == 1);
-  BOOST_TEST(Fresh()->version == 1);
+  BOOST_TEST(ReadAsNewEntry()->version == 1);
 }
 
-// The write of the head times out and is still on its way. A second attempt
-// succeeds, another plan comes, and then the first write lands. It must not
-// bring the older configuration back.
-BOOST_FIXTURE_TEST_CASE(LateWriteDoesNoHarm, Fixture) {
+// A write of the head times out and takes effect only after a second attempt
+// and another plan. It must not restore the older configuration.
+BOOST_FIXTURE_TEST_CASE(LateWriteDoesNotRestoreAnOlderVersion, Fixture) {
   const core::PlanId first = Plan(a, RandomIntent(random, 30));
-  kv.head_faults = {WriteFault::kLandsLate};
+  kv.head_faults = {WriteFault::kTakesEffectLate};
   BOOST_TEST(Confirm(a, first) == 1);
   BOOST_TEST(Confirm(b, Plan(b, RandomIntent(random, 30))) == 2);
-  kv.LandLate();
-  BOOST_TEST(Fresh()->version == 2);
+  kv.ApplyLateWrites();
+  BOOST_TEST(ReadAsNewEntry()->version == 2);
 }
 
-// No attempt learns its outcome before the operator's patience ends. He must be
-// told that it is unknown. Then the write lands, and confirming the same plan
-// again tells him so, and changes nothing.
-BOOST_FIXTURE_TEST_CASE(UnknownOutcomeIsSaidAndSettledLater, Fixture) {
+// No attempt learns its outcome before the timeout, so the operator must get an
+// unknown outcome. After the write has taken effect, confirming the plan again
+// must return its version and change nothing.
+BOOST_FIXTURE_TEST_CASE(UnknownOutcomeIsReportedAndResolvedLater, Fixture) {
   const core::PlanId id = Plan(a, RandomIntent(random, 30));
-  kv.head_faults.assign(1'000, WriteFault::kLandsLate);
+  kv.head_faults.assign(1'000, WriteFault::kTakesEffectLate);
   CheckRefused(a, id, ErrorCode::kPlatformUnknownOutcome);
   kv.head_faults.clear();
-  kv.LandLate();
+  kv.ApplyLateWrites();
   BOOST_TEST(Confirm(b, id) == 1);
-  BOOST_TEST(Fresh()->version == 1);
+  BOOST_TEST(ReadAsNewEntry()->version == 1);
 }
 
-// The write takes effect, and the service goes down before anybody learns it.
-// When it is back, other plans are confirmed on top. The first operator asks
-// again: his plan was in force, so "conflict, nothing was changed" would be
-// false, though the head has another plan by then.
-BOOST_FIXTURE_TEST_CASE(EarlierSuccessIsRemembered, Fixture) {
+// The write takes effect, and the service goes down before the entry learns so.
+// Later other plans are confirmed on top. Confirming the first plan again must
+// return its version: a conflict would be wrong, although the head holds
+// another plan by then.
+BOOST_FIXTURE_TEST_CASE(EarlierSuccessIsReportedAfterLaterPlans, Fixture) {
   const core::PlanId id = Plan(a, RandomIntent(random, 30));
   kv.head_faults = {WriteFault::kAnswerLost};
   kv.down_after_fault = true;
@@ -165,24 +165,24 @@
   kv.down = false;
   for (int i = 0; i < 10; ++i) Confirm(b, Plan(b, RandomIntent(random, 3)));
   BOOST_TEST(Confirm(a, id) == 1);
-  BOOST_TEST(Fresh()->version == 11);
+  BOOST_TEST(ReadAsNewEntry()->version == 11);
 }
 
-// As above, but another operator's plan comes first: the writes on their way
-// can't land any more, and the first operator is told of a conflict.
+// As above, but another plan is confirmed first: the delayed writes can't take
+// effect any more, and the first plan must get a conflict.
 BOOST_FIXTURE_TEST_CASE(UnknownOutcomeBecomesConflict, Fixture) {
   const core::PlanId id = Plan(a, RandomIntent(random, 30));
-  kv.head_faults.assign(1'000, WriteFault::kLandsLate);
+  kv.head_faults.assign(1'000, WriteFault::kTakesEffectLate);
   CheckRefused(a, id, ErrorCode::kPlatformUnknownOutcome);
   kv.head_faults.clear();
   BOOST_TEST(Confirm(b, Plan(b, RandomIntent(random, 30))) == 1);
-  kv.LandLate();
+  kv.ApplyLateWrites();
   CheckRefused(a, id, ErrorCode::kPlanConflict);
-  BOOST_TEST(Fresh()->version == 1);
+  BOOST_TEST(ReadAsNewEntry()->version == 1);
 }
 
-// With the service down nothing can be planned or confirmed, and the operator
-// is told that nothing was changed.
+// With the service down, planning and confirming must fail with an error that
+// says that nothing was changed.
 BOOST_FIXTURE_TEST_CASE(ServiceDownChangesNothing, Fixture) {
   const core::PlanId id = Plan(a, RandomIntent(random, 30));
   kv.down = true;
@@ -192,31 +192,31 @@
   BOOST_TEST(Confirm(a, id) == 1);
 }
 
-// A replica that lags shows the operator's entry an older head, for a moment or
-// for long. A plan made on the newest must not be called a conflict, as it may
-// still come into force; one made on the older head is a conflict all the same.
-BOOST_FIXTURE_TEST_CASE(OlderHeadLeadsToNoChange, Fixture) {
+// A replica that lags returns an older head, briefly or for long. A plan on the
+// newest head must not get a conflict, as it may still come into force; a plan
+// on the older head must.
+BOOST_FIXTURE_TEST_CASE(OlderHeadIsNoConflictForANewerPlan, Fixture) {
   Confirm(a, Plan(a, RandomIntent(random, 30)));
   const auto older = kv.Peek("config/head");
   const core::PlanId on_older = Plan(a, RandomIntent(random, 30));
   Confirm(b, Plan(b, RandomIntent(random, 30)));
-  kv.head_shown = {older};
+  kv.head_overrides = {older};
   CheckRefused(a, on_older, ErrorCode::kPlanConflict);
-  kv.head_shown = {older};
+  kv.head_overrides = {older};
   const core::PlanId on_newer = Plan(b, RandomIntent(random, 30));
-  kv.head_shown.assign(1'000, older);
+  kv.head_overrides.assign(1'000, older);
   CheckRefused(b, on_newer, ErrorCode::kPlatformUnavailable);
-  kv.head_shown.clear();
-  BOOST_TEST(Fresh()->version == 2);
-  kv.head_shown = {older, older};
+  kv.head_overrides.clear();
+  BOOST_TEST(ReadAsNewEntry()->version == 2);
+  kv.head_overrides = {older, older};
   BOOST_TEST(Confirm(b, on_newer) == 3);
 }
 
-// An operator confirms a change and then its reversal. The first confirmation
-// is still deleting the parts it replaced when the second wants them back.
-// Whenever the deletes land, the newest head's parts must all be there; without
-// them no entry that starts later finds a configuration.
-BOOST_DATA_TEST_CASE_F(Fixture, ReversalFindsItsParts, data::xrange(40), seed) {
+// A change is confirmed and then its reversal. The first confirmation still
+// deletes the parts it replaced while the second needs them again. Whenever the
+// deletes take effect, all parts of the newest head must exist, or entries that
+// start later find no configuration.
+BOOST_DATA_TEST_CASE_F(Fixture, ReversalKeepsItsParts, data::xrange(40), seed) {
   const auto first = RandomIntent(random, 30);
   auto second = first;
   for (int i = 0; i < 5; ++i) Mutate(random, second);
@@ -235,7 +235,7 @@
   io.run();
   BOOST_TEST(changed.value.value_or(0) == 2);
   BOOST_TEST(reversed.value.value_or(0) == 3);
-  const auto now = Fresh();
+  const auto now = ReadAsNewEntry();
   BOOST_TEST(now->version == 3);
   BOOST_CHECK(now->intent == first);
 }
--- a/src/entry/config_watch.cc
+++ b/src/entry/config_watch.cc
@@ -1,4 +1,4 @@
-/** @file config_watch.cc An entry follows the configuration's head. */
+/** @file config_watch.cc Watches the configuration head. */
 #include <algorithm>
 #include <atomic>
 #include <exception>
@@ -32,12 +32,12 @@
     ++(counters.*counter);
   }
 
-  /** Puts a head in force; an older one is counted and passed over. */
-  static core::Task<> Take(std::shared_ptr<State> self,
-                           contract::ConfigHead head) {
+  /** Puts a head in force; counts and ignores an older one. */
+  static core::Task<> ApplyHead(std::shared_ptr<State> self,
+                                contract::ConfigHead head) {
     const auto have = self->parts.Current();
     if (have && have->version > head.version) {
-      self->Count(&ConfigWatchCounters::older_seen);
+      self->Count(&ConfigWatchCounters::older_heads);
       self->log.Event(LogLevel::kWarning, LogCategory::kConfig,
                       "config_older_shown",
                       {{"in_force", have->version}, {"shown", head.version}});
@@ -51,30 +51,30 @@
                     {{"version", version}, {"source", "watch"}});
   }
 
-  /** Reads the head as it is. @return Its revision. */
+  /** Reads the current head. @return Its revision. */
   static core::Task<std::int64_t> Refresh(std::shared_ptr<State> self) {
     const core::SteadyTime asked = self->clock.Now();
     StoredHead stored = co_await ReadHead(self->store);
     const std::int64_t revision = stored.revision;
     if (revision != 0) {
-      co_await Take(self, std::move(stored.head));
+      co_await ApplyHead(self, std::move(stored.head));
     }
     self->refreshed = asked;
     co_return revision;
   }
 
-  static core::Task<> TakeEvents(std::shared_ptr<State> self,
-                                 std::vector<external::KvEvent> events) {
+  static core::Task<> ApplyEvents(std::shared_ptr<State> self,
+                                  std::vector<external::KvEvent> events) {
     for (const external::KvEvent& event : events) {
       if (event.key != kHeadKey || !event.value) continue;
-      co_await Take(self, contract::HeadFromJson(*event.value));
+      co_await ApplyHead(self, contract::HeadFromJson(*event.value));
     }
   }
 
   /**
-   * Watches until a failure. A gap, as after the service lost its history, is
-   * no failure: changes may have been missed, so the head is read anew and the
-   * watch goes on from where the service says.
+   * Watches until a failure. A gap, as after the service has lost its history,
+   * is not a failure: changes may have been missed, so the head is read again
+   * and the watch continues from the revision that the service returned.
    */
   static core::Task<> Follow(std::shared_ptr<State> self) {
     std::int64_t revision = co_await Refresh(self);
@@ -89,7 +89,7 @@
         co_await core::SleepFor(self->options.first_pause);
         continue;
       }
-      co_await TakeEvents(self, std::move(batch.events));
+      co_await ApplyEvents(self, std::move(batch.events));
       if (self->clock.Now() - self->refreshed >=
           self->options.refresh_interval) {
         co_await Refresh(self);
@@ -110,7 +110,7 @@
       self->log.Event(LogLevel::kWarning, LogCategory::kConfig,
                       "config_watch_failed", {{"error", failure}});
       co_await core::SleepFor(self->pause);
-      self->pause = std::min(self->pause * 2, self->options.longest_pause);
+      self->pause = std::min(self->pause * 2, self->options.max_pause);
     }
   }
 
@@ -121,7 +121,7 @@
   const core::Clock& clock;
   const core::Logger& log;
   std::atomic<bool> stopped = false;
-  /** Used by the one coroutine only. */
+  /** `pause` and `refreshed` are used only by the coroutine of Run. */
   std::chrono::milliseconds pause;
   core::SteadyTime refreshed;
   std::mutex mutex;
--- a/src/entry/dispatcher.cc
+++ b/src/entry/dispatcher.cc
@@ -1,4 +1,4 @@
-/** @file dispatcher.cc Runs idempotent requests, again where that helps. */
+/** @file dispatcher.cc Runs idempotent requests, with retries. */
 #include <utility>
 
 #include "core/random_func.h"
@@ -24,14 +24,14 @@
     case AttemptEnd::kCrashed:
       return gen::RunResult::ENGINE_CRASHED;
     case AttemptEnd::kUnknown:
-    case AttemptEnd::kSinkGone:
+    case AttemptEnd::kSinkClosed:
       return gen::RunResult::ABANDONED;
   }
   return gen::RunResult::ABANDONED;
 }
 
-bool MayTryAgain(const AttemptResult& result) {
-  if (result.end == AttemptEnd::kSinkGone) return false;
+bool MayRetry(const AttemptResult& result) {
+  if (result.end == AttemptEnd::kSinkClosed) return false;
   return result.error->code() != ErrorCode::kTimedOut;
 }
 
@@ -45,12 +45,12 @@
                        AnswerSink& sink) {
   {
     const std::lock_guard lock(budget_mutex_);
-    policy::RecordFirstTry(budget_);
+    policy::RecordFirstTry(retry_budget_);
   }
   std::set<core::EndpointId> avoid;
-  // Of the newest attempt that may have run: from then on "not run" can't be
-  // said any more, and this is what the caller is told, not that nobody was
-  // found to try again.
+  // Error of the newest attempt that may have run. From then on the outcome
+  // "not run" would be wrong, so the caller gets this error and not the refusal
+  // of a later placement.
   std::optional<Error> may_have_run;
   const auto abandoned = [&sink] { return sink.abandoned(); };
   for (int attempt = 1;; ++attempt) {
@@ -63,11 +63,12 @@
     }
     if (refused) throw may_have_run ? *may_have_run : *refused;
     const AttemptResult result =
-        co_await RunAtPlace(*place, run, deadline, sink);
+        co_await RunAtPlacement(*place, run, deadline, sink);
     if (result.end == AttemptEnd::kCompleted) co_return;
     if (result.end != AttemptEnd::kNotStarted) may_have_run = result.error;
-    // What the receiver has seen can't be unsent: it gets an explicit error.
-    if (sink.started() || attempt == kMaxAttempts || !MayTryAgain(result) ||
+    // Once a part was sent there is no retry; the receiver gets an explicit
+    // error.
+    if (sink.started() || attempt == kMaxAttempts || !MayRetry(result) ||
         !TakeRetryToken()) {
       throw may_have_run ? *may_have_run : *result.error;
     }
@@ -76,15 +77,15 @@
   }
 }
 
-Task<AttemptResult> Dispatcher::RunAtPlace(Placement& place, gen::Run run,
-                                           core::SteadyTime deadline,
-                                           AnswerSink& sink) {
+Task<AttemptResult> Dispatcher::RunAtPlacement(Placement& place, gen::Run run,
+                                               core::SteadyTime deadline,
+                                               AnswerSink& sink) {
   const gen::Placed placed = place.placed();
   run.attempt_id = core::RandomHexId();
   run.keep_alive_ms = placed.keep_alive_ms;
   const AttemptResult result =
       co_await RunAttempt(links_, placed.address, run, deadline, sink, clock_);
-  place.Done(ResultOf(result.end));
+  place.Finish(ResultOf(result.end));
   if (result.end != AttemptEnd::kCompleted) {
     log_.Event(core::LogLevel::kInfo, core::LogCategory::kRequest,
                "attempt_failed",
@@ -96,11 +97,11 @@
   co_return result;
 }
 
-/** Guard against retries that bury a failing fleet: they are a fraction of
- * the first tries, over all requests of this entry. */
+/** Limits retries to a fraction of the first attempts over all requests of this
+ * entry, so that retries do not overload a failing fleet. */
 bool Dispatcher::TakeRetryToken() {
   const std::lock_guard lock(budget_mutex_);
-  return policy::TakeRetry(budget_);
+  return policy::TakeRetry(retry_budget_);
 }
 
 }  // namespace sapphire::entry
--- a/src/entry/entry_base.h
+++ b/src/entry/entry_base.h
@@ -1,4 +1,4 @@
-/** @file entry_base.h All parts of one entry process. */
+/** @file entry_base.h Wires the components of an entry process. */
 #ifndef SAPPHIRE_ENTRY_ENTRY_BASE_H_
 #define SAPPHIRE_ENTRY_ENTRY_BASE_H_
 
@@ -20,10 +20,10 @@
 #include "entry/directory_base.h"
 #include "entry/dispatcher_base.h"
 #include "entry/gateway_base.h"
-#include "entry/home_base.h"
 #include "entry/metrics_base.h"
 #include "entry/once_runner_base.h"
 #include "entry/placer_base.h"
+#include "entry/scheduler_base.h"
 #include "external/key_value_base.h"
 #include "external/vm_list_base.h"
 #include "http/server_base.h"
@@ -39,15 +39,16 @@
   link::LinkOptions links;
   http::ServerLimits http;
   CallerLimits callers;
-  HomeOptions home;
+  SchedulerOptions scheduler;
   ClaimStoreOptions claims;
-  std::chrono::milliseconds keep_ended{60'000};
+  std::chrono::milliseconds finished_retention{60'000};
   std::chrono::milliseconds vm_list_interval{1000};
   std::chrono::milliseconds lame_duck{2000};
-  std::chrono::milliseconds drain_limit{60'000};
+  std::chrono::milliseconds drain_timeout{60'000};
 };
 
-/** Wires the parts of an entry and answers its HTTP and link calls. */
+/** Wires the components of an entry and answers HTTP requests and link calls.
+ */
 class Entry {
  public:
   /** @pre All references outlive the entry. */
@@ -55,7 +56,7 @@
         external::KeyValueStore& store, external::VmList& vm_list,
         const core::Clock& clock, const core::Logger& log, Metrics& metrics);
 
-  /** Listens and begins to serve. @throws core::Error kBadSettings. */
+  /** Starts to listen and serve. @throws core::Error kBadSettings. */
   void Start();
 
   [[nodiscard]] std::string http_address() const { return http_.address(); }
@@ -64,9 +65,10 @@
   }
 
   /**
-   * Leaves: stops being ready, serves on while the balancer still sends, then
-   * takes nothing new and waits for what is in progress.
-   * @return True if all of that ended within the drain limit.
+   * Shuts down gracefully: reports not ready, continues to serve while the
+   * balancer still sends requests, then accepts nothing new and waits for the
+   * requests in progress.
+   * @return True if all of them ended within the drain timeout.
    * @pre The calling coroutine runs on a strand.
    */
   core::Task<bool> Leave();
@@ -77,14 +79,15 @@
  private:
   core::Task<> AnswerHttp(const http::Request& request,
                           http::ResponseWriter& writer);
-  core::Task<> AnswerPlainPath(std::string path, http::ResponseWriter& writer);
+  core::Task<> AnswerMonitoringPath(std::string path,
+                                    http::ResponseWriter& writer);
   core::Task<> AnswerCall(std::shared_ptr<link::Call> call, gen::Message first);
   core::Task<> AnswerRun(std::shared_ptr<link::Call> call, gen::Run run);
-  [[nodiscard]] bool Ready() const;
+  [[nodiscard]] bool IsReady() const;
   [[nodiscard]] std::map<core::ServiceId, ServiceReplicas> CountReplicas()
       const;
-  [[nodiscard]] Levels CurrentLevels() const;
-  [[nodiscard]] bool Idle() const;
+  [[nodiscard]] MetricValues CurrentMetricValues() const;
+  [[nodiscard]] bool IsIdle() const;
 
   const EntryOptions options_;
   const core::Clock& clock_;
@@ -97,18 +100,18 @@
   Directory directory_;
   ConfigWatch config_watch_;
   ConfigStore config_store_;
-  Home home_;
+  Scheduler scheduler_;
   Placer placer_;
   Dispatcher dispatcher_;
   ClaimStore claims_;
-  OnceRunner once_;
+  OnceRunner once_runner_;
   Gateway gateway_;
   Admin admin_;
   http::Server http_;
   std::string link_address_;
   std::atomic<bool> leaving_{false};
-  /** Calls of other entries that this one serves as their home. */
-  std::atomic<int> home_calls_{0};
+  /** Calls from other entries that this one serves as the primary entry. */
+  std::atomic<int> peer_calls_{0};
 };
 
 }  // namespace sapphire::entry
--- a/src/entry/fleet_fake_base.h
+++ b/src/entry/fleet_fake_base.h
@@ -1,4 +1,4 @@
-/** @file fleet_fake_base.h Small fakes of a fleet, for this folder's tests. */
+/** @file fleet_fake_base.h Fakes of the parts of a fleet, for tests. */
 #ifndef SAPPHIRE_ENTRY_FLEET_FAKE_BASE_H_
 #define SAPPHIRE_ENTRY_FLEET_FAKE_BASE_H_
 
@@ -24,14 +24,14 @@
 #include "core/random_func.h"
 #include "core/task_func.h"
 #include "entry/directory_base.h"
-#include "entry/home_base.h"
+#include "entry/scheduler_base.h"
 #include "external/key_value_base.h"
 #include "external/vm_list_base.h"
 #include "link/link_base.h"
 
 namespace sapphire::entry::fake {
 
-/** Threads that run coroutines until the end of a test. */
+/** Thread pool that runs coroutines until the end of a test. */
 class Threads {
  public:
   Threads() : work_(io_.get_executor()) {
@@ -105,11 +105,11 @@
 class FakeStore final : public external::KeyValueStore {
  public:
   core::Task<std::optional<external::KvEntry>> Get(std::string key) override {
-    CheckUp();
+    ThrowIfDown();
     co_return Find(key);
   }
   core::Task<std::vector<external::KvEntry>> List(std::string prefix) override {
-    CheckUp();
+    ThrowIfDown();
     const std::lock_guard lock(mutex_);
     std::vector<external::KvEntry> found;
     for (const auto& [key, entry] : entries_) {
@@ -120,7 +120,7 @@
   core::Task<external::CasResult> CompareAndSwap(
       std::string key, std::int64_t expected, std::string value,
       std::string /*lease_id*/) override {
-    CheckUp();
+    ThrowIfDown();
     const auto current = Find(key);
     if ((current ? current->revision : 0) != expected) {
       co_return external::CasResult{false, 0, current};
@@ -131,7 +131,7 @@
     co_return external::CasResult{true, revision_, std::nullopt};
   }
   core::Task<bool> DeleteIf(std::string key, std::int64_t expected) override {
-    CheckUp();
+    ThrowIfDown();
     const auto current = Find(key);
     if (!current || current->revision != expected) co_return false;
     const std::lock_guard lock(mutex_);
@@ -145,12 +145,12 @@
   core::Task<bool> KeepAlive(std::string /*lease_id*/) override {
     co_return true;
   }
-  /** Answers with a gap after a short while: followers list again. */
+  /** Reports a gap after a short while, so that followers list again. */
   core::Task<external::WatchBatch> Watch(std::string /*prefix*/,
                                          std::int64_t revision,
                                          core::Millis /*wait*/) override {
     co_await core::SleepFor(core::Millis(20));
-    CheckUp();
+    ThrowIfDown();
     co_return external::WatchBatch{revision, {}, true};
   }
 
@@ -168,7 +168,7 @@
   std::atomic<bool> down{false};
 
  private:
-  void CheckUp() const {
+  void ThrowIfDown() const {
     if (down) throw core::Error(core::ErrorCode::kPlatformUnavailable);
   }
   std::mutex mutex_;
@@ -200,15 +200,15 @@
   return options;
 }
 
-/** What a fake endpoint does with load orders. */
+/** How a fake endpoint handles load orders. */
 enum class LoadMode {
   kSucceed,
   kFail,
   kHang,
-  kOutlast,  ///< Refuses for lack of time while the load goes on.
+  kOutlast,  ///< Refuses for lack of time while the load continues.
 };
 
-/** An endpoint that counts its load orders and reports what they loaded. */
+/** An endpoint that counts load orders and reports the loaded models. */
 class FakeEndpoint {
  public:
   FakeEndpoint(Threads& threads, const std::string& name,
@@ -314,7 +314,7 @@
   link::LinkNode node_;
 };
 
-/** One entry: its links, directory and home. */
+/** One entry: its links, directory and scheduler. */
 class FakeEntry {
  public:
   FakeEntry(Threads& threads, const std::string& name, FakeVmList& list,
@@ -329,23 +329,24 @@
         directory_(threads.executor(),
                    {.self = core::VmId(name),
                     .list_interval = core::Millis(20),
-                    .gone_grace = core::Millis(100),
+                    .removal_grace = core::Millis(100),
                     .max_backoff = core::Millis(200)},
                    list, node_, clock, log) {
     address_ = node_.Listen("127.0.0.1:0");
     list.Add(name, external::VmRole::kEntry, address_);
-    HomeOptions options;
+    SchedulerOptions options;
     options.self = core::VmId(name);
     options.zone = core::ZoneId("a");
     options.max_queue = 1200;
     options.ledger_interval = core::Millis(200);
-    options.gone_grace = core::Millis(100);
-    home_ = std::make_unique<Home>(threads.executor(), options, config,
-                                   directory_, node_, store, clock, log);
+    options.removal_grace = core::Millis(100);
+    scheduler_ =
+        std::make_unique<Scheduler>(threads.executor(), options, config,
+                                    directory_, node_, store, clock, log);
     directory_.Start();
   }
 
-  Home& home() { return *home_; }
+  Scheduler& scheduler() { return *scheduler_; }
   Directory& directory() { return directory_; }
   link::LinkNode& node() { return node_; }
   const std::string& address() const { return address_; }
@@ -353,7 +354,7 @@
  private:
   core::Task<> Answer(std::shared_ptr<link::Call> call, gen::Message first) {
     if (first.__isset.place) {
-      co_await home_->Serve(std::move(call), std::move(first.place));
+      co_await scheduler_->Serve(std::move(call), std::move(first.place));
       co_return;
     }
     throw core::Error(core::ErrorCode::kUnknownPath);
@@ -362,19 +363,19 @@
   std::string address_;
   link::LinkNode node_;
   Directory directory_;
-  std::unique_ptr<Home> home_;
+  std::unique_ptr<Scheduler> scheduler_;
 };
 
-/** How a Place ended. */
+/** Result of a Place call. */
 struct Outcome {
   std::unique_ptr<Placement> placement;
   std::optional<core::Error> error;
 };
 
-inline core::Task<Outcome> TryPlace(Home& home, gen::Place request) {
+inline core::Task<Outcome> TryPlace(Scheduler& scheduler, gen::Place request) {
   Outcome outcome;
   try {
-    outcome.placement = co_await home.Place(std::move(request));
+    outcome.placement = co_await scheduler.Place(std::move(request));
   } catch (const core::Error& e) {
     outcome.error = e;
   }
--- a/src/entry/fleet_view_test.cc
+++ b/src/entry/fleet_view_test.cc
@@ -1,4 +1,5 @@
-/** @file fleet_view_test.cc Views, queues and estimates that decisions use. */
+/** @file fleet_view_test.cc Tests the endpoint views and load time estimates
+ * that placement decisions use. */
 #define BOOST_TEST_MODULE entry_fleet_view
 #include <boost/test/unit_test.hpp>
 
@@ -52,10 +53,10 @@
   FleetView fleet{clock};
 };
 
-// Reports lag: between two of them a home places several requests. If it
-// trusted the reports alone, all would go to the one replica that looks idle,
-// and wait there although the other is free.
-BOOST_AUTO_TEST_CASE(OwnPlacementsCountBeforeTheyAreReported) {
+// Several requests are placed between two reports. With reports alone, all
+// would go to the one replica that looks idle and wait there although another
+// is free.
+BOOST_AUTO_TEST_CASE(PlacementsCountBeforeTheyAreReported) {
   View view;
   view.fleet.Update(EndpointOf("a", 0, true));
   view.fleet.Update(EndpointOf("b", 0, true));
@@ -76,8 +77,8 @@
   BOOST_TEST((view.Decide(request).action == policy::PlacementAction::kRun));
 }
 
-// A load was ordered, and a report from before the order arrives. The load
-// must stay visible, or the next request orders it again elsewhere.
+// A report from before a load order arrives after it. The load must stay
+// visible, or the next request orders it again at another endpoint.
 BOOST_AUTO_TEST_CASE(OrderedLoadSurvivesAnOlderReport) {
   View view;
   view.fleet.Update(EndpointOf("a", 0, false));
@@ -96,8 +97,8 @@
   BOOST_TEST((view.Decide(request).action == policy::PlacementAction::kRun));
 }
 
-// An endpoint's link is lost. Requests must go elsewhere from that moment,
-// not when the platform's list has caught up.
+// An endpoint's link is lost. Requests must go to other endpoints immediately,
+// without waiting for the platform's list.
 BOOST_AUTO_TEST_CASE(LostEndpointIsNotPlacedAt) {
   View view;
   view.fleet.Update(EndpointOf("a", 0, true));
@@ -111,9 +112,9 @@
   BOOST_TEST(!view.fleet.AddressOf(core::EndpointId("a")).has_value());
 }
 
-// The loss of a link and a report from before it are told on two threads, in
-// the wrong order. The report must not bring the dead endpoint back.
-BOOST_AUTO_TEST_CASE(OlderReportDoesNotUndoALoss) {
+// The loss of a link and an older report arrive on two threads in the wrong
+// order. The older report must not revive the endpoint.
+BOOST_AUTO_TEST_CASE(OlderReportDoesNotReviveALostEndpoint) {
   View view;
   KnownEndpoint report = EndpointOf("a", 0, true);
   report.revision = 1;
@@ -125,9 +126,9 @@
   BOOST_TEST(!view.fleet.AddressOf(core::EndpointId("a")).has_value());
 }
 
-// A service's replicas are counted over all endpoints through updates, losses
-// and returns: a count that drifts would refuse or allow loads for ever.
-BOOST_AUTO_TEST_CASE(ServiceCountDoesNotDrift) {
+// The replica count of a service must stay exact over updates, losses and
+// reconnections; a count that drifts would refuse or allow loads for ever.
+BOOST_AUTO_TEST_CASE(ServiceReplicaCountStaysExact) {
   View view;
   for (int round = 0; round < 3; ++round) {
     for (const char* name : {"a", "b", "c"}) {
@@ -142,8 +143,7 @@
   BOOST_TEST((decision.action == policy::PlacementAction::kLoad));
 }
 
-// A plain service's endpoint is picked in this zone and by load; one that
-// leaves is not.
+// Picks by zone first and by load second, and skips leaving endpoints.
 BOOST_AUTO_TEST_CASE(PlainServiceGoesToTheLeastLoadedInThisZone) {
   View view;
   for (const char* name : {"far", "near-1", "near-2", "leaving"}) {
@@ -169,13 +169,13 @@
   BOOST_TEST(far->value() == "far");
 }
 
-// One load was very slow. If its time were believed for ever, every request
-// would be refused as too late, and no load would run to correct it.
-BOOST_AUTO_TEST_CASE(MeasuredLoadTimeFadesToTheGuess) {
-  LoadEstimates loads = GuessLoads(0);
+// One load was very slow. If its time stayed the estimate for ever, all
+// requests would be refused as too late, and no load would run to correct it.
+BOOST_AUTO_TEST_CASE(MeasuredLoadTimeDecaysToTheGuess) {
+  LoadEstimates loads = InitialLoadEstimates(0);
   const core::SteadyTime start;
   const core::Millis guess = LoadTimesAt(loads, start).remote;
-  LearnLoad(loads, policy::Tier::kRemote, std::chrono::seconds(60), start);
+  RecordLoadTime(loads, policy::Tier::kRemote, std::chrono::seconds(60), start);
   BOOST_TEST(LoadTimesAt(loads, start).remote.count() == 60000);
   const auto later = LoadTimesAt(loads, start + std::chrono::minutes(20));
   BOOST_TEST((later.remote - guess).count() < 10);
--- a/src/entry/gateway_base.h
+++ b/src/entry/gateway_base.h
@@ -1,4 +1,5 @@
-/** @file gateway_base.h Callers' HTTP interface. */
+/** @file gateway_base.h Callers' HTTP interface, `/v1/...` and `/services/...`.
+ */
 #ifndef SAPPHIRE_ENTRY_GATEWAY_BASE_H_
 #define SAPPHIRE_ENTRY_GATEWAY_BASE_H_
 
@@ -18,45 +19,45 @@
 
 namespace sapphire::entry {
 
-/** What a gateway works with. All outlive it. */
-struct GatewayParts {
+/** Dependencies of a gateway; all outlive it. */
+struct GatewayDependencies {
   contract::ConfigHolder& config;
   Directory& directory;
   Placer& placer;
   Dispatcher& dispatcher;
-  OnceRunner& once;
+  OnceRunner& once_runner;
   link::LinkNode& links;
   Metrics& metrics;
   const core::Clock& clock;
   const core::Logger& log;
 };
 
-/** Answers /v1/... and /services/...: reads, runs, answers or refuses. */
+/** Parses, runs and answers requests to /v1/... and /services/... */
 class Gateway {
  public:
-  Gateway(core::VmId self, CallerLimits limits, GatewayParts parts);
+  Gateway(core::VmId self, CallerLimits limits, GatewayDependencies parts);
 
   /**
    * Answers one request.
    * @throws core::Error a refusal, before anything was sent; or the reason why
-   *   an answer that was begun is cut.
+   *   an answer that has begun ends early.
    */
   core::Task<> Handle(const http::Request& request,
                       http::ResponseWriter& writer);
 
  private:
-  core::Task<> RunCaller(CallerRequest request, http::ResponseWriter& writer);
-  core::Task<> RunAtHome(gen::Run run, core::SteadyTime deadline,
-                         AnswerSink& sink);
-  core::Task<AttemptResult> RunAtHomeEntry(KnownEntry home, gen::Run run,
-                                           core::SteadyTime deadline,
-                                           AnswerSink& sink);
-  void Note(const CallerRequest& request, core::SteadyTime arrived,
-            const core::Error* error);
+  core::Task<> RunRequest(CallerRequest request, http::ResponseWriter& writer);
+  core::Task<> RunAtPrimaryEntry(gen::Run run, core::SteadyTime deadline,
+                                 AnswerSink& sink);
+  core::Task<AttemptResult> RunAtEntry(KnownEntry entry, gen::Run run,
+                                       core::SteadyTime deadline,
+                                       AnswerSink& sink);
+  void RecordRequestEnd(const CallerRequest& request, core::SteadyTime arrived,
+                        const core::Error* error);
 
   const core::VmId self_;
   const CallerLimits limits_;
-  const GatewayParts parts_;
+  const GatewayDependencies deps_;
 };
 
 }  // namespace sapphire::entry
--- a/src/entry/ledger_cleanup.cc
+++ b/src/entry/ledger_cleanup.cc
@@ -1,4 +1,4 @@
-/** @file ledger_cleanup.cc Ends the grants of VMs that are gone. */
+/** @file ledger_cleanup.cc Removes the grants of removed VMs. */
 #include <algorithm>
 #include <boost/json.hpp>
 
@@ -13,8 +13,8 @@
 
 namespace {
 
-constexpr int kSwapTries = 8;
-constexpr core::Millis kStep{200};
+constexpr int kMaxSwapAttempts = 8;
+constexpr core::Millis kPollInterval{200};
 
 core::VmId HolderOf(const json::value& grant) {
   return core::VmId(json::value_to<std::string>(grant.at("vm")));
@@ -59,25 +59,25 @@
       log_(log) {}
 
 void LedgerCleanup::Start() {
-  directory_.OnGone([weak = weak_from_this()](const core::VmId& vm) {
+  directory_.OnVmRemoved([weak = weak_from_this()](const core::VmId& vm) {
     const auto self = weak.lock();
     if (!self) return;
     const std::lock_guard lock(self->mutex_);
-    self->gone_.insert(vm);
+    self->removed_.insert(vm);
   });
   core::Spawn(executor_, log_, "ledger_cleanup",
-              [self = shared_from_this()] { return self->Follow(); });
+              [self = shared_from_this()] { return self->RunLoop(); });
 }
 
-core::Task<> LedgerCleanup::Follow() {
+core::Task<> LedgerCleanup::RunLoop() {
   core::SteadyTime next = clock_.Now() + options_.interval;
   std::size_t handled = 0;
   while (!stopped_) {
-    co_await core::SleepFor(kStep);
+    co_await core::SleepFor(kPollInterval);
     std::size_t known = 0;
     {
       const std::lock_guard lock(mutex_);
-      known = gone_.size();
+      known = removed_.size();
     }
     if (known == handled && clock_.Now() < next) continue;
     co_await Sweep();
@@ -86,7 +86,7 @@
   }
 }
 
-std::vector<core::ServiceId> LedgerCleanup::OwnServices() const {
+std::vector<core::ServiceId> LedgerCleanup::PrimaryServices() const {
   std::vector<core::ServiceId> own;
   const auto current = config_.Current();
   if (!current) return own;
@@ -102,24 +102,24 @@
   return own;
 }
 
-bool LedgerCleanup::IsGone(const core::VmId& vm) {
-  if (!directory_.list_seen() || directory_.Lists(vm)) {
+bool LedgerCleanup::IsRemoved(const core::VmId& vm) {
+  if (!directory_.has_list() || directory_.IsListed(vm)) {
     const std::lock_guard lock(mutex_);
     missing_since_.erase(vm);
-    gone_.erase(vm);
+    removed_.erase(vm);
     return false;
   }
   const std::lock_guard lock(mutex_);
-  if (gone_.contains(vm)) return true;
-  // A holder that this entry never saw listed: the VM went while this entry
-  // was not there. A grant is only taken by a VM that the list showed, so it
-  // is gone once the list has had time to catch up.
+  if (removed_.contains(vm)) return true;
+  // This entry never saw the holder listed: the VM was removed while this entry
+  // did not run. Only a listed VM takes a grant, so the VM counts as removed
+  // once the list has had time to catch up.
   const auto it = missing_since_.try_emplace(vm, clock_.Now()).first;
-  return clock_.Now() - it->second >= options_.gone_grace;
+  return clock_.Now() - it->second >= options_.removal_grace;
 }
 
 core::Task<> LedgerCleanup::Sweep() {
-  for (const core::ServiceId& service : OwnServices()) {
+  for (const core::ServiceId& service : PrimaryServices()) {
     bool failed = false;
     try {
       co_await SweepService(service);
@@ -129,7 +129,8 @@
                  "ledger_cleanup_failed",
                  {{"service", service}, {"error", e.what()}});
     }
-    // The next sweep tries again; a service that is down isn't asked for all.
+    // The next sweep retries. The sweep ends here, so that a key-value service
+    // that is down is not called for every ledger.
     if (failed) co_return;
   }
 }
@@ -139,13 +140,13 @@
   const auto ledger = co_await store_.Get(key);
   if (!ledger) co_return;
   for (const core::VmId& vm : GrantHolders(ledger->value)) {
-    if (!IsGone(vm)) continue;
-    co_await EndGrants(key, vm);
+    if (!IsRemoved(vm)) continue;
+    co_await RemoveGrants(key, vm);
   }
 }
 
-core::Task<> LedgerCleanup::EndGrants(std::string key, core::VmId vm) {
-  for (int i = 0; i < kSwapTries; ++i) {
+core::Task<> LedgerCleanup::RemoveGrants(std::string key, core::VmId vm) {
+  for (int i = 0; i < kMaxSwapAttempts; ++i) {
     const auto ledger = co_await store_.Get(key);
     if (!ledger) co_return;
     const auto without = WithoutGrantsOf(ledger->value, vm);
--- a/src/entry/metrics_base.h
+++ b/src/entry/metrics_base.h
@@ -1,4 +1,4 @@
-/** @file metrics_base.h What an entry counts. */
+/** @file metrics_base.h Metrics of an entry. */
 #ifndef SAPPHIRE_ENTRY_METRICS_BASE_H_
 #define SAPPHIRE_ENTRY_METRICS_BASE_H_
 
@@ -9,20 +9,21 @@
 #include <string>
 #include <string_view>
 
-#include "entry/home_base.h"
+#include "entry/scheduler_base.h"
 #include "link/link_type.h"
 
 namespace sapphire::entry {
 
-/** Replicas of one service, as endpoints last reported them. */
+/** Replica counts of one service. */
 struct ServiceReplicas {
+  /** Sum over the endpoints' last reports. */
   int reported = 0;
-  /** As operators decided. */
+  /** The limit in the configuration. */
   int limit = 0;
 };
 
-/** Levels read when the metrics are asked for. */
-struct Levels {
+/** Values sampled when the metrics are collected. */
+struct MetricValues {
   std::int64_t config_version = 0;
   int requests_in_progress = 0;
   int once_runs_in_progress = 0;
@@ -30,11 +31,11 @@
   int entries_live = 0;
   bool leaving = false;
   std::map<core::ServiceId, ServiceReplicas> services;
-  Home::Stats home;
+  Scheduler::Stats scheduler;
   link::LinkCounters links;
 };
 
-/** Counters, histograms and their text form. Safe on several threads. */
+/** Counters and histograms with their text format. Thread-safe. */
 class Metrics {
  public:
   Metrics();
@@ -43,15 +44,15 @@
   Metrics& operator=(const Metrics&) = delete;
 
   /** @param result "ok" or the error's name. */
-  void RequestEnded(std::string_view result, std::chrono::milliseconds took);
+  void RecordRequest(std::string_view result, std::chrono::milliseconds took);
   /** A request that waited for a load. @param tier "memory", "disk" or
    * "remote". */
-  void ColdStart(std::string_view tier, std::chrono::milliseconds waited);
-  /** @param kind Of the call. @param outcome "ok" or the error's name. */
-  void KeyValueCall(std::string_view kind, std::string_view outcome);
+  void RecordColdStart(std::string_view tier, std::chrono::milliseconds waited);
+  /** @param kind The operation. @param outcome "ok" or the error's name. */
+  void RecordKeyValueCall(std::string_view kind, std::string_view outcome);
 
-  /** @return Everything, in the Prometheus text format. */
-  std::string Text(const Levels& levels);
+  /** @return All metrics in the Prometheus text format. */
+  std::string Text(const MetricValues& levels);
 
  private:
   struct State;
--- a/src/entry/once_runner.cc
+++ b/src/entry/once_runner.cc
@@ -19,13 +19,13 @@
 
 namespace {
 
-constexpr int kMaxPlaces = 4;
+constexpr int kMaxPlacements = 4;
 
 Error OutcomeUnknown(const std::string& why) {
   return Error(ErrorCode::kOutcomeUnknown, why);
 }
 
-/** Replays an answer that an earlier run left in the key-value service. */
+/** Replays an answer that an earlier run stored in the key-value service. */
 Task<> Replay(const StoredAnswer& answer, AnswerSink& sink) {
   co_await sink.Head(answer.head);
   if (!answer.body.empty()) {
@@ -34,7 +34,7 @@
   co_await sink.End();
 }
 
-void CheckSameWork(std::int64_t stored, const gen::Run& run) {
+void CheckSameRequest(std::int64_t stored, const gen::Run& run) {
   if (stored == run.fingerprint) return;
   throw Error(ErrorCode::kBadHeader,
               "Idempotency-Key: was used with another request");
@@ -73,7 +73,7 @@
                        AnswerSink& sink) {
   const std::string key = ClaimKey(run);
   const auto recording = JoinOrStart(key, run, deadline);
-  CheckSameWork(recording->fingerprint(), run);
+  CheckSameRequest(recording->fingerprint(), run);
   co_await recording->Follow(sink, deadline, clock_);
 }
 
@@ -112,13 +112,14 @@
                                     std::shared_ptr<Recording> recording) {
   Claim claim;
   claim.attempt = core::AttemptId(core::RandomHexId());
-  claim.home = options_.self;
+  claim.entry = options_.self;
   claim.fingerprint = run.fingerprint;
   claim.created = clock_.WallNow();
   const AcquireResult acquired = co_await claims_.Acquire(key, claim, deadline);
   if (!acquired.acquired) {
-    CheckSameWork(acquired.claim.fingerprint, run);
-    co_await FollowOther(acquired.claim, std::move(run), deadline, recording);
+    CheckSameRequest(acquired.claim.fingerprint, run);
+    co_await FollowExisting(acquired.claim, std::move(run), deadline,
+                            recording);
     co_return;
   }
   AttemptResult result =
@@ -133,29 +134,29 @@
     claim.state = ClaimState::kVoid;
     co_await claims_.Settle(std::move(key), std::move(claim));
   }
-  // Any other end leaves the claim as it is: a resend is told "unknown", and
-  // nobody ever runs it again.
+  // Any other outcome leaves the claim unchanged: a resend gets "unknown", and
+  // the request is never run again.
   throw Error(*result.error);
 }
 
-/** The claim is another's: its answer is replayed, or its run followed at its
- * home. It is never run here. */
-Task<> OnceRunner::FollowOther(Claim standing, gen::Run run,
-                               core::SteadyTime deadline,
-                               std::shared_ptr<Recording> recording) {
-  if (standing.answer) {
-    co_await Replay(*standing.answer, *recording);
+/** Handles a claim held by another attempt: replays its stored answer or
+ * follows its run at the entry that runs it. Never runs the request itself. */
+Task<> OnceRunner::FollowExisting(Claim existing, gen::Run run,
+                                  core::SteadyTime deadline,
+                                  std::shared_ptr<Recording> recording) {
+  if (existing.answer) {
+    co_await Replay(*existing.answer, *recording);
     co_return;
   }
-  if (standing.state == ClaimState::kDone) {
+  if (existing.state == ClaimState::kDone) {
     throw Error(ErrorCode::kAlreadyRan, "its answer is not kept");
   }
-  // Claimed by this VM, but not by a run in memory: a predecessor's.
-  if (standing.home == options_.self) {
+  // Claimed by this VM, but by no run in memory: a previous process made it.
+  if (existing.entry == options_.self) {
     throw OutcomeUnknown("the entry that ran it has restarted");
   }
-  for (const KnownEntry& entry : placer_.Homes("")) {
-    if (entry.vm != standing.home) continue;
+  for (const KnownEntry& entry : placer_.RankedEntries("")) {
+    if (entry.vm != existing.entry) continue;
     const AttemptResult result = co_await RunAttempt(
         links_, entry.address, run, deadline, *recording, clock_);
     if (result.end == AttemptEnd::kCompleted) co_return;
@@ -169,12 +170,12 @@
     std::shared_ptr<Recording> recording) {
   std::set<core::EndpointId> avoid;
   AttemptResult result;
-  // The run is not its first caller's alone: a resend may wait for it.
-  const auto nobody_leaves = [] { return false; };
-  for (int i = 0; i < kMaxPlaces; ++i) {
+  // The run outlives its first caller, since a resend may be waiting for it.
+  const auto never_abandoned = [] { return false; };
+  for (int i = 0; i < kMaxPlacements; ++i) {
     std::unique_ptr<Placement> place;
     try {
-      place = co_await placer_.Place(run, avoid, deadline, nobody_leaves);
+      place = co_await placer_.Place(run, avoid, deadline, never_abandoned);
     } catch (const Error& e) {
       co_return AttemptResult{AttemptEnd::kNotStarted, e, 0};
     }
@@ -200,8 +201,7 @@
                                              deadline, *recording, clock_);
   const bool ask = result.end == AttemptEnd::kUnknown && !recording->started();
   if (ask) {
-    const auto limit =
-        std::min(deadline, clock_.Now() + options_.void_patience);
+    const auto limit = std::min(deadline, clock_.Now() + options_.void_timeout);
     const bool never_ran =
         co_await VoidAttempt(links_, placed.address, run.attempt_id,
                              result.incarnation, limit, clock_);
@@ -211,13 +211,13 @@
                            "the link was lost before it started");
     }
   }
-  place->Done(ResultOf(result));
+  place->Finish(ResultOf(result));
   co_return result;
 }
 
 Task<> OnceRunner::ForgetLater(std::string key,
                                std::shared_ptr<Recording> recording) {
-  co_await core::SleepFor(options_.keep_ended);
+  co_await core::SleepFor(options_.finished_retention);
   Shard& shard = ShardOf(key);
   const std::lock_guard lock(shard.mutex);
   const auto it = shard.runs.find(key);
--- a/src/entry/placer.cc
+++ b/src/entry/placer.cc
@@ -1,4 +1,4 @@
-/** @file placer.cc Finds a place for a request, here or at its home. */
+/** @file placer.cc Gets an endpoint for a request from its primary entry. */
 #include <algorithm>
 #include <utility>
 
@@ -18,10 +18,10 @@
 namespace {
 
 constexpr milliseconds kRetryAfter{1000};
-/** How soon a caller who left is noticed. */
+/** Interval between checks whether the caller has disconnected. */
 constexpr milliseconds kAbandonedPoll{250};
 
-/** A place that another entry holds for us while the call stays open. */
+/** A slot that another entry holds for this one while the call is open. */
 class RemotePlacement final : public Placement {
  public:
   RemotePlacement(const core::Executor& executor, const core::Logger& log,
@@ -33,7 +33,7 @@
 
   [[nodiscard]] const gen::Placed& placed() const override { return placed_; }
 
-  void Done(gen::RunResult::type result) override {
+  void Finish(gen::RunResult::type result) override {
     if (!call_) return;
     gen::PlaceDone done;
     done.result = result;
@@ -52,8 +52,9 @@
   const gen::Placed placed_;
 };
 
-/** @return True if another home may answer where this one did not. */
-bool HomeIsAtFault(const Error& error) {
+/** @return True if the failure is the entry's own, so that the next entry in
+ * the ranking may answer. */
+bool MayTryNextEntry(const Error& error) {
   const bool ended_there = error.code() == ErrorCode::kCancelled &&
                            error.outcome() == core::Outcome::kUnknown;
   return error.code() == ErrorCode::kLinkLost || ended_there;
@@ -62,17 +63,18 @@
 }  // namespace
 
 Placer::Placer(const core::Executor& executor, core::VmId self,
-               Directory& directory, Home& home, link::LinkNode& links,
-               const core::Clock& clock, const core::Logger& log)
+               Directory& directory, Scheduler& scheduler,
+               link::LinkNode& links, const core::Clock& clock,
+               const core::Logger& log)
     : executor_(executor),
       self_(std::move(self)),
       directory_(directory),
-      home_(home),
+      scheduler_(scheduler),
       links_(links),
       clock_(clock),
       log_(log) {}
 
-std::vector<KnownEntry> Placer::Homes(std::string_view key) const {
+std::vector<KnownEntry> Placer::RankedEntries(std::string_view key) const {
   const std::vector<KnownEntry> entries = directory_.Entries();
   std::vector<core::VmId> names;
   names.reserve(entries.size());
@@ -92,23 +94,23 @@
                                                core::SteadyTime deadline,
                                                Abandoned abandoned) {
   if (run.model.empty()) {
-    co_return co_await home_.PlaceService(
+    co_return co_await scheduler_.PlaceService(
         core::ServiceId(run.service_id), core::OwnerId(run.owner),
         Remaining(clock_, deadline), std::move(avoid));
   }
   gen::Place request = ToPlace(run);
   for (const core::EndpointId& id : avoid) request.avoid.push_back(id.value());
-  for (const KnownEntry& home : Homes(run.model)) {
+  for (const KnownEntry& entry : RankedEntries(run.model)) {
     if (Remaining(clock_, deadline) <= milliseconds::zero()) break;
     try {
-      co_return co_await PlaceAt(home, request, deadline, abandoned);
+      co_return co_await PlaceAt(entry, request, deadline, abandoned);
     } catch (const Error& e) {
-      if (home.vm == self_ || !HomeIsAtFault(e)) throw;
-      directory_.NoteUnreachable(home.vm);
+      if (entry.vm == self_ || !MayTryNextEntry(e)) throw;
+      directory_.MarkUnreachable(entry.vm);
       log_.Event(core::LogLevel::kWarning, core::LogCategory::kRequest,
                  "home_unreachable",
                  {{"request", run.request_id},
-                  {"home", home.vm},
+                  {"home", entry.vm},
                   {"error", e.what()}});
     }
   }
@@ -116,17 +118,18 @@
               kRetryAfter);
 }
 
-Task<std::unique_ptr<Placement>> Placer::PlaceAt(KnownEntry home,
+Task<std::unique_ptr<Placement>> Placer::PlaceAt(KnownEntry entry,
                                                  gen::Place request,
                                                  core::SteadyTime deadline,
                                                  Abandoned abandoned) {
   request.remaining_ms = Remaining(clock_, deadline).count();
-  if (home.vm == self_) {
-    co_return co_await home_.Place(std::move(request), std::move(abandoned));
+  if (entry.vm == self_) {
+    co_return co_await scheduler_.Place(std::move(request),
+                                        std::move(abandoned));
   }
   gen::Message first;
   first.__set_place(request);
-  const auto call = co_await links_.Open(home.address, std::move(first));
+  const auto call = co_await links_.Open(entry.address, std::move(first));
   gen::Message answer =
       co_await AwaitPlaced(call, deadline, std::move(abandoned));
   if (!answer.__isset.placed) {
@@ -136,15 +139,16 @@
                                               std::move(answer.placed));
 }
 
-/** Waits in steps, so that a caller who leaves gives up its place in the
- * queue: dropping the call tells the home. */
+/** Polls while it waits, so that a disconnected caller leaves the queue:
+ * dropping the call withdraws the request at the primary entry. */
 Task<gen::Message> Placer::AwaitPlaced(std::shared_ptr<link::Call> call,
                                        core::SteadyTime deadline,
                                        Abandoned abandoned) {
   while (true) {
     const milliseconds left = Remaining(clock_, deadline);
     if (left <= milliseconds::zero()) {
-      // The home has not placed it, and dropping the call makes sure of that.
+      // The primary entry has not placed the request; dropping the call
+      // withdraws it.
       throw Error(ErrorCode::kDeadlineTooShort,
                   "its time passed while it waited", kRetryAfter);
     }
--- a/src/entry/placer_base.h
+++ b/src/entry/placer_base.h
@@ -1,4 +1,5 @@
-/** @file placer_base.h Finds a place for a request, here or at its home. */
+/** @file placer_base.h Gets an endpoint for a request from its primary entry.
+ */
 #ifndef SAPPHIRE_ENTRY_PLACER_BASE_H_
 #define SAPPHIRE_ENTRY_PLACER_BASE_H_
 
@@ -13,16 +14,16 @@
 #include "core/log_base.h"
 #include "core/task_type.h"
 #include "entry/directory_base.h"
-#include "entry/home_base.h"
+#include "entry/scheduler_base.h"
 #include "gen/link_types.h"
 #include "link/link_base.h"
 
 namespace sapphire::entry {
 
 /**
- * Asks a model's home for a place. A home that can't be reached is passed
- * over: the next in the ranking takes its models. Asking twice is harmless,
- * as a place that nobody uses is freed when its call ends.
+ * Requests a slot from a model's primary entry. If that entry is unreachable,
+ * the next one in the ranking takes over its models. Requesting twice is
+ * harmless, as an unused slot is freed when its call ends.
  */
 class Placer {
  public:
@@ -30,16 +31,17 @@
 
   /** @pre All references outlive the placer and its placements. */
   Placer(const core::Executor& executor, core::VmId self, Directory& directory,
-         Home& home, link::LinkNode& links, const core::Clock& clock,
+         Scheduler& scheduler, link::LinkNode& links, const core::Clock& clock,
          const core::Logger& log);
 
-  /** @return The live entries, best home for `key` first. */
-  [[nodiscard]] std::vector<KnownEntry> Homes(std::string_view key) const;
+  /** @return The live entries ranked for `key`, its primary entry first. */
+  [[nodiscard]] std::vector<KnownEntry> RankedEntries(
+      std::string_view key) const;
 
   /**
-   * @param run The request; a plain service's is placed here.
-   * @param avoid Endpoints it must not go to.
-   * @param abandoned Says whether its caller has gone; any thread.
+   * @param run The request; one for a plain service is placed by this entry.
+   * @param avoid Endpoints to exclude.
+   * @param abandoned Returns true once the caller has disconnected; any thread.
    * @throws core::Error a refusal: nothing ran.
    * @pre The coroutine runs on a strand.
    */
@@ -49,7 +51,7 @@
                                                Abandoned abandoned);
 
  private:
-  core::Task<std::unique_ptr<Placement>> PlaceAt(KnownEntry home,
+  core::Task<std::unique_ptr<Placement>> PlaceAt(KnownEntry entry,
                                                  gen::Place request,
                                                  core::SteadyTime deadline,
                                                  Abandoned abandoned);
@@ -60,7 +62,7 @@
   const core::Executor executor_;
   const core::VmId self_;
   Directory& directory_;
-  Home& home_;
+  Scheduler& scheduler_;
   link::LinkNode& links_;
   const core::Clock& clock_;
   const core::Logger& log_;
--- a/src/entry/home_test.cc
+++ b/src/entry/scheduler_test.cc
@@ -1,5 +1,6 @@
-/** @file home_test.cc The home under bursts, lost endpoints and crashes. */
-#define BOOST_TEST_MODULE entry_home
+/** @file scheduler_test.cc Tests the scheduler under bursts, lost endpoints and
+ * crashes. */
+#define BOOST_TEST_MODULE entry_scheduler
 #include <boost/test/unit_test.hpp>
 
 #include "crash/quarantine_base.h"
@@ -10,7 +11,7 @@
 constexpr core::Millis kLong{20000};
 constexpr char kModel[] = "cabin-8b";
 
-/** Two endpoints, one entry, one sleeping model. */
+/** Two endpoints, one entry and one model that is not loaded. */
 struct Fleet {
   Fleet() : Fleet(1, 4) {}
   Fleet(int max_replicas, int max_concurrent) {
@@ -28,10 +29,10 @@
 
   Outcome Place(gen::Place request) { return Place(*entry, request); }
   Outcome Place(FakeEntry& at, const gen::Place& request) {
-    return threads.Start(TryPlace(at.home(), request)).get();
+    return threads.Start(TryPlace(at.scheduler(), request)).get();
   }
   int Loads() const { return left.loads + right.loads; }
-  FakeEndpoint& Named(const std::string& name) {
+  FakeEndpoint& EndpointNamed(const std::string& name) {
     return name == "left" ? left : right;
   }
 
@@ -48,24 +49,24 @@
   std::unique_ptr<FakeEntry> entry;
 };
 
-/** Places, holds the slot for a moment, and is done. */
-core::Task<bool> RunOnce(Home& home, std::atomic<int>& running,
+/** Places a request, holds its slot briefly and releases it. */
+core::Task<bool> RunOnce(Scheduler& scheduler, std::atomic<int>& running,
                          std::atomic<int>& peak) {
-  Outcome outcome = co_await TryPlace(home, PlaceOf(kModel, kLong));
+  Outcome outcome = co_await TryPlace(scheduler, PlaceOf(kModel, kLong));
   if (!outcome.placement) co_return false;
   const int now = ++running;
   int seen = peak;
   while (now > seen && !peak.compare_exchange_weak(seen, now)) continue;
   co_await core::SleepFor(core::Millis(1));
   --running;
-  outcome.placement->Done(gen::RunResult::COMPLETED);
+  outcome.placement->Finish(gen::RunResult::COMPLETED);
   co_return true;
 }
 
-// A ship docks: hundreds of guests ask one sleeping model at the same moment.
-// Each alone would order a load. The home must order one, queue the rest, and
-// give every guest a slot without ever giving out more than the replica has.
-BOOST_AUTO_TEST_CASE(BurstForSleepingModelLoadsItOnce) {
+// Hundreds of requests for an unloaded model arrive at once. The scheduler must
+// order a single load, queue the rest, and serve all of them without exceeding
+// the replica's concurrency limit.
+BOOST_AUTO_TEST_CASE(BurstForUnloadedModelLoadsItOnce) {
   Fleet fleet;
   std::atomic<int> running{0};
   std::atomic<int> peak{0};
@@ -73,27 +74,27 @@
   all.reserve(500);
   for (int i = 0; i < 500; ++i) {
     all.push_back(
-        fleet.threads.Start(RunOnce(fleet.entry->home(), running, peak)));
+        fleet.threads.Start(RunOnce(fleet.entry->scheduler(), running, peak)));
   }
   int served = 0;
   for (auto& one : all) served += one.get() ? 1 : 0;
   BOOST_TEST(served == 500);
   BOOST_TEST(fleet.Loads() == 1);
   BOOST_TEST(peak <= 4);
-  const Home::Stats stats = fleet.entry->home().stats();
+  const Scheduler::Stats stats = fleet.entry->scheduler().stats();
   BOOST_TEST(stats.placed == 500);
   BOOST_TEST(stats.loads_ordered == 1);
   BOOST_TEST(stats.queued == 0);
 }
 
-// A guest's model is loading when the endpoint's VM is reclaimed: its link
-// breaks before the load is answered. The guest must be served elsewhere.
-BOOST_AUTO_TEST_CASE(EndpointLostWhileLoadingIsReplaced) {
+// The endpoint's VM is reclaimed during a load: its link breaks before the load
+// is answered. The request must be served by another endpoint.
+BOOST_AUTO_TEST_CASE(RequestIsPlacedElsewhereWhenItsLoadingEndpointIsLost) {
   Fleet fleet;
   fleet.left.mode = LoadMode::kHang;
   fleet.right.mode = LoadMode::kHang;
   auto placing = fleet.threads.Start(
-      TryPlace(fleet.entry->home(), PlaceOf(kModel, kLong)));
+      TryPlace(fleet.entry->scheduler(), PlaceOf(kModel, kLong)));
   BOOST_REQUIRE(Eventually([&] { return fleet.Loads() == 1; }));
   FakeEndpoint& lost = fleet.left.loads == 1 ? fleet.left : fleet.right;
   FakeEndpoint& other = &lost == &fleet.left ? fleet.right : fleet.left;
@@ -104,14 +105,14 @@
   BOOST_TEST(outcome.placement->placed().address == other.address());
 }
 
-// A checkpoint is broken at one endpoint: its engine answers the load with an
-// error. The home tries the other endpoint instead of telling the guest.
-BOOST_AUTO_TEST_CASE(FailedLoadIsTriedElsewhere) {
+// The load fails at one endpoint because of a broken checkpoint. The scheduler
+// must try the other endpoint before it refuses the request.
+BOOST_AUTO_TEST_CASE(FailedLoadIsRetriedAtAnotherEndpoint) {
   Fleet fleet;
   fleet.left.mode = LoadMode::kFail;
   fleet.right.mode = LoadMode::kFail;
   auto placing = fleet.threads.Start(
-      TryPlace(fleet.entry->home(), PlaceOf(kModel, kLong)));
+      TryPlace(fleet.entry->scheduler(), PlaceOf(kModel, kLong)));
   BOOST_REQUIRE(Eventually([&] { return fleet.Loads() == 1; }));
   FakeEndpoint& other = fleet.left.loads == 1 ? fleet.right : fleet.left;
   other.mode = LoadMode::kSucceed;
@@ -121,9 +122,9 @@
   BOOST_TEST(fleet.Loads() == 2);
 }
 
-// The checkpoint is broken everywhere. With every endpoint tried, waiting on
-// can't help: the guest is told at once, and when to come back.
-BOOST_AUTO_TEST_CASE(LoadThatFailsEverywhereIsRefused) {
+// The checkpoint is broken at every endpoint. Once all were tried, the request
+// must be refused immediately, with a retry hint.
+BOOST_AUTO_TEST_CASE(LoadFailureAtAllEndpointsRefusesTheRequest) {
   Fleet fleet;
   fleet.left.mode = LoadMode::kFail;
   fleet.right.mode = LoadMode::kFail;
@@ -135,9 +136,9 @@
   BOOST_TEST(fleet.Loads() == 2);
 }
 
-// An entry has just been replaced and is asked before the endpoints have told
-// it anything. Refusing for lack of endpoints would be wrong, and loading what
-// is already loaded somewhere too: it waits for the first reports.
+// A new entry gets a request before the endpoints' first reports. It must wait
+// for them: it must neither refuse for lack of endpoints nor load a model that
+// is already loaded.
 BOOST_AUTO_TEST_CASE(NewEntryWaitsForTheFirstReports) {
   Fleet fleet;
   fleet.right.SetReady(kModel);
@@ -150,10 +151,10 @@
   fleet.threads.Stop();
 }
 
-// A booth asks with less time left than any load takes. It is refused now,
-// with a time to come back. One load is started all the same, however many ask
-// like this, or the model would never be there: the retry is served.
-BOOST_AUTO_TEST_CASE(TooShortDeadlineIsRefusedAtOnce) {
+// Requests arrive with less time left than any load takes. They must be refused
+// immediately with a retry hint. Exactly one load is started all the same, or
+// the model would never be loaded for the retry.
+BOOST_AUTO_TEST_CASE(TooShortDeadlineIsRefusedAndStartsOneLoad) {
   Fleet fleet;
   for (int i = 0; i < 3; ++i) {
     const Outcome outcome = fleet.Place(PlaceOf(kModel, core::Millis(20)));
@@ -166,15 +167,15 @@
   BOOST_TEST(fleet.Loads() == 1);
 }
 
-// The store is slow: a load outlasts the time its first guest had, and the
-// endpoint says so while it goes on loading. The next guest must be allowed to
-// wait for it, neither refused nor given a second load.
-BOOST_AUTO_TEST_CASE(LoadThatOutlastsItsRequestServesTheNext) {
+// The weight store is slow: a load outlasts the deadline of its first request,
+// and the endpoint reports so while it continues to load. The next request must
+// wait for this load: no refusal and no second load.
+BOOST_AUTO_TEST_CASE(LoadThatOutlastsItsRequestServesTheNextRequest) {
   Fleet fleet;
   fleet.left.mode = LoadMode::kOutlast;
   fleet.right.mode = LoadMode::kOutlast;
   auto first = fleet.threads.Start(
-      TryPlace(fleet.entry->home(), PlaceOf(kModel, core::Millis(1500))));
+      TryPlace(fleet.entry->scheduler(), PlaceOf(kModel, core::Millis(1500))));
   BOOST_REQUIRE(Eventually([&] {
     const auto all = fleet.entry->directory().Endpoints();
     return std::any_of(all.begin(), all.end(), [](const auto& known) {
@@ -183,7 +184,7 @@
   }));
   FakeEndpoint& holder = fleet.left.loads == 1 ? fleet.left : fleet.right;
   auto second = fleet.threads.Start(
-      TryPlace(fleet.entry->home(), PlaceOf(kModel, kLong)));
+      TryPlace(fleet.entry->scheduler(), PlaceOf(kModel, kLong)));
   BOOST_TEST(
       (second.wait_for(core::Millis(300)) == std::future_status::timeout));
   holder.FinishLoading();
@@ -192,9 +193,9 @@
   BOOST_TEST(fleet.Loads() == 1);
 }
 
-// The load hangs beyond the guest's time: the store has stalled, nobody
-// answers. The guest must still get an answer when its time is up.
-BOOST_AUTO_TEST_CASE(DeadlineEndsAWaitThatNothingElseEnds) {
+// The weight store has stalled, and the load hangs beyond the request's
+// deadline. The request must still be refused at its deadline.
+BOOST_AUTO_TEST_CASE(DeadlineEndsTheWaitForAHangingLoad) {
   Fleet fleet;
   fleet.left.mode = LoadMode::kHang;
   fleet.right.mode = LoadMode::kHang;
@@ -202,19 +203,19 @@
   BOOST_REQUIRE(outcome.error);
   BOOST_TEST((outcome.error->outcome() == core::Outcome::kNotRun));
   BOOST_TEST(outcome.error->retry_after().has_value());
-  BOOST_TEST(fleet.entry->home().stats().queued == 0);
+  BOOST_TEST(fleet.entry->scheduler().stats().queued == 0);
 }
 
-// A request kills the engine that runs it; its caller sends it again and kills
-// a second. The third time it comes through another entry, which has become
-// the model's home. It must be refused there, before a third engine.
-BOOST_AUTO_TEST_CASE(SecondCrashQuarantinesAlsoAtTheNextHome) {
+// A request has crashed two engines and is sent a third time, to another entry
+// that has become the model's primary entry. It must be refused there before it
+// crashes a third engine.
+BOOST_AUTO_TEST_CASE(QuarantineAppliesAtTheNextPrimaryEntry) {
   Fleet fleet;
   constexpr std::int64_t kFatal = 666;
   for (int crash = 0; crash < 2; ++crash) {
     const Outcome outcome = fleet.Place(PlaceOf(kModel, kLong, kFatal));
     BOOST_REQUIRE(outcome.placement);
-    outcome.placement->Done(gen::RunResult::ENGINE_CRASHED);
+    outcome.placement->Finish(gen::RunResult::ENGINE_CRASHED);
   }
   const Outcome third = fleet.Place(PlaceOf(kModel, kLong, kFatal));
   BOOST_REQUIRE(third.error);
@@ -234,10 +235,10 @@
   fleet.threads.Stop();
 }
 
-// A crash takes three requests down, two of them innocent. All three callers
-// send again. Each runs alone now: the innocent ones finish and are cleared,
-// only the fatal one is refused in the end.
-BOOST_AUTO_TEST_CASE(InnocentBesideACrashIsClearedByRunningAlone) {
+// A crash fails three requests, two of them innocent, and all three are sent
+// again. Each must run alone: the innocent ones complete and are cleared, and
+// only the fatal one is refused.
+BOOST_AUTO_TEST_CASE(InnocentSuspectsAreClearedByRunningAlone) {
   Fleet fleet;
   std::vector<Outcome> together;
   for (const std::int64_t fingerprint : {1, 2, 666}) {
@@ -245,16 +246,16 @@
     BOOST_REQUIRE(together.back().placement);
   }
   for (const Outcome& outcome : together) {
-    outcome.placement->Done(gen::RunResult::ENGINE_CRASHED);
+    outcome.placement->Finish(gen::RunResult::ENGINE_CRASHED);
   }
   Outcome innocent = fleet.Place(PlaceOf(kModel, kLong, 1));
   BOOST_REQUIRE(innocent.placement);
   auto fatal = fleet.threads.Start(
-      TryPlace(fleet.entry->home(), PlaceOf(kModel, kLong, 666)));
+      TryPlace(fleet.entry->scheduler(), PlaceOf(kModel, kLong, 666)));
   BOOST_TEST(
       (fatal.wait_for(core::Millis(300)) == std::future_status::timeout));
-  innocent.placement->Done(gen::RunResult::COMPLETED);
-  fatal.get().placement->Done(gen::RunResult::ENGINE_CRASHED);
+  innocent.placement->Finish(gen::RunResult::COMPLETED);
+  fatal.get().placement->Finish(gen::RunResult::ENGINE_CRASHED);
   BOOST_TEST(fleet.Place(PlaceOf(kModel, kLong, 1)).placement != nullptr);
   BOOST_TEST(fleet.Place(PlaceOf(kModel, kLong, 2)).placement != nullptr);
   const Outcome refused = fleet.Place(PlaceOf(kModel, kLong, 666));
@@ -262,15 +263,16 @@
   BOOST_TEST((refused.error->code() == core::ErrorCode::kQuarantined));
 }
 
-// The key-value service is down when the crashes happen. The home must still
-// refuse the third try from memory, and write what it saw once it can.
-BOOST_AUTO_TEST_CASE(QuarantineHoldsWhileTheStoreIsDown) {
+// The key-value service is down during the crashes. The scheduler must still
+// refuse the third attempt from memory, and write the crashes once the service
+// is back.
+BOOST_AUTO_TEST_CASE(QuarantineWorksWhileTheStoreIsDown) {
   Fleet fleet;
   fleet.store.down = true;
   for (int crash = 0; crash < 2; ++crash) {
     const Outcome outcome = fleet.Place(PlaceOf(kModel, kLong, 666));
     BOOST_REQUIRE(outcome.placement);
-    outcome.placement->Done(gen::RunResult::ENGINE_CRASHED);
+    outcome.placement->Finish(gen::RunResult::ENGINE_CRASHED);
   }
   const Outcome third = fleet.Place(PlaceOf(kModel, kLong, 666));
   BOOST_REQUIRE(third.error);
@@ -284,9 +286,9 @@
   BOOST_TEST(kept.crashes.size() == 2U);
 }
 
-// A planned stop of an endpoint begins: it says that it leaves. From its next
-// report on nothing new may be loaded or placed there.
-BOOST_AUTO_TEST_CASE(LeavingEndpointGetsNothingNew) {
+// An endpoint reports that it is leaving. From that report on nothing new may
+// be loaded or placed there.
+BOOST_AUTO_TEST_CASE(LeavingEndpointGetsNoNewRequestsOrLoads) {
   Fleet fleet;
   const auto left = [&fleet] {
     return *fleet.entry->directory().Find(core::EndpointId("left"));
@@ -302,14 +304,14 @@
       (outcome.error || outcome.placement->placed().endpoint == "right"));
 }
 
-// Operators withdraw a model while requests wait for it. They must end with
-// an answer, not wait for what can't come.
-BOOST_AUTO_TEST_CASE(WithdrawnModelEndsItsQueue) {
+// Operators remove a model while requests wait for it. The requests must be
+// refused instead of waiting until their deadlines.
+BOOST_AUTO_TEST_CASE(RemovedModelRefusesItsQueue) {
   Fleet fleet;
   fleet.left.mode = LoadMode::kHang;
   fleet.right.mode = LoadMode::kHang;
   auto waiting = fleet.threads.Start(
-      TryPlace(fleet.entry->home(), PlaceOf(kModel, kLong)));
+      TryPlace(fleet.entry->scheduler(), PlaceOf(kModel, kLong)));
   BOOST_REQUIRE(Eventually([&] { return fleet.Loads() == 1; }));
   contract::Config other = ConfigOf("another", 1, 1);
   other.version = 2;
@@ -319,10 +321,10 @@
   BOOST_TEST((outcome.error->code() == core::ErrorCode::kUnknownModel));
 }
 
-// Guests ask for an adapter that the loaded model doesn't have yet, many at
-// once, while others need the bare model. The adapter must be loaded once,
-// before its first request is placed, and must not hold the others up.
-BOOST_AUTO_TEST_CASE(AdapterIsLoadedOnceAndHoldsNobodyElseUp) {
+// Many requests for an adapter that is not loaded arrive at once, along with
+// requests for the base model. The adapter must be loaded once, before its
+// first request is placed, and must not delay the other requests.
+BOOST_AUTO_TEST_CASE(AdapterIsLoadedOnceWithoutDelayingOthers) {
   Fleet fleet(1, 100);
   BOOST_REQUIRE(fleet.Place(PlaceOf(kModel, kLong)).placement);
   BOOST_REQUIRE(fleet.Loads() == 1);
@@ -334,7 +336,7 @@
   waiting.reserve(20);
   for (int i = 0; i < 20; ++i) {
     waiting.push_back(
-        fleet.threads.Start(TryPlace(fleet.entry->home(), with_adapter)));
+        fleet.threads.Start(TryPlace(fleet.entry->scheduler(), with_adapter)));
   }
   BOOST_REQUIRE(Eventually([&] { return fleet.Loads() == 2; }));
   BOOST_TEST(fleet.Place(PlaceOf(kModel, kLong)).placement != nullptr);
@@ -348,10 +350,10 @@
   BOOST_TEST((unknown.error->code() == core::ErrorCode::kUnknownAdapter));
 }
 
-core::Task<Outcome> TryPlaceService(Home& home, std::string service) {
+core::Task<Outcome> TryPlaceService(Scheduler& scheduler, std::string service) {
   Outcome outcome;
   try {
-    outcome.placement = co_await home.PlaceService(
+    outcome.placement = co_await scheduler.PlaceService(
         core::ServiceId(service), core::OwnerId("one"), kLong, {});
   } catch (const core::Error& e) {
     outcome.error = e;
@@ -359,14 +361,15 @@
   co_return outcome;
 }
 
-// A booth asks the plain service while its only endpoint goes away. Until then
-// it is placed there; after, it is told at once when to come back.
-BOOST_AUTO_TEST_CASE(PlainServiceWithoutEndpointIsRefusedAtOnce) {
+// The only endpoint of a plain service disconnects. Requests are placed there
+// before, and must be refused immediately with a retry hint afterwards.
+BOOST_AUTO_TEST_CASE(PlainServiceWithoutEndpointIsRefusedImmediately) {
   Fleet fleet;
   FakeEndpoint booth(fleet.threads, "booth", fleet.clock, fleet.log, "booths");
   fleet.list.Add("booth", external::VmRole::kEndpoint, booth.address());
   const auto place = [&fleet](const char* service) {
-    return fleet.threads.Start(TryPlaceService(fleet.entry->home(), service))
+    return fleet.threads
+        .Start(TryPlaceService(fleet.entry->scheduler(), service))
         .get();
   };
   BOOST_REQUIRE(Eventually([&] { return place("booths").placement; }));
@@ -379,22 +382,23 @@
   fleet.threads.Stop();
 }
 
-core::Task<int> PlaceInTurn(Home& home, std::string owner,
+core::Task<int> PlaceInTurn(Scheduler& scheduler, std::string owner,
                             std::atomic<int>& turn) {
-  // The holder's run is taken for the usual one: on a busy machine, 200 of its
-  // length are more than kLong.
+  // The duration of the holder's run serves as the service time estimate; on a
+  // busy machine, 200 times that is longer than kLong.
   constexpr core::Millis kAmple{600'000};
-  Outcome outcome = co_await TryPlace(home, PlaceOf(kModel, kAmple, 0, owner));
+  Outcome outcome =
+      co_await TryPlace(scheduler, PlaceOf(kModel, kAmple, 0, owner));
   const int mine = outcome.placement ? turn++ : -1;
   if (outcome.placement) {
-    outcome.placement->Done(gen::RunResult::COMPLETED);
+    outcome.placement->Finish(gen::RunResult::COMPLETED);
   }
   co_return mine;
 }
 
-// One ad house sends two hundred requests; a rival's single one comes last,
-// with the same priority. Behind the whole burst its manifest would be late:
-// shares put it near the front.
+// One owner sends two hundred requests, and another owner's single request of
+// the same priority arrives last. It must not wait behind the whole burst: the
+// owners' shares put it near the front.
 BOOST_AUTO_TEST_CASE(BurstOfOneOwnerDoesNotStarveAnother) {
   Fleet fleet(1, 1);
   Outcome holder = fleet.Place(PlaceOf(kModel, kLong, 0, "loud"));
@@ -403,16 +407,16 @@
   std::vector<std::future<int>> loud;
   loud.reserve(200);
   for (int i = 0; i < 200; ++i) {
-    loud.push_back(
-        fleet.threads.Start(PlaceInTurn(fleet.entry->home(), "loud", turn)));
+    loud.push_back(fleet.threads.Start(
+        PlaceInTurn(fleet.entry->scheduler(), "loud", turn)));
   }
-  BOOST_REQUIRE(
-      Eventually([&] { return fleet.entry->home().stats().queued == 200; }));
+  BOOST_REQUIRE(Eventually(
+      [&] { return fleet.entry->scheduler().stats().queued == 200; }));
   auto quiet =
-      fleet.threads.Start(PlaceInTurn(fleet.entry->home(), "quiet", turn));
-  BOOST_REQUIRE(
-      Eventually([&] { return fleet.entry->home().stats().queued == 201; }));
-  holder.placement->Done(gen::RunResult::COMPLETED);
+      fleet.threads.Start(PlaceInTurn(fleet.entry->scheduler(), "quiet", turn));
+  BOOST_REQUIRE(Eventually(
+      [&] { return fleet.entry->scheduler().stats().queued == 201; }));
+  holder.placement->Finish(gen::RunResult::COMPLETED);
   BOOST_TEST(quiet.get() <= 1);
   for (auto& one : loud) BOOST_TEST(one.get() >= 0);
 }
@@ -427,9 +431,9 @@
   co_return call;
 }
 
-// Another entry is given the only slot and dies without a word. Its link
-// breaks; the slot must come free, or the model is blocked for good.
-BOOST_AUTO_TEST_CASE(VanishedPlacerFreesItsSlot) {
+// Another entry dies while it holds the only slot. The broken link must free
+// the slot, or the model would stay blocked for ever.
+BOOST_AUTO_TEST_CASE(LostLinkOfPlacingEntryFreesItsSlot) {
   Fleet fleet(1, 1);
   link::LinkNode placer(
       fleet.threads.executor(), LinkOptionsOf("entry-9", gen::Role::ENTRY),
@@ -441,7 +445,7 @@
       fleet.threads.Start(OpenPlace(placer, fleet.entry->address())).get();
   BOOST_REQUIRE(call);
   auto second = fleet.threads.Start(
-      TryPlace(fleet.entry->home(), PlaceOf(kModel, kLong)));
+      TryPlace(fleet.entry->scheduler(), PlaceOf(kModel, kLong)));
   BOOST_TEST(
       (second.wait_for(core::Millis(200)) == std::future_status::timeout));
   placer.Close();
@@ -449,8 +453,8 @@
   fleet.threads.Stop();
 }
 
-// A caller hangs up while its request waits. Nobody would ever free a slot
-// given to it: the request leaves the queue instead.
+// A caller disconnects while its request waits. The request must leave the
+// queue, since nobody would free a slot granted to it.
 BOOST_AUTO_TEST_CASE(AbandonedWaiterLeavesTheQueue) {
   Fleet fleet(1, 1);
   Outcome holder = fleet.Place(PlaceOf(kModel, kLong));
@@ -463,10 +467,10 @@
       NoVersions(), fleet.clock, fleet.log);
   auto waiting = fleet.threads.Start(OpenPlace(placer, fleet.entry->address()));
   BOOST_REQUIRE(
-      Eventually([&] { return fleet.entry->home().stats().queued == 1; }));
+      Eventually([&] { return fleet.entry->scheduler().stats().queued == 1; }));
   placer.Close();
   BOOST_TEST(
-      Eventually([&] { return fleet.entry->home().stats().queued == 0; }));
+      Eventually([&] { return fleet.entry->scheduler().stats().queued == 0; }));
   BOOST_CHECK_THROW(waiting.get(), core::Error);
   fleet.threads.Stop();
 }
--- a/src/entry/testing_key_value.h
+++ b/src/entry/testing_key_value.h
@@ -1,4 +1,4 @@
-/** @file testing_key_value.h A key-value service in memory, for tests only. */
+/** @file testing_key_value.h An in-memory key-value service for tests. */
 #ifndef SAPPHIRE_ENTRY_TESTING_KEY_VALUE_H_
 #define SAPPHIRE_ENTRY_TESTING_KEY_VALUE_H_
 
@@ -17,43 +17,45 @@
 
 namespace sapphire::entry::testing {
 
-/** What happens to a write of a key. */
+/** A fault injected into a write. */
 enum class WriteFault {
-  kAnswerLost,  ///< It takes effect; the caller is told that it may have.
-  kLandsLate,   ///< As kAnswerLost, but it takes effect at LandLate only.
-  kNeverLands,  ///< The caller is told that it may have taken effect.
+  kAnswerLost,  ///< The write takes effect; the caller gets an unknown outcome.
+  kTakesEffectLate,  ///< As kAnswerLost, but takes effect only at
+                     ///< ApplyLateWrites.
+  kNoEffect,         ///< No effect; the caller gets an unknown outcome.
 };
 
-/** One thread only. Each call moves the clock by a millisecond. */
+/** Single-threaded. Each call advances the clock by one millisecond. */
 class MemoryKeyValue final : public external::KeyValueStore {
  public:
   explicit MemoryKeyValue(core::ManualClock& clock) : clock_(clock) {}
 
   /** Every call fails while true. */
   bool down = false;
-  /** Faults of the next writes of the head; then none. */
+  /** Faults of the next writes of `config/head`, in order. */
   std::deque<WriteFault> head_faults;
-  /** The service goes down with the next fault of the head. */
+  /** If true, the service goes down with the next fault of the head. */
   bool down_after_fault = false;
-  /** What the next reads of the head show in its place. */
-  std::deque<std::optional<external::KvEntry>> head_shown;
-  /** What the next watches answer, before real changes. */
+  /** Values that the next reads of the head return instead of the stored one.
+   */
+  std::deque<std::optional<external::KvEntry>> head_overrides;
+  /** Answers of the next watches, before real changes. */
   std::deque<external::WatchBatch> batches;
-  /** Deletes are on their way, and take effect when this becomes false. */
+  /** Deletes are delayed until this becomes false. */
   bool hold_deletes = false;
-  /** Watches pass over changes while true. */
-  bool mute_watches = false;
+  /** Watches miss changes while true. */
+  bool miss_changes = false;
   int gets = 0;
   int watches = 0;
 
-  /** Lets the writes that are on their way take effect. */
-  void LandLate() {
+  /** Applies the delayed writes. */
+  void ApplyLateWrites() {
     for (auto& [key, expected, value] : std::exchange(late_, {})) {
       Swap(key, expected, value);
     }
   }
 
-  /** Ends all leases: what was written under one is gone. */
+  /** Ends all leases and deletes the keys written under them. */
   void LapseLeases() {
     leases_.clear();
     DropUnleased();
@@ -78,9 +80,9 @@
   core::Task<std::optional<external::KvEntry>> Get(std::string key) override {
     co_await Step();
     ++gets;
-    if (key == "config/head" && !head_shown.empty()) {
-      auto shown = head_shown.front();
-      head_shown.pop_front();
+    if (key == "config/head" && !head_overrides.empty()) {
+      auto shown = head_overrides.front();
+      head_overrides.pop_front();
       co_return shown;
     }
     co_return Peek(key);
@@ -103,7 +105,7 @@
       const WriteFault fault = head_faults.front();
       head_faults.pop_front();
       if (fault == WriteFault::kAnswerLost) Swap(key, expected, value);
-      if (fault == WriteFault::kLandsLate) {
+      if (fault == WriteFault::kTakesEffectLate) {
         late_.push_back({key, expected, value});
       }
       throw core::Error(core::ErrorCode::kPlatformUnknownOutcome, "lost");
@@ -160,7 +162,7 @@
     while (batch.events.empty() && clock_.Now() < end) {
       co_await core::SleepFor(std::chrono::milliseconds(1));
       co_await Step();
-      if (!mute_watches) batch.events = ChangesSince(prefix, revision);
+      if (!miss_changes) batch.events = ChangesSince(prefix, revision);
     }
     batch.revision = revision_;
     co_return batch;
@@ -178,7 +180,7 @@
     core::SteadyTime end;
   };
 
-  /** Ends leases whose time is over. */
+  /** Ends expired leases. */
   void ExpireLeases() {
     const core::SteadyTime now = clock_.Now();
     std::erase_if(leases_,
@@ -195,7 +197,8 @@
     }
   }
 
-  /** Lets other coroutines run between any two calls of one caller. */
+  /** Advances the clock and yields, so that other coroutines run between any
+   * two calls of a caller. */
   core::Task<> Step() {
     clock_.Advance(std::chrono::milliseconds(1));
     ExpireLeases();
@@ -231,7 +234,7 @@
   std::vector<external::KvEvent> history_;
   std::vector<LateWrite> late_;
   std::map<std::string, Lease> leases_;
-  /** The lease that each key was last written under; empty: none. */
+  /** The lease under which each key was last written; empty if none. */
   std::map<std::string, std::string> lease_of_;
   int granted_ = 0;
   std::int64_t revision_ = 0;
