--- a/src/quota/quota_client.cc
+++ b/src/quota/quota_client.cc
@@ -1,5 +1,5 @@
 /** @file quota_client.cc Decides whether requests are within the quotas that
- * all entries share. */
+ * all entries share: requests, answers and timeouts. */
 #include <algorithm>
 #include <utility>
 
@@ -13,10 +13,12 @@
 
 namespace {
 
-/** Longest time that a denial answers for later requests too. */
+/** Longest time for which a denial applies to later requests too. */
 constexpr milliseconds kLongestDenial{100};
+/** An entry is suspected for at most this time. */
 constexpr std::chrono::seconds kSuspectedFor{30};
-/** Repeated asks and late answers come within this. */
+/** Retention of answers for repeated requests, and of requests that timed out
+ * for late answers. */
 constexpr milliseconds kRemembered{2000};
 
 }  // namespace
@@ -87,8 +89,9 @@
   pending.done(decision);
 }
 
-/** All shares together are at most the limit, and a request is never larger
- * than what its entry has of it. */
+/** Decides by this entry's even share of the limit. The sum of all shares is at
+ * most the limit, and a request is granted only if the share's bucket holds all
+ * of its cost. */
 void QuotaClient::TakeShare(const Pending& pending) {
   roles_.erase(pending.id);
   const View& view = CurrentView();
@@ -97,7 +100,7 @@
                         pending.limit.limit.burst / entries};
   const auto [it, is_new] = shares_.try_emplace(pending.id);
   Share& share = it->second;
-  // What flowed in while a coordinator handed out the limit is not there.
+  // Units that accrued while a coordinator granted the limit must not count.
   if (is_new || share.generation != view.generation) {
     share.generation = view.generation;
     share.bucket = {std::min(share.bucket.level, 0.0), clock_.Now()};
@@ -161,7 +164,7 @@
   auto known = answered_.find(key);
   if (known == answered_.end()) {
     std::optional<gen::QuotaAnswer> answer = AnswerTo(ask);
-    // The sender asks again.
+    // The sender resends its request.
     if (!answer) return;
     known = answered_.emplace(key, Answered{clock_.Now(), *answer}).first;
   }
@@ -170,7 +173,7 @@
   send_(address, datagram);
 }
 
-/** @return Nothing while this entry may not grant yet. */
+/** @return The answer; nothing while this entry may not grant yet. */
 std::optional<gen::QuotaAnswer> QuotaClient::AnswerTo(
     const gen::QuotaAsk& ask) {
   gen::QuotaAnswer answer;
@@ -188,7 +191,7 @@
     answer.verdict = gen::QuotaVerdict::NOT_COORDINATOR;
     answer.coordinator = better->entry;
     answer.coordinator_address = better->address;
-    // Whoever asks here may find it silent: find out for ourselves.
+    // The sender may have got no answer from it, so check whether it is alive.
     Probe(id, better->entry, better->address);
     return answer;
   }
@@ -234,7 +237,8 @@
   pending.done(decision);
 }
 
-/** Follows one hint: entries that have just joined are known to some only. */
+/** Sends the request to the coordinator that the answer names, once: an entry
+ * that has just joined is known to some entries only. */
 void QuotaClient::Redirect(Pending pending, const gen::QuotaAnswer& answer) {
   const bool usable = !answer.coordinator_address.empty() &&
                       answer.coordinator != options_.entry &&
@@ -250,7 +254,8 @@
   Ask(std::move(pending));
 }
 
-/** Waits until the entries agree on who coordinates. */
+/** Keeps the request until Tick looks for a coordinator again, as the entries
+ * don't agree on one yet. */
 void QuotaClient::Park(Pending pending) {
   pending.sent = clock_.Now();
   pending.entry.clear();
--- a/src/quota/quota_client_base.h
+++ b/src/quota/quota_client_base.h
@@ -1,5 +1,5 @@
 /** @file quota_client_base.h Decides whether requests are within the quotas
- * that all entries share. */
+ * that all entries share, by asking the entry that coordinates each quota. */
 #ifndef SAPPHIRE_QUOTA_QUOTA_CLIENT_BASE_H_
 #define SAPPHIRE_QUOTA_QUOTA_CLIENT_BASE_H_
 
@@ -24,32 +24,36 @@
 namespace sapphire::quota {
 
 struct QuotaClientOptions {
-  /** Key of this entry's presence, and its VM. */
+  /** Key of this entry's presence in the store. */
   std::string entry;
   std::string vm;
   QuotaRules rules;
-  /** How long a request may be delayed until the quota has room. */
+  /** Longest time to delay a request until the quota has units for it. */
   milliseconds wait_limit{200};
-  /** An ask without an answer is sent again once after this. */
+  /** A quota request without an answer is resent once after this time. */
   milliseconds resend_after{40};
-  /** After this, whoever coordinates then is asked. */
+  /** After this time without an answer, the request is sent again, to the
+   * coordinator as it is determined then. */
   milliseconds answer_limit{150};
-  /** A coordinator that owes an answer for longer, and is not heard of
-   * otherwise, is passed over. */
+  /** A coordinator is suspected to be down, and skipped, if it has left a
+   * request unanswered and sent nothing else for this time. */
   milliseconds suspect_after{250};
-  /** Without an answer for this long, a request goes by this entry's share. */
+  /** A request without an answer for this time is decided by this entry's even
+   * share of the limit. */
   milliseconds failover_limit{800};
 };
 
 /**
- * Each quota has one coordinating entry: the first by
- * rendezvous hashing among the entries that are not suspected. The others ask
- * it for each request, by datagram. Where it can't be reached, an entry goes by
- * an even share of the limit, so that the sum over all entries holds whatever
- * is cut from what.
+ * Enforces rate limits on the sum over all entries.
  *
- * No network and no timers of its own: messages leave through a function, and
- * Tick is called when time has passed. One thread.
+ * Each quota has one coordinating entry: the first by rendezvous hashing among
+ * the entries that are not suspected to be down. The other entries ask it about
+ * each request, by datagram. An entry that can't reach the coordinator uses an
+ * even share of the limit, so that the limit on the sum over all entries holds
+ * in any network partition.
+ *
+ * Uses no network and no timers: it sends messages through a function, and the
+ * owner calls Tick at intervals. Not thread-safe.
  */
 class QuotaClient {
  public:
@@ -61,41 +65,46 @@
   QuotaClient(QuotaClientOptions options, const fleet::PeerTable& peer_table,
               Send send, const core::Clock& clock, const core::Logger& log);
 
-  /** Takes units of the quota. @param done Called once, perhaps at once. */
+  /** Takes `cost` units from the quota.
+   * @param done Called once with the decision, possibly before this returns. */
   void Take(const QuotaId& id, const SharedLimit& limit, double cost,
             Done done);
 
-  /** Gives back what a request did not use. */
+  /** Returns units that a request took but did not use. */
   void GiveBack(const QuotaId& id, const SharedLimit& limit, double cost);
 
-  /** @param address Where the answer goes. */
+  /** Handles another entry's quota request.
+   * @param address Address to which the answer is sent. */
   void OnAsk(const gen::QuotaAsk& ask, const std::string& address);
   void OnAnswer(const gen::QuotaAnswer& answer);
 
-  /** Sends again or gives up what has waited long enough. */
+  /** Resends requests that are due and handles timeouts. */
   void Tick();
 
-  /** @return How often Tick is to be called while something is pending. */
+  /** @return Interval at which to call Tick while requests are pending. */
   [[nodiscard]] milliseconds TickPause() const { return options_.resend_after; }
 
-  /** Drops what is no longer needed. */
+  /** Removes expired answers, denials, buckets and use. */
   void Forget();
 
-  /** @return Units in the bucket that this entry keeps of the quota. */
+  /** @return Units in this entry's bucket as coordinator of the quota; 0 if it
+   * has none. */
   [[nodiscard]] double LevelOf(const QuotaId& id) const {
     return coordinator_.LevelOf(id);
   }
 
-  /** @return How many coordinators are passed over now. */
+  /** @return Number of entries that are suspected to be down and skipped. */
   [[nodiscard]] int suspected() const;
 
  private:
+  /** A request that awaits a decision, or a probe if `done` is empty. */
   struct Pending {
     QuotaId id;
     SharedLimit limit;
     double cost = 0;
     core::SteadyTime began;
-    /** Who was asked; empty: nobody, it waits for another coordinator. */
+    /** The entry that was asked; empty while the request waits for the entries
+     * to agree on a coordinator. */
     std::string entry;
     std::string address;
     core::SteadyTime sent;
@@ -103,51 +112,53 @@
     bool redirected = false;
     Done done;
   };
-  /** Entries as they were a moment ago, and who coordinates what. */
+  /** Cached view of the other entries, from which coordinators are computed. */
   struct View {
     core::SteadyTime made;
-    /** Of the peer table that it was made from. */
+    /** Generation of the peer table that this was made from. */
     std::int64_t table = 0;
     std::vector<fleet::Peer> peers;
-    /** Hash of each peer's VM. */
+    /** Hash of the VM of each peer, in the order of `peers`. */
     std::vector<std::uint64_t> seeds;
-    /** Counts changes of who may coordinate. */
+    /** Counts changes of the entries that may coordinate. */
     std::int64_t generation = 0;
-    /** This one included, and those that were there a moment ago. */
+    /** Number of entries, including this one and recently removed ones. */
     int entries = 1;
-    /** Part of them that this one hears, itself included. */
+    /** Fraction of them, including this one, that this entry receives datagrams
+     * from. */
     double heard_share = 1;
   };
+  /** An answer kept for repeated requests. */
   struct Answered {
     core::SteadyTime at;
     gen::QuotaAnswer answer;
   };
-  /** This entry's even share of a limit. */
+  /** Bucket for this entry's even share of a limit. */
   struct Share {
     TokenBucket bucket;
-    /** Of the view that it was last used with. */
+    /** Generation of the view at the last use. */
     std::int64_t generation = 0;
   };
-  /** What a coordinator said a moment ago. */
+  /** A denial by the coordinator, cached for a short time. */
   struct Denial {
-    /** Until then it answers for later requests too. */
+    /** Until then, later requests are denied without asking the coordinator. */
     core::SteadyTime until;
-    /** When the request that was denied may come back. */
+    /** When the denied request may be retried. */
     core::SteadyTime offer;
   };
-  /** This entry's part in a quota that it coordinates. */
+  /** State of a quota that this entry coordinates. */
   struct Role {
     core::SteadyTime began;
-    /** Of the view in which peers were last asked. */
+    /** Generation of the view when the candidates were last queried. */
     std::int64_t generation = 0;
-    /** Peers that may know what others have granted before. */
+    /** Peers whose answers, with the use granted before, are awaited. */
     std::set<std::string> awaited;
-    /** When the next candidates were last told of the quota's use. */
+    /** When the quota's use was last sent to the next candidates. */
     core::SteadyTime told;
-    /** When a coordinator that a peer named was last asked. */
+    /** When a coordinator named by a peer was last probed. */
     core::SteadyTime hinted;
   };
-  /** An ask that was given up, whose answer may still come. */
+  /** A quota request that timed out; its answer may still arrive. */
   struct Abandoned {
     core::SteadyTime at;
     QuotaId id;
@@ -188,9 +199,9 @@
   const Send send_;
   const core::Clock& clock_;
   const core::Logger& log_;
-  /** When this entry started, or woke from a freeze. */
+  /** When this process started, or resumed after a freeze. */
   core::SteadyTime began_;
-  /** When it was last known to run. */
+  /** Time of the last call, to detect freezes. */
   core::SteadyTime last_alive_;
   UsageTable usage_;
   QuotaCoordinator coordinator_;
@@ -200,12 +211,12 @@
   std::int64_t number_ = 0;
   std::map<std::int64_t, Pending> pending_;
   std::map<std::int64_t, Abandoned> abandoned_;
-  /** Since when an entry owes an answer. */
+  /** Send time of the oldest unanswered request to each entry. */
   std::map<std::string, core::SteadyTime> unanswered_since_;
-  /** Answers given lately, by entry and number. */
+  /** Recent answers, by the requesting entry and the request's number. */
   std::map<std::pair<std::string, std::int64_t>, Answered> answered_;
   std::optional<View> view_;
-  /** Who was not passed over, when the view was last made. */
+  /** Entries that were not suspected when the view was last made. */
   std::vector<std::string> candidates_;
 };
 
--- a/src/quota/quota_client_test.cc
+++ b/src/quota/quota_client_test.cc
@@ -1,4 +1,4 @@
-/** @file quota_client_test.cc Tests of quotas that entries share. */
+/** @file quota_client_test.cc Tests of the quotas that all entries share. */
 #define BOOST_TEST_MODULE quota_client
 #include <boost/test/unit_test.hpp>
 
@@ -12,7 +12,7 @@
 using testing::QuotaRig;
 
 constexpr milliseconds kWindow{8000};
-/** Excess that operators bear: a part of the limit, and some requests. */
+/** Tolerated excess: a factor on the limit, and some requests on top. */
 constexpr double kExcess = 1.1;
 constexpr double kSlackRequests = 7;
 constexpr double kCost = 1500;
@@ -30,7 +30,8 @@
   return WindowLimit(limit) * kExcess + kSlackRequests * kCost;
 }
 
-/** Requests at `entries` by turns, `per_second` units of them. */
+/** Sends requests of `per_second` units per second in total to the first
+ * `entries` entries in turn. */
 void Load(QuotaRig& rig, const SharedLimit& limit, double per_second,
           milliseconds time, std::size_t entries) {
   const milliseconds pause(
@@ -45,7 +46,7 @@
 
 }  // namespace
 
-/** Guards against refusals below the limit. */
+/** Guards against denials below the limit. */
 BOOST_AUTO_TEST_CASE(RequestsBelowTheLimitAreLetIn) {
   for (const int entries : {1, 3, 22}) {
     QuotaRig rig(entries);
@@ -57,7 +58,8 @@
   }
 }
 
-/** Guards against a limit that is enforced by each entry for itself. */
+/** Guards against a limit that each entry enforces for itself, so that the sum
+ * exceeds it. */
 BOOST_AUTO_TEST_CASE(AFloodIsHeldAtTheLimitWhereverItArrives) {
   const SharedLimit limit = Limit(30'000, 30'000);
   for (const std::size_t entries : {1U, 2U, 22U}) {
@@ -69,8 +71,8 @@
   }
 }
 
-/** Guards against an excess of one request at each entry: a small limit is
- * less than that. */
+/** Guards against an excess of one request per entry, which would be more than
+ * a small limit. */
 BOOST_AUTO_TEST_CASE(ASmallLimitHoldsOverManyEntries) {
   const SharedLimit limit = Limit(2600, 2600);
   QuotaRig rig(22);
@@ -91,7 +93,7 @@
   BOOST_TEST(rig.Granted() >= 155);
 }
 
-/** Guards against callers who are refused until the store notices that the
+/** Guards against denials that last until the store notices that the
  * coordinator has died. */
 BOOST_AUTO_TEST_CASE(AnotherEntryCoordinatesWithinASecondOfADeath) {
   const SharedLimit limit = Limit(30'000, 30'000);
@@ -111,8 +113,8 @@
   BOOST_TEST(rig.grants.size() == static_cast<std::size_t>(rig.asked));
 }
 
-/** Guards against two coordinators at full rate: one is frozen, another takes
- * over, the first thaws with its old bucket. */
+/** Guards against two coordinators that grant at the full rate: one is frozen,
+ * another takes over, and the first resumes with its old bucket. */
 BOOST_AUTO_TEST_CASE(AFrozenCoordinatorBringsNoSecondLimit) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(22);
@@ -126,7 +128,8 @@
   BOOST_TEST(rig.MostInWindow(kWindow) <= Bound(limit));
 }
 
-/** Guards against entries that grant the whole limit once they are cut off. */
+/** Guards against entries that each grant the full limit while they are
+ * isolated from the others. */
 BOOST_AUTO_TEST_CASE(EntriesThatAreCutOffGoByTheirShare) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(22);
@@ -140,8 +143,8 @@
   BOOST_TEST(rig.MostInWindow(kWindow) <= Bound(limit));
 }
 
-/** Guards against the whole limit at each entry while leases lapse with the
- * store: entries that still talk to each other go on sharing. */
+/** Guards against entries that each grant the full limit after all leases have
+ * expired in a store outage: entries that still exchange datagrams share it. */
 BOOST_AUTO_TEST_CASE(TheLimitHoldsWhileAllLeasesHaveLapsed) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(22);
@@ -154,14 +157,15 @@
   BOOST_TEST(rig.MostInWindow(kWindow) <= Bound(limit));
 }
 
-/** Guards against a burst of its own for each entry that joins. */
+/** Guards against a separate burst for each entry that joins. */
 BOOST_AUTO_TEST_CASE(ManyEntriesThatJoinAtOnceBringNoMore) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(22);
   rig.Pass(seconds(3));
   Load(rig, limit, 130'000, seconds(8), 22);
   for (int i = 0; i < 17; ++i) rig.Start("new-" + std::to_string(i));
-  // The newcomers know of all at once, the others a second later.
+  // The new entries know all others at once, the old ones learn of them a
+  // second later.
   for (std::size_t i = 22; i < rig.entries.size(); ++i) {
     std::map<std::string, gen::EntryPresence> all;
     for (const auto& it : rig.entries) {
@@ -177,7 +181,7 @@
   BOOST_TEST(rig.answered >= rig.asked - 40);
 }
 
-/** Guards against an old limit that goes on: it is far above the new one. */
+/** Guards against an old limit, far above the new one, that remains in use. */
 BOOST_AUTO_TEST_CASE(ALoweredLimitBindsAtOnce) {
   const SharedLimit before = Limit(60'000, 60'000, 1);
   const SharedLimit after = Limit(5000, 5000, 2);
@@ -192,8 +196,8 @@
   BOOST_TEST(rig.MostInWindow(kWindow) <= WindowLimit(after) + kCost);
 }
 
-/** Guards against a part of the limit on top from each of several coordinators
- * that die one after the other. */
+/** Guards against coordinators that die one after the other, each of which
+ * grants a part of the limit again. */
 BOOST_AUTO_TEST_CASE(SuccessorsKnowWhatWasGranted) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(8);
@@ -207,7 +211,8 @@
   BOOST_TEST(rig.MostInWindow(kWindow) <= WindowLimit(limit) + 4 * kCost);
 }
 
-/** Guards against a second limit from a coordinator that is started again. */
+/** Guards against a restarted coordinator that grants the limit a second time.
+ */
 BOOST_AUTO_TEST_CASE(ARestartedCoordinatorAsksWhatItHadGranted) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(5);
@@ -221,8 +226,8 @@
   BOOST_TEST(rig.MostInWindow(kWindow) <= WindowLimit(limit) + 4 * kCost);
 }
 
-/** Guards against two coordinators for good: presences lapse while one entry is
- * frozen, which then knows, and is known to, one other entry only. */
+/** Guards against two coordinators that remain: the presences expire while one
+ * entry is frozen, which then knows, and is known to, one other entry only. */
 BOOST_AUTO_TEST_CASE(AnEntryFindsTheCoordinatorThatItHasLostSightOf) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(5);
@@ -247,8 +252,8 @@
   rig.Pass(seconds(1));
 }
 
-/** Guards against a coordinator that wakes and grants by what it knew before.
- */
+/** Guards against a coordinator that resumes after a freeze and grants units
+ * based on outdated use. */
 BOOST_AUTO_TEST_CASE(ACoordinatorThatWakesAsksBeforeItGrants) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(5);
@@ -303,7 +308,8 @@
   }
 }
 
-/** Guards against a request that is charged twice as its answer was lost. */
+/** Guards against a request that is charged twice because its answer was lost.
+ */
 BOOST_AUTO_TEST_CASE(ARepeatedAskIsChargedOnce) {
   QuotaRig rig(2);
   rig.Pass(seconds(3));
@@ -340,7 +346,7 @@
   BOOST_TEST(take(1));
 }
 
-/** Guards against refusals that a moment's wait would have spared. */
+/** Guards against denials where a short delay would be enough. */
 BOOST_AUTO_TEST_CASE(AShortDebtDelaysRequestsInsteadOfRefusingThem) {
   core::ManualClock clock;
   UsageTable usage("self", kWindow, clock);
@@ -357,7 +363,7 @@
   BOOST_TEST(!take(milliseconds(200)).granted);
 }
 
-/** Guards against refusals right after all entries have started. */
+/** Guards against denials right after all entries have started. */
 BOOST_AUTO_TEST_CASE(ANewCoordinatorStartsWithPartOfWhatIsBorne) {
   core::ManualClock clock;
   UsageTable usage("self", kWindow, clock);
@@ -369,11 +375,12 @@
         coordinator.Take(kOrganisation, limit, 100, Mandate(), milliseconds(0));
     if (decision.granted) ++granted;
   }
-  // A quarter of 1,000 and of a tenth of 9,000, and one request in debt.
+  // A quarter of the slack of 1,000 and of a tenth of the window's limit of
+  // 9,000 is 475: four requests, and a fifth that makes the level negative.
   BOOST_TEST(granted == 5);
 }
 
-/** Guards against callers who are told to come back before there is room. */
+/** Guards against a retry time at which the quota has no units yet. */
 BOOST_AUTO_TEST_CASE(RetryAfterNamesWhenThereIsRoom) {
   core::ManualClock clock;
   UsageTable usage("self", kWindow, clock);
@@ -395,7 +402,8 @@
           .granted);
 }
 
-/** Every request gets an answer within the failover limit, whatever is lost. */
+/** Every request gets a decision within the failover limit, even if all
+ * datagrams are lost. */
 BOOST_AUTO_TEST_CASE(EveryRequestIsAnsweredInTime) {
   QuotaRig rig(22);
   rig.Pass(seconds(3));
--- a/src/quota/quota_client_usage.cc
+++ b/src/quota/quota_client_usage.cc
@@ -1,5 +1,5 @@
-/** @file quota_client_usage.cc How entries tell each other what they have
- * granted. */
+/** @file quota_client_usage.cc How entries exchange the use that they have
+ * granted of quotas. */
 #include <algorithm>
 #include <utility>
 
@@ -12,20 +12,23 @@
 
 namespace {
 
-/** A process that did nothing for this long was frozen. */
+/** A process without a call for this time is taken to have been frozen. */
 constexpr milliseconds kFrozenAfter{1000};
-/** Peers that an entry asks before it coordinates, and for how long. */
+/** Number of peers that an entry queries before it coordinates a quota, and how
+ * long it waits for their answers. */
 constexpr std::size_t kAsked = 3;
 constexpr milliseconds kExchangeLimit{50};
-/** Candidates that are told of a quota's use, how often, and from which part of
- * the limit on: less than that may be handed out anew. */
+/** Number of candidates to which a coordinator sends a quota's use, the
+ * interval, and the fraction of the limit below which it sends none: a
+ * successor may grant that much a second time. */
 constexpr std::size_t kTold = 2;
 constexpr milliseconds kTellPause{100};
 constexpr double kToldFrom = 0.25;
 
 }  // namespace
 
-/** A process that was frozen believes what was true before. */
+/** Detects that the process was frozen. What it knew may be outdated then, so
+ * it queries its peers again before it grants. */
 void QuotaClient::NoteAlive() {
   const core::SteadyTime now = clock_.Now();
   const core::SteadyTime before = std::exchange(last_alive_, now);
@@ -38,9 +41,9 @@
 }
 
 /**
- * Guards against a limit that is handed out once by each of several
- * coordinators in turn: one that begins asks the next candidates first, as one
- * of them has coordinated before, or was told by the one that did.
+ * Prevents successive coordinators from each granting the full limit: a new
+ * coordinator first queries the next candidates, as one of them coordinated
+ * before, or received the use from the entry that did.
  * @return False while their answers are awaited.
  */
 bool QuotaClient::MayGrant(const QuotaId& id) {
@@ -66,7 +69,8 @@
   }
 }
 
-/** Whoever coordinates after this entry has to know what was granted. */
+/** Sends the quota's use to the entries that would coordinate after this one.
+ */
 void QuotaClient::TellCandidates(const QuotaId& id) {
   const auto role = roles_.find(id);
   const core::SteadyTime now = clock_.Now();
@@ -78,8 +82,8 @@
   for (const fleet::Peer* peer : peers) Probe(id, peer->entry, peer->address);
 }
 
-/** Tells of the quota's use, and of the best coordinator besides the sender of
- * the ask, which may not know it. */
+/** Adds the quota's use to the answer, and the best coordinator other than the
+ * sender of the request, which may not know it. */
 void QuotaClient::FillUsage(const QuotaId& id, const std::string& sender,
                             gen::QuotaAnswer& answer) {
   answer.quota = id.value();
@@ -90,8 +94,8 @@
   answer.coordinator_address = best->address;
 }
 
-/** Tells an entry of the quota's use and asks for what it knows; its silence is
- * noted. */
+/** Sends the quota's use to an entry and requests what it knows of it. Without
+ * an answer the entry becomes suspected. */
 void QuotaClient::Probe(const QuotaId& id, const std::string& entry,
                         const std::string& address) {
   const bool asked = std::ranges::any_of(pending_, [&](const auto& it) {
@@ -116,7 +120,7 @@
       CurrentView().peers,
       [&answer](const auto& it) { return it.entry == answer.coordinator; });
   if (is_known || answer.coordinator == options_.entry) return;
-  // The peer knows an entry that this one has lost sight of.
+  // The peer knows an entry that is missing from this entry's view.
   const core::SteadyTime now = clock_.Now();
   if (now - role->second.hinted < kTellPause) return;
   role->second.hinted = now;
--- a/src/quota/quota_client_view.cc
+++ b/src/quota/quota_client_view.cc
@@ -1,5 +1,5 @@
-/** @file quota_client_view.cc Which entry coordinates a quota, as far as this
- * one knows. */
+/** @file quota_client_view.cc Determines which entry coordinates a quota, from
+ * this entry's view of the others. */
 #include <algorithm>
 #include <functional>
 #include <utility>
@@ -11,13 +11,14 @@
 
 namespace {
 
-/** How long a view of the other entries is used. */
+/** Longest time for which a view of the other entries is cached. */
 constexpr milliseconds kViewAge{100};
-/** An entry that is not heard of for this long, and two rounds of datagrams, is
- * taken for cut off. */
+/** An entry is taken to be unreachable if nothing was received from it for this
+ * time, and for two rounds of datagrams. */
 constexpr milliseconds kLeastHeardWithin{1000};
 constexpr int kRounds = 2;
-/** Without a datagram of any entry for this long, this one is cut off. */
+/** This entry is taken to be isolated if it received no datagram from any entry
+ * for this time. */
 constexpr milliseconds kIsolatedAfter{1500};
 
 }  // namespace
@@ -36,12 +37,12 @@
       [this](const auto& it) { return IsSuspected(it.first); }));
 }
 
-/** @return The entry that coordinates the quota; null: this one. */
+/** @return The entry that coordinates the quota; null if it is this one. */
 const fleet::Peer* QuotaClient::FindCoordinator(const QuotaId& id) {
   return FindCoordinator(id, "");
 }
 
-/** @param but Not considered. */
+/** @param but Key of an entry to exclude; empty to exclude none. */
 const fleet::Peer* QuotaClient::FindCoordinator(const QuotaId& id,
                                                 const std::string& but) {
   const View& view = CurrentView();
@@ -86,15 +87,16 @@
 }
 
 /**
- * A coordinator that is cut off from part of the entries hands out only the
- * part of the limit of those it hears: the others have another coordinator.
+ * @return Fraction of the entries, including this one, that are reachable. In a
+ *   network partition a coordinator grants only this fraction of the limit, as
+ *   the other entries have another coordinator.
  */
 double QuotaClient::HeardShare(const View& view) const {
   const core::SteadyTime now = clock_.Now();
   const milliseconds within =
       std::max(kLeastHeardWithin, kRounds * peer_table_.Age());
-  // Peers that are new here are taken as heard, but not by an entry that is new
-  // itself: those that do not know it yet have another coordinator.
+  // Peers that have just become known count as reachable, except if this entry
+  // is new itself: entries that don't know it yet have another coordinator.
   const bool is_new = now - began_ < within + kLeastHeardWithin;
   const auto is_heard = [&](const fleet::Peer& it) {
     if (IsSuspected(it.entry)) return false;
@@ -112,7 +114,8 @@
   return CurrentView().entries > 1 && clock_.Now() - last >= limit;
 }
 
-/** @return The peers in the order in which they would coordinate the quota. */
+/** @return The peers in the order in which they would coordinate the quota.
+ * @param suspected_too True to include suspected peers. */
 std::vector<const fleet::Peer*> QuotaClient::Ranked(const QuotaId& id,
                                                     bool suspected_too) {
   const View& view = CurrentView();
--- a/src/quota/quota_coordinator.cc
+++ b/src/quota/quota_coordinator.cc
@@ -1,4 +1,4 @@
-/** @file quota_coordinator.cc The buckets of quotas that an entry
+/** @file quota_coordinator.cc Grants units of the quotas that an entry
  * coordinates. */
 #include <algorithm>
 #include <cmath>
@@ -12,10 +12,13 @@
 
 using Seconds = std::chrono::duration<double>;
 
+/** Retention of a bucket after its last request. */
 constexpr std::chrono::minutes kKeptIdle{1};
+/** Longest time until a denied request may be retried. */
 constexpr milliseconds kLongestOffer{10'000};
-/** Entries that were denied do not ask for a moment: what flows in meanwhile
- * is kept. */
+/** Entries cache a denial and send no requests for a short time. The bucket is
+ * larger than the burst by the units that accrue in this time, so that they are
+ * not lost. */
 constexpr milliseconds kUnasked{250};
 
 }  // namespace
@@ -29,7 +32,8 @@
   return limit.per_second * Seconds(rules_.window).count() + limit.burst;
 }
 
-/** @return A pace that uses up the window's limit just at its end. */
+/** @return A limit whose rate uses up the window's limit exactly at the end of
+ * the window. */
 BucketLimit QuotaCoordinator::PaceOf(const State& state) const {
   const double pace = WindowLimit(state) / Seconds(rules_.window).count();
   return {pace, state.limit.limit.burst + pace * Seconds(kUnasked).count()};
@@ -58,16 +62,17 @@
   return decision;
 }
 
-/** A part of what operators bear: several entries may coordinate in a window.
- */
+/** @return Initial level of a new bucket: only a part of the tolerated excess,
+ * as several entries may coordinate the quota within one window. */
 double QuotaCoordinator::FirstLevel(const State& state) const {
   constexpr double kPart = 0.25;
   const double borne = rules_.excess * WindowLimit(state) + rules_.slack;
   return std::min(kPart * borne, state.limit.limit.burst);
 }
 
-/** A bucket whose entry may not have been the only one to coordinate starts
- * empty: another one may have handed out the burst. */
+/** Returns the state of the quota, created if needed. If the generation has
+ * changed, another entry may have granted the burst, so that a bucket with
+ * units left is emptied. */
 QuotaCoordinator::State& QuotaCoordinator::StateOf(const QuotaId& id,
                                                    const SharedLimit& limit,
                                                    const Mandate& mandate) {
@@ -85,8 +90,9 @@
   return state;
 }
 
-/** Spreads the returns of those who were denied, in the order of the denials.
- */
+/** Spreads the retries of denied requests over time, in the order of the
+ * denials.
+ * @return When to retry this request. */
 milliseconds QuotaCoordinator::Offer(const QuotaId& id, State& state,
                                      double cost, core::SteadyTime now) {
   const BucketLimit pace = PaceOf(state);
--- a/src/quota/quota_coordinator_base.h
+++ b/src/quota/quota_coordinator_base.h
@@ -1,4 +1,4 @@
-/** @file quota_coordinator_base.h The buckets of quotas that an entry
+/** @file quota_coordinator_base.h Grants units of the quotas that an entry
  * coordinates. */
 #ifndef SAPPHIRE_QUOTA_QUOTA_COORDINATOR_BASE_H_
 #define SAPPHIRE_QUOTA_QUOTA_COORDINATOR_BASE_H_
@@ -12,48 +12,48 @@
 
 namespace sapphire::quota {
 
-/** By which right an entry coordinates. */
+/** How much of a quota an entry may grant as coordinator. */
 struct Mandate {
-  /** Part of the inflow that it may hand out, 0 to 1. */
+  /** Fraction of the rate that it may grant, 0 to 1. */
   double share = 1;
-  /** Changes when another entry may have coordinated in between. */
+  /** Changes when another entry may have coordinated in the meantime. */
   std::int64_t generation = 0;
 };
 
-/** One bucket a quota. One thread. */
+/** Keeps one token bucket per quota. Not thread-safe. */
 class QuotaCoordinator {
  public:
-  /** @pre `usage` and `clock` outlive it. */
+  /** @pre `usage` and `clock` outlive the coordinator. */
   QuotaCoordinator(const QuotaRules& rules, UsageTable& usage,
                    const core::Clock& clock);
 
   /**
-   * Takes `cost` from the bucket of the quota.
-   * @param limit Adopted unless a newer configuration's is known.
-   * @param wait How long the request may be delayed.
+   * Takes `cost` units from the quota's bucket.
+   * @param limit Replaces the known limit if its version is higher.
+   * @param wait Longest time that the request may be delayed.
    */
   QuotaDecision Take(const QuotaId& id, const SharedLimit& limit, double cost,
                      const Mandate& mandate, milliseconds wait);
 
-  /** Gives back what a request did not use. */
+  /** Returns units that a request took but did not use. */
   void GiveBack(const QuotaId& id, double cost);
 
-  /** Drops buckets that nobody has asked for in a while. */
+  /** Removes buckets that had no request for a minute. */
   void Forget();
 
-  /** @return Part of the window's limit that all have used; 0 if the quota is
-   * not known here. */
+  /** @return Fraction of the window's limit that all entries have used; 0 if
+   * the quota has no bucket here. */
   [[nodiscard]] double UsedPart(const QuotaId& id) const;
 
-  /** @return Units in the bucket; 0 if there is none. */
+  /** @return Units in the quota's bucket; 0 if it has none. */
   [[nodiscard]] double LevelOf(const QuotaId& id) const;
 
  private:
   struct State {
     SharedLimit limit;
-    /** Spreads the use over the window. */
+    /** Spreads the grants over the window. */
     TokenBucket bucket;
-    /** When the next request that is denied may come back. */
+    /** When the next denied request may be retried. */
     core::SteadyTime next_offer;
     core::SteadyTime asked_at;
     std::int64_t generation = 0;
@@ -68,7 +68,7 @@
                      core::SteadyTime now);
 
   const QuotaRules rules_;
-  /** Bounds the use in the window. */
+  /** Use by all entries, which bounds the grants in the window. */
   UsageTable& usage_;
   const core::Clock& clock_;
   std::map<QuotaId, State> states_;
--- a/src/quota/quota_property_test.cc
+++ b/src/quota/quota_property_test.cc
@@ -1,6 +1,6 @@
-/** @file quota_property_test.cc Plays seeded orders of faults against the bound
- * of a quota: requests that arrive within any window use at most the limit, the
- * excess and the slack that operators bear. */
+/** @file quota_property_test.cc Checks the upper bound of a quota under seeded
+ * random sequences of faults: requests that arrive within any window use at
+ * most the limit plus the tolerated excess and slack. */
 #define BOOST_TEST_MODULE quota_property
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -18,11 +18,12 @@
 constexpr double kExcess = 1.1;
 constexpr double kSlackRequests = 7;
 constexpr double kCost = 1500;
-/** Seeds played unless QUOTA_SEEDS names another number. */
+/** Number of seeds to run unless QUOTA_SEEDS sets another one. */
 constexpr int kSeeds = 40;
 const QuotaId kOrganisation("draft-house");
 
-/** Draws; the standard distributions differ between libraries. */
+/** Random numbers. Doesn't use the standard distributions, as these differ
+ * between libraries. */
 class Draw {
  public:
   explicit Draw(std::uint64_t seed) : random_(seed) {}
@@ -32,7 +33,8 @@
   std::mt19937_64 random_;
 };
 
-/** One organisation floods some entries while faults come in a drawn order. */
+/** One organisation sends requests above its limit to some entries while faults
+ * occur in a random order. */
 class Play {
  public:
   explicit Play(std::uint64_t seed)
@@ -46,7 +48,9 @@
     };
   }
 
-  /** @return Units that one window held more than it may. */
+  /** Runs the simulation.
+   * @return Units by which any window exceeded the bound; negative if none did.
+   */
   double ExcessAtEnd() {
     rig_.Pass(seconds(3));
     for (int i = 0; i < kRounds; ++i) {
@@ -61,7 +65,7 @@
 
  private:
   static constexpr int kRounds = 48;
-  /** Between two faults, in rounds of 500 ms. */
+  /** Interval between two faults, in rounds of 500 ms. */
   static constexpr int kRoundsBetweenFaults = 8;
 
   void Flood(milliseconds time) {
@@ -99,7 +103,8 @@
     }
   }
 
-  /** It ends without a word and is back at once, knowing all from the store. */
+  /** Kills an entry without notice and restarts it at once, with the list of
+   * all entries from the store. */
   void Restart(std::size_t i) {
     const std::string vm = rig_.At(i).vm;
     rig_.Kill(vm);
@@ -138,8 +143,8 @@
   }
 }
 
-/** Guards against limits that several coordinators in turn, or at a time, hand
- * out once each: these orders of faults exceeded the bound. */
+/** Guards against several coordinators, successive or simultaneous, that each
+ * grant the full limit. These sequences of faults have exceeded the bound. */
 BOOST_AUTO_TEST_CASE(TheBoundHoldsInOrdersThatExceededIt) {
   for (const int seed : {71, 134, 245, 273, 343, 896, 1039, 1286, 1606, 1629,
                          1634, 1718, 2062, 5889}) {
--- a/src/quota/quota_rig_test.h
+++ b/src/quota/quota_rig_test.h
@@ -1,5 +1,5 @@
-/** @file quota_rig_test.h Entries that share quotas, on a network of the test.
- */
+/** @file quota_rig_test.h Simulates entries that share quotas, and the
+ * network between them. */
 #ifndef SAPPHIRE_QUOTA_QUOTA_RIG_TEST_H_
 #define SAPPHIRE_QUOTA_QUOTA_RIG_TEST_H_
 
@@ -20,20 +20,20 @@
 namespace sapphire::quota::testing {
 
 inline constexpr milliseconds kStep{10};
-/** Between two heartbeats of an entry to the next of its peers. */
+/** Interval at which an entry sends a heartbeat to the next of its peers. */
 inline constexpr milliseconds kHeartbeat{50};
 
-/** Units that operators bear beyond a limit. */
+/** Tolerated excess over a limit, in units. */
 inline constexpr double kSlack = 10'500;
 
-/** @return Options of organisations' quotas. */
+/** @return Options for the quotas of organisations. */
 inline QuotaClientOptions OrganisationOptions() {
   QuotaClientOptions options;
   options.rules = {milliseconds(8000), 0.1, kSlack};
   return options;
 }
 
-/** One entry: its view of the others and its quota client. */
+/** One simulated entry: its peer table and its quota client. */
 struct TestEntry {
   TestEntry(QuotaClientOptions options, const std::string& key,
             const std::string& vm_name, QuotaClient::Send send,
@@ -63,15 +63,16 @@
   bool frozen = false;
 };
 
-/** A request as the test counts it. */
+/** A granted request: its arrival time and cost. */
 struct Grant {
   core::SteadyTime asked;
   double cost = 0;
 };
 
 /**
- * Entries with the real client on a simulated network: datagrams take a step,
- * and are lost between entries that are cut off from each other or frozen.
+ * Runs the real quota clients on a simulated network. Datagrams arrive one step
+ * later; they are lost between entries that are disconnected from each other,
+ * and if the recipient is frozen.
  */
 class QuotaRig {
  public:
@@ -85,7 +86,7 @@
     TellAllOfAll();
   }
 
-  /** Starts an entry under a key of its own. */
+  /** Starts an entry under a new key. */
   TestEntry& Start(const std::string& vm) {
     const std::string key = "entries/" + vm + "@" + std::to_string(++starts_);
     const std::string from = AddressOf(key);
@@ -99,13 +100,14 @@
     return *entries.back();
   }
 
-  /** The entry ends without a word; its presence stays.
-   * @param vm By value: it may be the name that the entry itself has. */
+  /** Ends the entry without notice; its presence remains in the store.
+   * @param vm By value, as callers may pass the member of the entry that is
+   *   destroyed here. */
   void Kill(std::string vm) {
     std::erase_if(entries, [&vm](const auto& it) { return it->vm == vm; });
   }
 
-  /** All entries learn from the store which others run. */
+  /** Updates the peer tables of all entries with the presences in the store. */
   void TellAllOfAll() {
     std::map<std::string, gen::EntryPresence> all = dead_presences;
     for (const auto& it : entries) {
@@ -119,10 +121,11 @@
 
   TestEntry& At(std::size_t i) { return *entries.at(i); }
 
-  /** @return The entry that coordinates for most of the others. */
+  /** @return Index of the first entry that decides on the quota itself; 0 if
+   * none does. */
   std::size_t CoordinatorOf(const QuotaId& id) {
     for (std::size_t i = 0; i < entries.size(); ++i) {
-      // Shared: an ask that waits is answered after this call.
+      // Shared, as a pending request may be decided after this call.
       const auto decides = std::make_shared<bool>(false);
       At(i).client.Take(id, {0, {1, 0}}, 0, [decides](const QuotaDecision& it) {
         *decides = it.source == QuotaSource::kSelf;
@@ -132,7 +135,7 @@
     return 0;
   }
 
-  /** A request of `cost` arrives at an entry. */
+  /** Passes a request of `cost` units to an entry. */
   void Request(std::size_t i, const QuotaId& id, const SharedLimit& limit,
                double cost) {
     ++asked;
@@ -145,7 +148,8 @@
                       });
   }
 
-  /** Lets time pass: datagrams arrive, heartbeats are sent, timers run. */
+  /** Advances the time in steps: delivers datagrams, sends heartbeats and runs
+   * the clients' timers. */
   void Pass(milliseconds time) {
     for (milliseconds gone{0}; gone < time; gone += kStep) {
       clock.Advance(kStep);
@@ -159,7 +163,8 @@
     }
   }
 
-  /** @return Most units of requests that arrived within one window. */
+  /** @return Largest sum of granted units of requests that arrived within one
+   * window. */
   [[nodiscard]] double MostInWindow(milliseconds window) const {
     std::vector<Grant> sorted = grants;
     std::ranges::sort(sorted, {}, &Grant::asked);
@@ -184,14 +189,15 @@
 
   static std::string AddressOf(const std::string& key) { return "at " + key; }
 
-  /** Datagrams between these two VMs are lost, either way. */
+  /** Returns true if datagrams between these two VMs are lost, in both
+   * directions. */
   std::function<bool(const std::string& a, const std::string& b)> cut =
       [](const std::string&, const std::string&) { return false; };
 
   core::ManualClock clock;
   core::Logger log;
   std::vector<std::unique_ptr<TestEntry>> entries;
-  /** Of entries that ended; the store still has them. */
+  /** Presences of entries that have ended, but are still in the store. */
   std::map<std::string, gen::EntryPresence> dead_presences;
   std::vector<Grant> grants;
   QuotaDecision last;
--- a/src/quota/quota_type.h
+++ b/src/quota/quota_type.h
@@ -1,4 +1,5 @@
-/** @file quota_type.h Limits that all entries share and answers to who asks. */
+/** @file quota_type.h Rate limits that all entries share, and the decisions on
+ * requests. */
 #ifndef SAPPHIRE_QUOTA_QUOTA_TYPE_H_
 #define SAPPHIRE_QUOTA_QUOTA_TYPE_H_
 
@@ -14,37 +15,38 @@
 
 using std::chrono::milliseconds;
 
-/** What a quota limits, as all entries name it: an organisation, an engine. */
+/** Names what a quota limits, such as an organisation or an engine; the same in
+ * all entries. */
 using QuotaId = core::StrongId<struct QuotaTag>;
 
-/** A limit over all entries: in any window, the rate times the window and the
- * burst. */
+/** A limit on the sum over all entries: in any window, the rate times the
+ * window's length, plus the burst. */
 struct SharedLimit {
-  /** A higher one takes the place of a lower one. */
+  /** Version of the configuration; a limit with a higher one replaces this. */
   std::int64_t version = 0;
   BucketLimit limit;
 };
 
-/** Which limits hold, and what operators bear beyond them. */
+/** The window of the limits, and by how much use may exceed them. */
 struct QuotaRules {
-  /** Over which limits hold. */
+  /** Length of the sliding window over which limits apply. */
   milliseconds window{8000};
-  /** Part of a limit. */
+  /** Tolerated excess, as a fraction of the limit. */
   double excess = 0;
-  /** Units on top, of any quota. */
+  /** Tolerated excess in units, on top of `excess`, the same for any quota. */
   double slack = 0;
 };
 
-/** Whose bucket decided. */
+/** What a decision is based on. */
 enum class QuotaSource {
-  kUnlimited,    ///< There is no limit.
+  kUnlimited,    ///< No limit applies.
   kSelf,         ///< This entry coordinates the quota.
-  kCoordinator,  ///< Another entry does.
-  kDenial,       ///< A denial of a moment ago still holds.
-  kShare,        ///< This entry's share, as the coordinator can't be reached.
+  kCoordinator,  ///< Another entry coordinates the quota.
+  kDenial,       ///< A cached denial by the coordinator is still valid.
+  kShare,        ///< This entry's even share: the coordinator is unreachable.
 };
 
-/** @return Its name in logs and metrics. */
+/** @return The name of the source in logs and metrics. */
 constexpr std::string_view NameOf(QuotaSource source) {
   switch (source) {
     case QuotaSource::kUnlimited:
@@ -61,12 +63,12 @@
   return "";
 }
 
-/** Whether a request is within a quota. */
+/** Whether a request is within its quota. */
 struct QuotaDecision {
   bool granted = false;
   QuotaSource source = QuotaSource::kUnlimited;
-  /** If granted: the request starts after this. If denied: when the quota is
-   * expected to have room. */
+  /** If granted: how long to delay the request. If denied: when to retry, as
+   * the quota is expected to have units then. */
   milliseconds delay{0};
 };
 
--- a/src/quota/token_bucket.cc
+++ b/src/quota/token_bucket.cc
@@ -1,4 +1,5 @@
-/** @file token_bucket.cc Fills token buckets and takes from them. */
+/** @file token_bucket.cc Refills token buckets and takes units from
+ * them. */
 #include <algorithm>
 #include <cmath>
 
@@ -11,7 +12,7 @@
 using Seconds = std::chrono::duration<double>;
 using FractionalMillis = std::chrono::duration<double, std::milli>;
 
-/** Longer debts are stated as this. */
+/** Upper bound of the time that DebtTime returns. */
 constexpr std::chrono::hours kLongestDebt{1};
 
 }  // namespace
--- a/src/quota/token_bucket_func.h
+++ b/src/quota/token_bucket_func.h
@@ -1,4 +1,5 @@
-/** @file token_bucket_func.h Fills token buckets and takes from them. */
+/** @file token_bucket_func.h Refills token buckets and takes units
+ * from them. */
 #ifndef SAPPHIRE_QUOTA_TOKEN_BUCKET_FUNC_H_
 #define SAPPHIRE_QUOTA_TOKEN_BUCKET_FUNC_H_
 
@@ -8,13 +9,16 @@
 
 namespace sapphire::quota {
 
-/** Adds what has flown in since the last call, up to the burst. */
+/** Adds the units that accrued since the last call, up to the burst. */
 void Fill(TokenBucket& bucket, const BucketLimit& limit, core::SteadyTime now);
 
-/** Takes `cost` if the bucket holds all of it. @pre The bucket was filled. */
+/** Takes `cost` units if the bucket holds all of them.
+ * @return True if it took them.
+ * @pre Fill was called for the present time. */
 bool TakeInFull(TokenBucket& bucket, double cost);
 
-/** @return Until the bucket is out of debt. @pre The bucket was filled. */
+/** @return Time until the level is at least 0 again, rounded up.
+ * @pre Fill was called for the present time. */
 std::chrono::milliseconds DebtTime(const TokenBucket& bucket,
                                    const BucketLimit& limit);
 
--- a/src/quota/token_bucket_test.cc
+++ b/src/quota/token_bucket_test.cc
@@ -34,7 +34,8 @@
   BOOST_TEST(TakeInFull(bucket, 100));
 }
 
-/** Guards against a bucket that fills twice when times arrive out of order. */
+/** Guards against a bucket that is refilled twice for the same time when
+ * timestamps arrive out of order. */
 BOOST_AUTO_TEST_CASE(TimeThatGoesBackAddsNothing) {
   TokenBucket bucket = EmptyAt(kStart);
   Fill(bucket, kLimit, kStart + milliseconds(100));
--- a/src/quota/token_bucket_type.h
+++ b/src/quota/token_bucket_type.h
@@ -6,17 +6,17 @@
 
 namespace sapphire::quota {
 
-/** How fast a bucket fills, and how much it holds at most. */
+/** Refill rate and capacity of a token bucket. */
 struct BucketLimit {
-  /** Units a second, above 0. */
+  /** Units per second, above 0. */
   double per_second = 1;
-  /** Units. */
+  /** Capacity in units. */
   double burst = 0;
 };
 
 struct TokenBucket {
-  /** Units; below 0 while a request that was larger is paid off, so that
-   * requests larger than the burst can be served. */
+  /** Units. May be negative after a large request, so that requests larger than
+   * the burst can be served. */
   double level = 0;
   core::SteadyTime filled_at;
 };
--- a/src/quota/usage_table.cc
+++ b/src/quota/usage_table.cc
@@ -1,4 +1,5 @@
-/** @file usage_table.cc What entries have granted of each quota lately. */
+/** @file usage_table.cc Recent use of each quota, by the entry that
+ * granted it. */
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -9,7 +10,7 @@
 
 namespace {
 
-/** Steps of a window in what entries tell each other. */
+/** Number of time steps per window in the use that entries exchange. */
 constexpr int kSteps = 16;
 
 }  // namespace
@@ -44,7 +45,8 @@
     if (told.number <= known.number) continue;
     known.number = told.number;
     known.window = UsageWindow();
-    // A step counts from its newest moment on, so that none ends early.
+    // All use of a step is dated at the step's latest time, so that it doesn't
+    // expire early.
     for (std::size_t i = told.steps.size(); i-- > 0;) {
       const auto units = static_cast<double>(told.steps[i]);
       if (units > 0) {
--- a/src/quota/usage_table_base.h
+++ b/src/quota/usage_table_base.h
@@ -1,4 +1,5 @@
-/** @file usage_table_base.h What entries have granted of each quota lately. */
+/** @file usage_table_base.h Recent use of each quota, by the entry
+ * that granted it. */
 #ifndef SAPPHIRE_QUOTA_USAGE_TABLE_BASE_H_
 #define SAPPHIRE_QUOTA_USAGE_TABLE_BASE_H_
 
@@ -16,13 +17,14 @@
 namespace sapphire::quota {
 
 /**
- * Use of quotas over one window, by the entry that granted it: exactly what
- * this entry granted, in steps what others told of. One thread.
+ * Use of quotas over one window, by the entry that granted it. This entry's own
+ * grants are exact, those received from other entries are summed up in time
+ * steps. Not thread-safe.
  */
 class UsageTable {
  public:
   /**
-   * @param self This entry, as others are told.
+   * @param self This entry's name in the use sent to others.
    * @pre `clock` outlives the table.
    */
   UsageTable(std::string self, milliseconds window, const core::Clock& clock);
@@ -30,30 +32,34 @@
   void NoteGranted(const QuotaId& id, double units);
   void NoteGivenBack(const QuotaId& id, double units);
 
-  /** Takes what another entry knows; of two words of one entry the later. */
+  /** Adopts the use that another entry sent. Per granting entry, a higher
+   * sequence number replaces a lower one; this entry's own use is ignored. */
   void Learn(const QuotaId& id, const std::vector<gen::QuotaUsage>& usages);
 
-  /** @return Units granted within the window, by all. */
+  /** @return Units granted within the window by all entries. */
   [[nodiscard]] double Sum(const QuotaId& id);
 
   /** @return Units that this entry granted within the window. */
   [[nodiscard]] double OwnSum(const QuotaId& id);
 
-  /** @return Until the sum is below `units`, if nothing is granted. */
+  /** @return Time until the sum is below `units`, if nothing more is granted.
+   */
   [[nodiscard]] milliseconds TimeUntilBelow(const QuotaId& id, double units);
 
-  /** @return What is known, of all that have granted within the window. */
+  /** @return The use to send to others, of each entry that has granted units
+   * within the window. */
   [[nodiscard]] std::vector<gen::QuotaUsage> Tell(const QuotaId& id);
 
-  /** @return What this entry itself has granted; nothing if that is none. */
+  /** @return The use of this entry only; empty if it has granted nothing within
+   * the window. */
   [[nodiscard]] std::vector<gen::QuotaUsage> TellOwn(const QuotaId& id);
 
-  /** Drops what is older than the window. */
+  /** Removes use that is older than the window. */
   void Forget();
 
  private:
   struct Usage {
-    /** Of the word that it is from; a later one has a higher number. */
+    /** Sequence number of the update that this came with. */
     std::int64_t number = 0;
     UsageWindow window;
   };
@@ -66,7 +72,7 @@
   const milliseconds window_;
   const core::Clock& clock_;
   std::map<QuotaId, ByEntry> quotas_;
-  /** Counts changes of what this entry granted, of all quotas. */
+  /** Counts changes of this entry's own use, over all quotas. */
   std::int64_t number_ = 0;
 };
 
--- a/src/quota/usage_table_test.cc
+++ b/src/quota/usage_table_test.cc
@@ -1,4 +1,5 @@
-/** @file usage_table_test.cc Tests of what entries tell of quotas' use. */
+/** @file usage_table_test.cc Tests of the use of quotas that entries
+ * exchange. */
 #define BOOST_TEST_MODULE usage_table
 #include <boost/test/unit_test.hpp>
 
@@ -37,7 +38,7 @@
   BOOST_TEST(rig.b.Sum(kQuota) == 0);
 }
 
-/** Guards against use that ends early at those who are told of it. */
+/** Guards against use that expires earlier at the entries that receive it. */
 BOOST_AUTO_TEST_CASE(WhatIsToldNeverEndsBeforeItDoes) {
   Rig rig;
   for (int i = 0; i < 80; ++i) {
@@ -52,7 +53,7 @@
   }
 }
 
-/** Guards against use that is counted twice, or undone by an old word. */
+/** Guards against use that is counted twice, or replaced by an older update. */
 BOOST_AUTO_TEST_CASE(OfTwoWordsTheLaterCounts) {
   Rig rig;
   rig.a.NoteGranted(kQuota, 100);
@@ -67,8 +68,8 @@
   BOOST_TEST(rig.b.Sum(kQuota) == 140);
 }
 
-/** Guards against grants that are not counted: an entry whose use was forgotten
- * goes on with higher numbers. */
+/** Guards against grants that are not counted: an entry whose use has expired
+ * continues with higher sequence numbers. */
 BOOST_AUTO_TEST_CASE(AnEntryThatWasForgottenIsBelievedAgain) {
   Rig rig;
   for (int i = 0; i < 5; ++i) rig.a.NoteGranted(kQuota, 1);
@@ -80,7 +81,8 @@
   BOOST_TEST(rig.b.Sum(kQuota) >= 9);
 }
 
-/** Words come from datagrams: nobody tells an entry of its own grants. */
+/** Datagrams may come from any sender, so they must not change an entry's own
+ * grants. */
 BOOST_AUTO_TEST_CASE(AnEntryKnowsItsOwnGrantsBest) {
   Rig rig;
   rig.a.NoteGranted(kQuota, 10);
--- a/src/quota/usage_window.cc
+++ b/src/quota/usage_window.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Uses so close together share a place. */
+/** Units used within this time of the latest sample are added to it. */
 constexpr std::chrono::milliseconds kStep{20};
 
 }  // namespace
@@ -34,7 +34,7 @@
 
 double UsageWindow::Sum(std::chrono::milliseconds window,
                         core::SteadyTime now) {
-  // A place counts as used at its latest moment.
+  // A sample expires with the latest use that it can hold.
   while (!uses_.empty() && uses_.front().at + kStep + window <= now) {
     sum_ -= uses_.front().units;
     uses_.pop_front();
--- a/src/quota/usage_window_base.h
+++ b/src/quota/usage_window_base.h
@@ -9,18 +9,19 @@
 
 namespace sapphire::quota {
 
-/** Units used at a time. */
+/** Units used at about the same time. */
 struct Use {
   core::SteadyTime at;
   double units = 0;
 };
 
-/** Remembers each use for the length of the window. */
+/** Sums up the units used within a sliding window. */
 class UsageWindow {
  public:
   void Add(double units, core::SteadyTime now);
 
-  /** Takes units back that were not used, the latest first. */
+  /** Subtracts units that were not used after all, from the latest use first.
+   */
   void Remove(double units);
 
   /** @return Units used in the window that ends at `now`. */
@@ -30,12 +31,12 @@
   [[nodiscard]] bool IsOver(std::chrono::milliseconds window,
                             core::SteadyTime now) const;
 
-  /** @return Until the sum falls below `units`, if nothing is added. */
+  /** @return Time until the sum falls below `units`, if nothing is added. */
   [[nodiscard]] std::chrono::milliseconds TimeUntilBelow(
       double units, std::chrono::milliseconds window,
       core::SteadyTime now) const;
 
-  /** @return What was used, the oldest first. */
+  /** @return The samples, oldest first. */
   [[nodiscard]] const std::deque<Use>& uses() const { return uses_; }
 
  private:
