--- a/src/fleet/engine_holders.cc
+++ b/src/fleet/engine_holders.cc
@@ -1,4 +1,4 @@
-/** @file engine_holders.cc Which process may give each engine orders, by the
+/** @file engine_holders.cc Tracks which process controls each engine, by the
  * leases in the store. */
 #include <string_view>
 #include <utility>
@@ -20,7 +20,8 @@
   return HostOf(engine) == HostOf(holder.address);
 }
 
-/** A holder beside its engine is the rule: hundreds of lines at each start. */
+/** Holders on the engine's own VM are logged at debug level only, as they are
+ * the normal case and cause hundreds of lines at each start. */
 LogLevel LevelOf(const std::string& engine, const EngineHolder& holder) {
   return IsBeside(engine, holder) ? LogLevel::kDebug : LogLevel::kInfo;
 }
--- a/src/fleet/engine_holders_base.h
+++ b/src/fleet/engine_holders_base.h
@@ -1,4 +1,4 @@
-/** @file engine_holders_base.h Which process may give each engine orders, by
+/** @file engine_holders_base.h Tracks which process controls each engine, by
  * the leases in the store. */
 #ifndef SAPPHIRE_FLEET_ENGINE_HOLDERS_BASE_H_
 #define SAPPHIRE_FLEET_ENGINE_HOLDERS_BASE_H_
@@ -13,35 +13,36 @@
 
 namespace sapphire::fleet {
 
-/** A process that holds an engine's lease. */
+/** A process that holds an engine's lease, and so may send it orders. */
 struct EngineHolder {
   std::string vm;
-  /** "ip:port" of its links. */
+  /** "ip:port" at which it accepts links. */
   std::string address;
-  /** Of the lease's key in the store. */
+  /** Revision of the lease's key in the store. */
   std::int64_t revision = 0;
 };
 
-/** Engines are named by their address, "ip:port". One thread. */
+/** The holders of all engines' leases, by the engine's address, "ip:port". Not
+ * thread-safe. */
 class EngineHolders {
  public:
-  /** @pre `clock` and `log` outlive it. */
+  /** @pre `clock` and `log` outlive this object. */
   EngineHolders(const core::Clock& clock, const core::Logger& log);
 
-  /** These are all leases there are. */
+  /** Replaces all holders by those in a full listing of the leases. */
   void ReplaceAll(std::map<std::string, EngineHolder> holders);
   void Put(const std::string& engine, EngineHolder holder);
   void Remove(const std::string& engine);
 
-  /** @return The holder; nothing if none is known. */
+  /** @return The holder; null if none is known. */
   [[nodiscard]] const EngineHolder* Find(const std::string& engine) const;
 
   /** @return True if the engine's last known holder was on another VM than the
    * engine. */
   [[nodiscard]] bool WasOrderedByEntry(const std::string& engine) const;
 
-  /** @return Since when the engine is known to have no holder; nothing if it
-   * has one, or before the store was read. */
+  /** @return When the engine was first known to have no holder; nothing if it
+   * has one, or if the store has not been read yet. */
   [[nodiscard]] std::optional<core::SteadyTime> VacantSince(
       const std::string& engine) const;
 
@@ -56,7 +57,7 @@
   const core::Logger& log_;
   std::map<std::string, EngineHolder> holders_;
   std::map<std::string, Ended> ended_;
-  /** When the store was first read. */
+  /** When the first listing was received from the store. */
   std::optional<core::SteadyTime> first_listing_;
 };
 
--- a/src/fleet/engine_limits.cc
+++ b/src/fleet/engine_limits.cc
@@ -1,4 +1,4 @@
-/** @file engine_limits.cc How many requests a second engines take. */
+/** @file engine_limits.cc Rate limits that engines report. */
 #include <algorithm>
 
 #include "fleet/engine_limits_base.h"
@@ -9,10 +9,10 @@
 
 namespace {
 
-/** A limit that was named within this is told to peers. */
+/** A limit is sent to peers for this time after an engine reported it. */
 constexpr milliseconds kToldFor{5000};
-/** What a peer told holds on for this long. Peers of a large fleet are heard of
- * every few seconds. */
+/** A limit received from a peer is valid for this time. In a large fleet each
+ * peer sends a record only every few seconds. */
 constexpr milliseconds kTrustedFor{10'000};
 
 }  // namespace
@@ -46,7 +46,7 @@
 void EngineLimits::ApplyTold(const InstanceId& instance, double per_second) {
   const core::SteadyTime now = clock_.Now();
   Limit& limit = limits_[instance];
-  // A peer may tell of a limit for a while after it has ended.
+  // Peers may still send a limit for a while after it has ended.
   if (limit.ended_at && now - *limit.ended_at < kToldFor) return;
   limit.told = per_second;
   limit.told_at = now;
--- a/src/fleet/engine_limits_base.h
+++ b/src/fleet/engine_limits_base.h
@@ -1,4 +1,4 @@
-/** @file engine_limits_base.h How many requests a second engines take. */
+/** @file engine_limits_base.h Rate limits that engines report. */
 #ifndef SAPPHIRE_FLEET_ENGINE_LIMITS_BASE_H_
 #define SAPPHIRE_FLEET_ENGINE_LIMITS_BASE_H_
 
@@ -12,63 +12,66 @@
 
 namespace sapphire::fleet {
 
-/** What an answer of an engine says of its limit. */
+/** The rate limit that an engine's answer reports. */
 struct LimitNotice {
-  /** Requests a second that the engine takes from all entries together;
-   * nothing: it names no limit. */
+  /** Requests per second that the engine accepts from all entries together;
+   * nothing if the answer has no limit. */
   std::optional<double> per_second;
-  /** It names one that can't be read: what was known holds on. */
+  /** True if the answer has a limit that can't be parsed; the known limit then
+   * remains valid. */
   bool unreadable = false;
 };
 
-/** What a notice has changed. */
+/** Effect of a notice on the known limit. */
 enum class LimitChange { kNone, kNamed, kEnded };
 
-/** Limits that engines have named, to this entry or to its peers, and engines
- * that are throttled for a moment as their limit is used up. One thread. */
+/** Rate limits that engines have reported to this entry or to its peers, and
+ * engines that are throttled as their limit is used up. Not thread-safe. */
 class EngineLimits {
  public:
-  /** @pre `clock` outlives it. */
+  /** @pre `clock` outlives this object. */
   explicit EngineLimits(const core::Clock& clock) : clock_(clock) {}
 
   /**
-   * Takes an answer's notice.
-   * @param sent When the request was sent. Answers overtake each other: one
+   * Applies the limit, or its absence, in an engine's answer.
+   * @param sent When the request was sent. Answers may arrive out of order: one
    *   without a limit ends the limit only if its request was sent after the
-   *   limit was last named.
+   *   limit was last reported.
    */
   LimitChange Apply(const InstanceId& instance, const LimitNotice& notice,
                     core::SteadyTime sent);
 
-  /** A peer was named this limit lately. */
+  /** Applies a limit that a peer has recently received from the engine. */
   void ApplyTold(const InstanceId& instance, double per_second);
 
-  /** @return Requests a second of all entries together; nothing: no limit. */
+  /** @return Requests per second of all entries together; nothing if the engine
+   * has no limit. */
   [[nodiscard]] std::optional<double> RateOf(const InstanceId& instance) const;
 
-  /** No request goes to the engine for this long. */
+  /** Marks the engine as not to be sent requests for this time. */
   void Throttle(const InstanceId& instance, std::chrono::milliseconds time);
-  /** @return How long the engine is still throttled; 0: it is not. */
+  /** @return Remaining time for which the engine is throttled, or 0. */
   [[nodiscard]] std::chrono::milliseconds ThrottledFor(
       const InstanceId& instance) const;
 
-  /** @return What engines have named to this entry lately, for its peers. */
+  /** @return Limits that engines have recently reported to this entry, to be
+   * sent to its peers. */
   [[nodiscard]] std::map<InstanceId, double> NamedLately() const;
 
-  /** @return How many engines have a limit now. */
+  /** @return Number of engines that have a limit. */
   [[nodiscard]] int limited() const;
 
-  /** Forgets engines that are not in `alive`. */
+  /** Removes engines that are not in `alive`. */
   void Forget(const std::set<InstanceId>& alive);
 
  private:
   struct Limit {
-    /** Named to this entry. */
+    /** Rate reported to this entry. */
     std::optional<double> named;
     core::SteadyTime named_at;
-    /** An answer without a limit came. */
+    /** When an answer without a limit ended the limit. */
     std::optional<core::SteadyTime> ended_at;
-    /** Told by a peer. */
+    /** Rate received from a peer. */
     std::optional<double> told;
     core::SteadyTime told_at;
     core::SteadyTime throttled_until;
--- a/src/fleet/engine_limits_test.cc
+++ b/src/fleet/engine_limits_test.cc
@@ -1,4 +1,4 @@
-/** @file engine_limits_test.cc Tests of the limits that engines name. */
+/** @file engine_limits_test.cc Tests of the rate limits that engines report. */
 #define BOOST_TEST_MODULE engine_limits
 #include <boost/test/unit_test.hpp>
 
@@ -23,7 +23,8 @@
 
 }  // namespace
 
-/** Guards against an old answer that ends a limit which came after it. */
+/** Guards against a late answer to an earlier request that ends a newer limit.
+ */
 BOOST_AUTO_TEST_CASE(AnswerThatWasOvertakenDoesNotEndALimit) {
   Rig rig;
   const core::SteadyTime before = rig.clock.Now();
@@ -35,7 +36,7 @@
   BOOST_TEST(!rig.limits.RateOf(kEngine));
 }
 
-/** Guards against a limit that is lost when its next notice can't be read. */
+/** Guards against a limit that is lost when a later one can't be parsed. */
 BOOST_AUTO_TEST_CASE(UnreadableNoticeChangesNothing) {
   Rig rig;
   rig.Answer({2.0}, rig.clock.Now());
@@ -52,7 +53,7 @@
   BOOST_TEST(*rig.limits.RateOf(kEngine) == 0.5);
 }
 
-/** Guards against peers that keep a limit up among themselves after its end. */
+/** Guards against peers that keep sending an ended limit to each other. */
 BOOST_AUTO_TEST_CASE(LimitThatAPeerToldEndsByItself) {
   Rig rig;
   rig.limits.ApplyTold(kEngine, 3.0);
@@ -62,7 +63,7 @@
   BOOST_TEST(!rig.limits.RateOf(kEngine));
 }
 
-/** Guards against a peer that has not yet heard of a limit's end. */
+/** Guards against a peer that still sends a limit after its end. */
 BOOST_AUTO_TEST_CASE(OwnAnswerCountsMoreThanALateWordOfAPeer) {
   Rig rig;
   rig.Answer({2.0}, rig.clock.Now());
--- a/src/fleet/engine_loads.cc
+++ b/src/fleet/engine_loads.cc
@@ -1,5 +1,5 @@
-/** @file engine_loads.cc What this entry has sent to each engine, and how it
- * went. */
+/** @file engine_loads.cc Tracks the requests that this entry has sent to each
+ * engine, and their results. */
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -11,21 +11,23 @@
 
 namespace {
 
-/** Weight of the latest result: three failures in a row make a rate of 0.66. */
+/** Weight of the latest result in the failure rate: three failures in a row
+ * make a rate of 0.66. */
 constexpr double kLatestWeight = 0.3;
-/** A rate that nothing confirms halves in this time, so that an engine left
- * alone for its failures is tried again. */
+/** Half-life of the failure rate without new results, so that an engine that
+ * got no requests because of its failures is tried again. */
 constexpr double kForgiveSeconds = 4;
-/** An engine that took no connection is tried again after this: a crashed one
- * is back after some seconds. */
+/** An engine that accepted no connection is tried again after this time: a
+ * crashed one restarts within seconds. */
 constexpr std::chrono::milliseconds kTryAgain{1000};
-/** Engines' entries are behind them by this much at most: they write every
- * second or so, and what follows the store gathers as long. */
+/** Maximum delay until an engine's entry shows a change: engines write their
+ * entry about every second, and watchers of the store batch changes for as
+ * long. */
 constexpr std::chrono::milliseconds kEntryLag{2500};
-/** Prompt parts remembered an engine; each costs some 100 bytes. */
+/** Maximum number of prompt parts kept per engine, at about 100 bytes each. */
 constexpr std::size_t kMaxPrefixes = 512;
 
-/** A request for an adapter uses its model too. */
+/** @return The part, and for an adapter also its model, which is used too. */
 std::vector<UsedPart> PartsOf(const UsedPart& part) {
   if (part.adapter.empty()) return {part};
   return {part, UsedPart{part.model, core::AdapterId()}};
--- a/src/fleet/engine_loads_base.h
+++ b/src/fleet/engine_loads_base.h
@@ -1,5 +1,5 @@
-/** @file engine_loads_base.h What this entry has sent to each engine, and how
- * it went. */
+/** @file engine_loads_base.h Tracks the requests that this entry has sent to
+ * each engine, and their results. */
 #ifndef SAPPHIRE_FLEET_ENGINE_LOADS_BASE_H_
 #define SAPPHIRE_FLEET_ENGINE_LOADS_BASE_H_
 
@@ -19,90 +19,97 @@
 
 namespace sapphire::fleet {
 
-/** How an engine dealt with a request. */
+/** Result of a request that was sent to an engine. */
 enum class SendResult {
-  kServed,     ///< A whole answer, or one that goes on well.
-  kRefused,    ///< It said that it did not run it.
-  kFailed,     ///< No answer, a broken one, or a failure of the engine.
-  kAbandoned,  ///< Ended from our side: the caller left or time ran out.
+  kServed,     ///< A complete answer, or one that is still being sent.
+  kRefused,    ///< The engine answered that it did not run the request.
+  kFailed,     ///< No answer, an incomplete one, or an engine error.
+  kAbandoned,  ///< Ended by this entry: the caller left or it timed out.
 };
 
-/** One request at an engine. */
+/** Identifies one request at an engine. */
 struct SendTicket {
   InstanceId instance;
   std::int64_t number = 0;
 };
 
-/** One thread. */
+/** Requests in progress, failures and loaded models of each engine, as observed
+ * by this entry. Not thread-safe. */
 class EngineLoads {
  public:
-  /** @pre `clock` outlives it. */
+  /** @pre `clock` outlives this object. */
   explicit EngineLoads(const core::Clock& clock);
 
-  /** @return How many requests engines take. */
+  /** @return Rate limits that the engines have reported. */
   [[nodiscard]] EngineLimits& limits() { return limits_; }
   [[nodiscard]] const EngineLimits& limits() const { return limits_; }
 
+  /** Records that a request is sent. */
   SendTicket Begin(const InstanceId& instance, const UsedPart& part);
-  /** The first byte of the answer has come. */
+  /** Records that the first byte of the answer was received. */
   void NoteAnswer(const SendTicket& ticket);
-  /** A part of the answer has come. */
+  /** Records that a part of the answer was received. */
   void NoteHeard(const SendTicket& ticket);
   void End(const SendTicket& ticket, SendResult result);
 
-  /** @return Requests in progress there, from here. */
+  /** @return Number of this entry's requests in progress at the engine. */
   [[nodiscard]] int Running(const InstanceId& instance) const;
 
-  /** @return Share of the latest requests that failed, 0 to 1. */
+  /** @return Moving average of failed requests, 0 to 1. */
   [[nodiscard]] double FailureRate(const InstanceId& instance) const;
 
   /**
-   * @return How long the oldest request without a first byte waits, or how long
-   *   no stream there has given a part, whichever is longer.
+   * @return The waiting time of the oldest request without a first byte, or the
+   *   time since the last part of any stream, whichever is longer.
    *
-   * Tells of a frozen engine before new requests there have timed out.
+   * Detects a frozen engine before new requests to it have timed out.
    */
   [[nodiscard]] std::chrono::milliseconds OldestSilence(
       const InstanceId& instance) const;
 
-  /** No connection could be made. */
+  /** Records that no connection to the engine could be made. */
   void NoteUnreachable(const InstanceId& instance);
 
-  /** @return True if it was so a moment ago: no sense in trying at once. */
+  /** @return True if a connection has just failed, so that it is too early to
+   * retry. */
   [[nodiscard]] bool Unreachable(const InstanceId& instance) const;
 
-  /** @return What this entry itself uses there. */
+  /** @return This entry's own use of the model or adapter at the engine. */
   [[nodiscard]] Usage UseOf(const InstanceId& instance,
                             const UsedPart& part) const;
 
-  /** The engine said that it does not hold this. */
+  /** Records that the engine has not loaded this. */
   void NoteLacking(const InstanceId& instance, const UsedPart& part);
 
-  /** The engine has loaded it. */
+  /** Records that the engine has loaded this. */
   void NoteLoaded(const InstanceId& instance, const UsedPart& part);
 
-  /** @return True if it was so a moment ago: its entry is behind it. */
+  /** @return True if the engine loaded this so recently that its entry in the
+   * store may not show it yet. */
   [[nodiscard]] bool HasLoaded(const InstanceId& instance,
                                const UsedPart& part) const;
 
-  /** @return True if it was so a moment ago: its entry is behind it. */
+  /** @return True if the engine was found not to have loaded this so recently
+   * that its entry in the store may still name it. */
   [[nodiscard]] bool Lacks(const InstanceId& instance,
                            const UsedPart& part) const;
 
-  /** Notes the prompt parts that an engine has read, newest last. */
+  /** Records the prompt parts that an engine has processed. */
   void NotePrefix(const InstanceId& instance, const core::ModelId& model,
                   const std::vector<std::uint64_t>& part_hashes);
 
-  /** @return How many leading parts the engine has read lately. */
+  /** @return Number of leading prompt parts that the engine has recently
+   * processed. */
   [[nodiscard]] std::size_t KnownParts(
       const InstanceId& instance, const core::ModelId& model,
       const std::vector<std::uint64_t>& part_hashes) const;
 
-  /** @return What is in progress from here, or began within `time`. */
+  /** @return Use by this entry that is in progress or began within `time`. */
   [[nodiscard]] std::map<InstanceId, UsageTable> RecentUse(
       std::chrono::milliseconds time) const;
 
-  /** Forgets engines that are not in `alive` and have nothing in progress. */
+  /** Removes engines that are not in `alive` and have no requests in progress.
+   */
   void Forget(const std::set<InstanceId>& alive);
 
  private:
@@ -110,7 +117,8 @@
     UsedPart part;
     core::SteadyTime at;
     bool answered = false;
-    /** When the last part came; its begin before that. */
+    /** When the last part of the answer was received; until then, when the
+     * request was sent. */
     core::SteadyTime heard;
   };
   struct Load {
@@ -123,7 +131,7 @@
     std::map<UsedPart, core::SteadyTime> loaded;
     double failure_rate = 0;
     core::SteadyTime last_result;
-    /** Hashes of model and prompt parts read there, and when. */
+    /** When each prompt part was last processed, by hash of model and part. */
     std::map<std::uint64_t, core::SteadyTime> prefixes;
     std::deque<std::uint64_t> prefix_order;
   };
--- a/src/fleet/engine_loads_test.cc
+++ b/src/fleet/engine_loads_test.cc
@@ -1,4 +1,5 @@
-/** @file engine_loads_test.cc Tests of what an entry knows of its own sends. */
+/** @file engine_loads_test.cc Tests of how an entry tracks its own
+ * requests to engines. */
 #define BOOST_TEST_MODULE engine_loads
 #include <boost/test/unit_test.hpp>
 #include <chrono>
@@ -17,10 +18,10 @@
 }  // namespace
 
 /**
- * Callers who have left keep an engine at work, and new ones wait there.
- * The engine's VM freezes while streams are at work. None of them fails and no
- * request without a first byte is old yet, so the engine looked as good as any;
- * requests sent there can't be called back before it wakes.
+ * Guards against new requests being sent to a frozen engine. When the engine's
+ * VM freezes during streams, none of them fails and no request without a first
+ * byte is old yet, so the engine looked healthy. Requests sent to it can't be
+ * cancelled before it resumes.
  */
 BOOST_AUTO_TEST_CASE(AnEngineWhoseStreamsAllPauseIsSilent) {
   core::ManualClock clock;
@@ -34,7 +35,7 @@
   }
   clock.Advance(milliseconds(700));
   BOOST_TEST((loads.OldestSilence(kEngine) == milliseconds(700)));
-  // One of them speaks: the engine lives, the other only waits its turn.
+  // One stream sends data: the engine is alive, the other stream only waits.
   loads.NoteHeard(second);
   clock.Advance(milliseconds(40));
   BOOST_TEST((loads.OldestSilence(kEngine) == milliseconds(40)));
--- a/src/fleet/engine_registry.cc
+++ b/src/fleet/engine_registry.cc
@@ -1,4 +1,5 @@
-/** @file engine_registry.cc Which engines there are, by their own entries. */
+/** @file engine_registry.cc Keeps the list of engines from their entries in
+ * the store. */
 #include <set>
 #include <utility>
 
@@ -18,7 +19,7 @@
 void EngineRegistry::NoteReplaced(const InstanceId& instance) {
   replaced_.insert_or_assign(instance, clock_.Now());
   Drop(instance, "replaced");
-  // What was in doubt beside it has no rival any more.
+  // An entry deferred because of the replaced instance is valid now.
   const auto doubted = doubted_.find(EngineOf(instance));
   if (doubted == doubted_.end()) return;
   EngineEntry entry = std::move(doubted->second.entry);
@@ -42,7 +43,8 @@
   const InstanceId known = StartOf(engine);
   const auto known_born = BirthOf(known);
   const auto born = BirthOf(entry.instance);
-  // An engine that tells when it started always does: another wrote this.
+  // An engine that reports its start time always does, so this entry was
+  // written by something else.
   if (known_born && !born) {
     PutUnreadable(engine);
     return;
@@ -59,8 +61,8 @@
              {{"instance", entry.instance},
               {"known", known},
               {"draining", entry.draining}});
-  // A notice to leave counts at once, whichever start it is of; if the known
-  // start lives, its next entry takes it back.
+  // A draining notice takes effect at once, whichever instance wrote it. If the
+  // known instance is alive, its next entry reverts this.
   if (entry.draining) {
     engines_.at(known).draining = true;
     ++generation_;
@@ -69,7 +71,8 @@
   const auto [it, first] =
       doubted_.try_emplace(engine, Doubted{entry, clock_.Now()});
   if (first) return;
-  // It has written on while the known start was silent: the wait goes on.
+  // Another entry of the deferred instance doesn't restart the wait, as the
+  // known instance is still silent.
   if (it->second.entry.instance != entry.instance) {
     it->second.since = clock_.Now();
   }
--- a/src/fleet/engine_registry_base.h
+++ b/src/fleet/engine_registry_base.h
@@ -1,5 +1,5 @@
-/** @file engine_registry_base.h Which engines there are, by their own entries.
- */
+/** @file engine_registry_base.h Keeps the list of engines from their entries in
+ * the store. */
 #ifndef SAPPHIRE_FLEET_ENGINE_REGISTRY_BASE_H_
 #define SAPPHIRE_FLEET_ENGINE_REGISTRY_BASE_H_
 
@@ -17,16 +17,17 @@
 namespace sapphire::fleet {
 
 struct RegistryOptions {
-  /** A start that seems to be before the one that is known is believed after
-   * this long without a word of the latter: engines write their entries about
-   * every second, and one whose entry was overwritten writes it anew. */
+  /** An instance with an earlier start time than the known one is accepted
+   * after this time without an entry of the known one: engines write their
+   * entries about every second, and rewrite an entry that was overwritten. */
   std::chrono::milliseconds doubt{2500};
-  /** An engine that another one answered for is not taken up again for this
-   * long: entries of engines that are gone stay for three heartbeats. */
+  /** An instance at whose address another one has answered is ignored for this
+   * time: the entry of a stopped engine remains for three heartbeats. */
   std::chrono::milliseconds replaced_for{5000};
 };
 
-/** Engines that have registered and have not gone. One thread. */
+/** Engines that have registered and are not known to be gone. Not thread-safe.
+ */
 class EngineRegistry {
  public:
   /** @pre `clock` and `log` outlive the registry. */
@@ -34,88 +35,89 @@
                  const core::Logger& log);
 
   /**
-   * An engine has registered or changed its entry. A later start under the same
-   * name takes the place of the one before.
+   * Adds or updates an engine from its entry. An instance with a later start
+   * time replaces the known instance of the same engine.
    *
-   * An entry of an earlier start is held back until the known start has been
-   * silent for `doubt`: it may be late. Dropping it would lock out an engine
-   * whose clock was set back.
+   * An entry with an earlier start time is deferred until the known instance
+   * has been silent for `RegistryOptions::doubt`, as it may have arrived late.
+   * Dropping it would lock out an engine whose clock was set back.
    */
   void Put(EngineEntry entry);
   /**
-   * The engine's entry can't be read, or was written by somebody else: there is
-   * no engine to use until a sound entry takes its place.
+   * Removes an engine whose entry can't be parsed or was written by something
+   * else, until a valid entry replaces it.
    */
   void PutUnreadable(const EngineId& engine);
 
   /**
-   * An entry was removed: the engine is gone.
-   * @param lapse_end If the store was away just before, the entry may have
-   *   lapsed with it: until then the engine is used on, as it may register
-   *   again.
+   * Removes an engine whose entry was removed from the store.
+   * @param lapse_end Set if the store has just been unavailable, so that the
+   *   entry may have expired in the outage. Until then the engine remains in
+   *   use, as it may register again.
    */
   void Remove(const EngineId& engine,
               std::optional<core::SteadyTime> lapse_end);
 
-  /** Another start answers at the engine's address: this one will not be back,
-   * whatever a late entry of it says. */
+  /** Removes an instance after another one has answered at its address. Late
+   * entries of the removed instance are ignored. */
   void NoteReplaced(const InstanceId& instance);
 
-  /** What the engine itself says that it holds, while its entry can't be read.
-   */
+  /** Sets the models that the engine itself reports, for use while its entry
+   * can't be read. */
   void NoteHoldings(const InstanceId& instance, std::vector<HeldModel> models,
                     NearCopies copies);
 
   /**
-   * Takes over a listing of all entries.
-   * @param lapse_end As for Remove, of engines that the listing does not name.
+   * Applies a listing of all entries.
+   * @param lapse_end As for Remove, for engines that are not in the listing.
    */
   void Replace(std::vector<EngineEntry> entries,
                std::optional<core::SteadyTime> lapse_end);
 
-  /** Drops engines that have not registered again and believes what was in
-   * doubt. Call it now and then. */
+  /** Removes engines that have not registered again in time and accepts
+   * deferred entries that are due. Must be called regularly. */
   void Expire();
 
-  /** @return Every engine, draining ones too, by instance. */
+  /** @return All engines, including draining ones, by instance. */
   [[nodiscard]] const std::map<InstanceId, EngineEntry>& engines() const {
     return engines_;
   }
 
-  /** @return How many are still used though the store does not name them. */
+  /** @return Number of engines that remain in use although they are missing
+   * from the store. */
   [[nodiscard]] int held() const { return static_cast<int>(missing_.size()); }
 
   [[nodiscard]] const EngineEntry* Find(const InstanceId& instance) const;
 
-  /** Counts every change; readers compare it to see that nothing moved. */
+  /** @return Counter of all changes, for readers to detect them. */
   [[nodiscard]] std::int64_t generation() const { return generation_; }
 
  private:
-  /** An entry that seems older than what is known. */
+  /** A deferred entry, with an earlier start time than the known instance. */
   struct Doubted {
     EngineEntry entry;
     core::SteadyTime since;
   };
 
   void Accept(EngineEntry entry);
-  /** Keeps an entry that seems older than the `known` start back. */
+  /** Defers an entry with an earlier start time than the `known` instance. */
   void Doubt(EngineEntry entry, const InstanceId& known);
-  /** Keeps an engine that the store does not name in use until `gone_at`. */
+  /** Keeps an engine that is missing from the store in use until `gone_at`. */
   void Hold(const InstanceId& instance, core::SteadyTime gone_at);
   void Drop(const InstanceId& instance, std::string_view reason);
   [[nodiscard]] bool IsReplaced(const InstanceId& instance) const;
-  /** @return The start that is known under this name; empty if none is. */
+  /** @return The known instance of the engine; empty if there is none. */
   [[nodiscard]] InstanceId StartOf(const EngineId& engine) const;
 
   const RegistryOptions options_;
   const core::Clock& clock_;
   const core::Logger& log_;
   std::map<InstanceId, EngineEntry> engines_;
-  /** When each engine that the store does not name counts as gone. */
+  /** When each engine that is missing from the store is to be removed. */
   std::map<InstanceId, core::SteadyTime> missing_;
   std::map<EngineId, InstanceId> starts_;
   std::map<EngineId, Doubted> doubted_;
-  /** When another start answered for each of these. */
+  /** When another instance answered at the address of each of these. */
   std::map<InstanceId, core::SteadyTime> replaced_;
   std::int64_t generation_ = 0;
 };
--- a/src/fleet/engine_registry_test.cc
+++ b/src/fleet/engine_registry_test.cc
@@ -1,5 +1,5 @@
-/** @file engine_registry_test.cc Tests of which engines, and which of their
- * starts, there are. */
+/** @file engine_registry_test.cc Tests of the list of engines and of which
+ * instance of each engine is used. */
 #define BOOST_TEST_MODULE engine_registry
 #include <boost/test/unit_test.hpp>
 #include <chrono>
@@ -42,7 +42,7 @@
             core::LogLevel::kError, clock),
         registry(RegistryOptions(), clock, log) {}
 
-  /** @return The start that is used; empty if there is none. */
+  /** @return The instance in use; empty if there is none. */
   [[nodiscard]] InstanceId Used() const {
     if (registry.engines().empty()) return {};
     BOOST_TEST(registry.engines().size() == 1U);
@@ -76,9 +76,9 @@
 }
 
 /**
- * Callers of a model are sent to an engine that has just restarted empty.
- * It crashed and started again under its name; what was known of its holdings
- * was taken for the new start's.
+ * Guards against requests for a model being sent to an engine that has crashed
+ * and restarted without models: the models known of the old instance were taken
+ * for those of the new one.
  */
 BOOST_AUTO_TEST_CASE(ALaterStartTakesThePlaceOfTheOneBefore) {
   Rig rig;
@@ -86,23 +86,23 @@
   rig.registry.Put(EntryOf(Start(20), "other"));
   BOOST_TEST((rig.Used() == Start(20)));
   BOOST_TEST(rig.registry.Find(Start(10)) == nullptr);
-  // Twice within one watch.
+  // Two restarts within one batch of changes.
   rig.registry.Put(EntryOf(Start(30)));
   rig.registry.Put(EntryOf(Start(40)));
   BOOST_TEST((rig.Used() == Start(40)));
 }
 
 /**
- * Callers of a model are sent to an engine that has lost it.
- * The engine restarted; its last entry from before arrives after the first of
- * the new start and brings the old holdings back.
+ * Guards against requests for a model being sent to a restarted engine that no
+ * longer has it: the last entry of the old instance arrives after the first one
+ * of the new instance and restores the old list of models.
  */
 BOOST_AUTO_TEST_CASE(AnEntryOfAnEarlierStartThatComesLastChangesNothing) {
   Rig rig;
   rig.registry.Put(EntryOf(Start(20)));
   rig.registry.Put(EntryOf(Start(10)));
   BOOST_TEST((rig.Used() == Start(20)));
-  // The living start writes its entry anew within a heartbeat.
+  // The running instance rewrites its entry within a heartbeat.
   rig.Pass(milliseconds(1200));
   rig.registry.Put(EntryOf(Start(20)));
   rig.Pass(milliseconds(10'000));
@@ -110,9 +110,9 @@
 }
 
 /**
- * A healthy engine gets no request for the rest of the day.
- * Its machine's clock was set back while it restarted, so that its new start
- * seems to be before the old one.
+ * Guards against a healthy engine that gets no requests until its clock has
+ * caught up: the clock was set back during the restart, so that the new
+ * instance has an earlier start time than the old one.
  */
 BOOST_AUTO_TEST_CASE(AStartWithAClockSetBackIsBelievedInTheEnd) {
   Rig rig;
@@ -124,7 +124,7 @@
   BOOST_TEST((rig.Used() == Start(10)));
 }
 
-/** The same, and a request has shown already that the old start is gone. */
+/** The same, but a request has already shown that the old instance is gone. */
 BOOST_AUTO_TEST_CASE(AStartInDoubtIsBelievedOnceItsRivalIsGone) {
   Rig rig;
   rig.registry.Put(EntryOf(Start(20)));
@@ -134,9 +134,9 @@
 }
 
 /**
- * An engine that restarted under its name gets no request for good.
- * A request found that its former start was gone, and the name was passed over
- * from then on.
+ * Guards against a restarted engine that never gets requests again: a request
+ * had found that the old instance was gone, and all later instances of the same
+ * engine were ignored too.
  */
 BOOST_AUTO_TEST_CASE(OnlyTheStartThatWasReplacedIsPassedOver) {
   Rig rig;
@@ -148,8 +148,8 @@
   BOOST_TEST((rig.Used() == Start(20)));
 }
 
-/** The same for an engine that does not tell when it started: its stale entry
- * is gone after three heartbeats, so a later one is of a new start. */
+/** The same for an engine that doesn't report its start time: its stale entry
+ * expires after three heartbeats, so a later entry is of a new instance. */
 BOOST_AUTO_TEST_CASE(AnEngineThatTellsNoStartComesBackAfterItsStaleEntry) {
   Rig rig;
   const InstanceId silent = MakeInstance(kEngine, std::nullopt);
@@ -164,10 +164,9 @@
 }
 
 /**
- * Requests reach an engine that has said that it leaves.
- * Its machine's clock was set back while it restarted, so its entries seem to
- * be of the start before and are held back for 2.5 s, longer than an engine
- * that leaves may still be used.
+ * Guards against requests being sent to a draining engine. Its clock was set
+ * back during a restart, so that its entries have an earlier start time and are
+ * deferred for 2.5 s, longer than a draining engine may still be used.
  */
 BOOST_AUTO_TEST_CASE(ANoticeToLeaveIsNotHeldBack) {
   Rig rig;
@@ -176,13 +175,13 @@
   leaving.draining = true;
   rig.registry.Put(leaving);
   BOOST_TEST(rig.registry.Find(Start(20))->draining);
-  // It was a late entry of the start before: the living one writes its own.
+  // If it was a late entry of the old instance, the running one reverts it.
   rig.registry.Put(EntryOf(Start(20)));
   BOOST_TEST(!rig.registry.Find(Start(20))->draining);
 }
 
-/** The same, and it writes several entries meanwhile: each began the wait anew.
- */
+/** Guards against a deferred instance that is never accepted, because each of
+ * its further entries restarted the wait. */
 BOOST_AUTO_TEST_CASE(AStartInDoubtThatWritesOnIsBelievedInTheEnd) {
   Rig rig;
   rig.registry.Put(EntryOf(Start(20)));
@@ -194,9 +193,9 @@
 }
 
 /**
- * Callers are sent to an address that somebody else has written.
- * Another writer overwrites an engine's entry: it names no engine to use until
- * the engine writes its own again; others are not touched.
+ * Guards against requests being sent to an address that another writer has put
+ * into an engine's entry. The engine is not used until it writes its own entry
+ * again; other engines are not affected.
  */
 BOOST_AUTO_TEST_CASE(AnUnreadableEntryNamesNoEngine) {
   Rig rig;
@@ -207,15 +206,15 @@
   BOOST_TEST((rig.Used() == other));
   rig.registry.Put(EntryOf(Start(10)));
   BOOST_TEST(rig.registry.engines().size() == 2U);
-  // An engine that tells when it started always does.
+  // An engine that reports its start time always does.
   rig.registry.Put(EntryOf(MakeInstance(kEngine, std::nullopt)));
   BOOST_TEST((rig.Used() == other));
 }
 
 /**
- * Callers are refused although the engine is back.
- * The store was away, the engine's entry lapsed with it, and the engine has
- * restarted meanwhile: its new entry ends the wait for the old one.
+ * Guards against requests being refused although the engine is running again.
+ * Its entry expired in a store outage, and it restarted meanwhile: the entry of
+ * the new instance ends the wait for the old one.
  */
 BOOST_AUTO_TEST_CASE(ARestartWhileTheStoreWasAwayIsNoLoss) {
   Rig rig;
@@ -225,7 +224,8 @@
   rig.registry.Put(EntryOf(Start(20)));
   rig.Pass(milliseconds(5000));
   BOOST_TEST((rig.Used() == Start(20)));
-  // And one that is not listed any more after an outage goes after its grace.
+  // An engine missing from the listing after an outage is removed at the end of
+  // its grace period.
   rig.registry.Replace({}, rig.clock.Now() + milliseconds(2000));
   BOOST_TEST((rig.Used() == Start(20)));
   rig.Pass(milliseconds(2000));
@@ -238,7 +238,8 @@
   rig.registry.Put(EntryOf(Start(20)));
   rig.registry.Remove(kEngine, std::nullopt);
   BOOST_TEST((rig.Used() == InstanceId()));
-  // The clock may have been set back by now: no rival, no doubt.
+  // An earlier start time, after the clock was set back, is accepted at once,
+  // as no other instance is known.
   rig.registry.Put(EntryOf(Start(15)));
   BOOST_TEST((rig.Used() == Start(15)));
 }
--- a/src/fleet/engine_type.h
+++ b/src/fleet/engine_type.h
@@ -1,4 +1,4 @@
-/** @file engine_type.h Engines as they describe themselves. */
+/** @file engine_type.h The registration of an engine in the store. */
 #ifndef SAPPHIRE_FLEET_ENGINE_TYPE_H_
 #define SAPPHIRE_FLEET_ENGINE_TYPE_H_
 
@@ -15,31 +15,32 @@
 
 namespace sapphire::fleet {
 
-/** A model that an engine holds in its accelerators. */
+/** A model that is loaded in an engine's accelerators. */
 struct HeldModel {
   core::ModelId model;
   std::int64_t version = 0;
   std::set<core::AdapterId> adapters;
 };
 
-/** Models whose checkpoints an engine has near, besides those it holds. */
+/** Models that an engine has not loaded, but whose checkpoints are cached on
+ * its VM. */
 struct NearCopies {
   std::set<core::ModelId> in_memory;
   std::set<core::ModelId> on_disk;
 };
 
-/** What an engine tells of itself when it registers. */
+/** The entry that an engine writes to the store to register. */
 struct EngineEntry {
   InstanceId instance;
   core::ServiceId service;
   /** "ip:port". */
   std::string address;
   core::ZoneId zone;
-  /** Requests it works on at once. */
+  /** Maximum number of requests that it runs concurrently. */
   int max_running = 1;
-  /** It takes no new requests and will be gone. */
+  /** True if it accepts no new requests and is about to stop. */
   bool draining = false;
-  /** How much longer it is slow after its start. */
+  /** Remaining time for which it is slow after its start. */
   std::chrono::milliseconds warm_up_left{0};
   std::vector<HeldModel> models;
   NearCopies copies;
--- a/src/fleet/entry_message.cc
+++ b/src/fleet/entry_message.cc
@@ -1,4 +1,5 @@
-/** @file entry_message.cc What entries tell each other, as bytes. */
+/** @file entry_message.cc Encodes and decodes the messages between entries
+ * and their values in the store. */
 #include <thrift/protocol/TCompactProtocol.h>
 #include <thrift/transport/TBufferTransports.h>
 
@@ -19,7 +20,7 @@
 namespace {
 
 constexpr double kPerThousandSeconds = 1000;
-/** Told of a part of which no use is known. */
+/** Idle time that is sent for a part without any known use. */
 constexpr std::int64_t kNeverUsed = -1;
 
 template <typename T>
@@ -75,7 +76,7 @@
 
 gen::EntryDatagram DecodeDatagram(std::string_view bytes) {
   gen::EntryDatagram datagram = DecodeAny<gen::EntryDatagram>(bytes);
-  // Foreign bytes may decode as a message without any field.
+  // Bytes from an unrelated sender may decode as a message without fields.
   const bool has_sender =
       (datagram.__isset.record && !datagram.record.entry.empty()) ||
       (datagram.__isset.quota_ask && !datagram.quota_ask.entry.empty()) ||
--- a/src/fleet/entry_message_func.h
+++ b/src/fleet/entry_message_func.h
@@ -1,4 +1,5 @@
-/** @file entry_message_func.h What entries tell each other, as bytes. */
+/** @file entry_message_func.h Encodes and decodes the messages between
+ * entries and their values in the store. */
 #ifndef SAPPHIRE_FLEET_ENTRY_MESSAGE_FUNC_H_
 #define SAPPHIRE_FLEET_ENTRY_MESSAGE_FUNC_H_
 
@@ -11,29 +12,32 @@
 
 namespace sapphire::fleet {
 
-/** Keys of all entries' presence in the store. */
+/** Prefix of the keys of all entries' presences in the store. */
 inline constexpr std::string_view kEntryPrefix = "entries/";
-/** Keys of all engines' leases in the store; an engine's address follows. */
+/** Prefix of the keys of all engines' leases in the store, followed by the
+ * engine's address. */
 inline constexpr std::string_view kEngineLeasePrefix = "engine-leases/";
 
-/** @return Bytes in Thrift's compact protocol. */
+/** @return The message in Thrift's compact protocol. */
 std::string Encode(const gen::EntryPresence& presence);
 std::string Encode(const gen::EntryDatagram& datagram);
 std::string Encode(const gen::EngineHolder& holder);
 
-/** @throws core::Error kMalformedRequest if the bytes are something else. */
+/** @throws core::Error kMalformedRequest if the bytes are not such a message,
+ * or it lacks a valid address or a sender. */
 gen::EntryPresence DecodePresence(std::string_view bytes);
 gen::EntryDatagram DecodeDatagram(std::string_view bytes);
 gen::EngineHolder DecodeEngineHolder(std::string_view bytes);
 
-/** @return Use as it is told; times as the time since. */
+/** @return The use as sent to other entries, with the time since the last
+ * request instead of its time. */
 gen::ResidentUse TellUse(const UsedPart& part, const Usage& usage,
                          core::SteadyTime now);
 
-/** @return Use as it was told at `now`. */
+/** @return The use in a message that was received at `now`. */
 Usage ReadUse(const gen::ResidentUse& told, core::SteadyTime now);
 
-/** @return What the use is of. */
+/** @return The model or adapter that the use is of. */
 UsedPart PartOf(const gen::ResidentUse& told);
 
 }  // namespace sapphire::fleet
--- a/src/fleet/instance.cc
+++ b/src/fleet/instance.cc
@@ -1,4 +1,4 @@
-/** @file instance.cc The parts of an engine's start. */
+/** @file instance.cc Builds and parses the identifiers of engine instances. */
 #include <charconv>
 #include <string>
 #include <string_view>
@@ -11,7 +11,8 @@
 
 constexpr char kMark = '@';
 
-/** @return Where the time of the start is marked; npos if there is none. */
+/** @return Position of the separator before the start time; npos if the text
+ * has no start time. */
 std::size_t MarkOf(std::string_view text) {
   const std::size_t mark = text.rfind(kMark);
   if (mark == std::string_view::npos || mark + 1 == text.size()) {
--- a/src/fleet/instance_func.h
+++ b/src/fleet/instance_func.h
@@ -1,4 +1,5 @@
-/** @file instance_func.h The parts of an engine's start. */
+/** @file instance_func.h Builds and parses the identifiers of engine
+ * instances. */
 #ifndef SAPPHIRE_FLEET_INSTANCE_FUNC_H_
 #define SAPPHIRE_FLEET_INSTANCE_FUNC_H_
 
@@ -8,14 +9,15 @@
 
 namespace sapphire::fleet {
 
-/** @param born Nothing if the engine does not tell. */
+/** @param born Nothing if the engine doesn't report its start time. */
 InstanceId MakeInstance(const EngineId& engine,
                         std::optional<EngineBirth> born);
 
-/** @return The engine's name. */
+/** @return The name of the instance's engine. */
 EngineId EngineOf(const InstanceId& instance);
 
-/** @return When it started; nothing if the engine does not tell. */
+/** @return When the instance started; nothing if the engine doesn't report it.
+ */
 std::optional<EngineBirth> BirthOf(const InstanceId& instance);
 
 }  // namespace sapphire::fleet
--- a/src/fleet/instance_type.h
+++ b/src/fleet/instance_type.h
@@ -1,4 +1,4 @@
-/** @file instance_type.h One start of an engine. */
+/** @file instance_type.h Identifiers of engines and of their instances. */
 #ifndef SAPPHIRE_FLEET_INSTANCE_TYPE_H_
 #define SAPPHIRE_FLEET_INSTANCE_TYPE_H_
 
@@ -8,20 +8,21 @@
 
 namespace sapphire::fleet {
 
-/** The name under which an engine registers; it may keep it over restarts. */
+/** The name under which an engine registers; may stay the same after a restart.
+ */
 using EngineId = core::StrongId<struct EngineTag>;
 
-/** When an engine started, by its own clock. Says which of two starts under
- * one name an answer is about; not compared with times of other machines. */
+/** When an engine started, by its own clock. Distinguishes the instances of one
+ * engine; never compared with times of other machines. */
 using EngineBirth = std::chrono::time_point<std::chrono::system_clock,
                                             std::chrono::milliseconds>;
 
 /**
- * One start of an engine: its name and the time of its start. Whatever is
- * believed of an engine is believed of one start, as a later one under the same
- * name holds and knows nothing of before. Its text, "NAME@MILLISECONDS", goes
- * into logs and between our processes; an engine that does not tell when it
- * started has a new name at each start, and its text is the name alone.
+ * One run of an engine process, identified by the engine's name and start time.
+ * All state about engines is kept per instance, as a restarted engine has lost
+ * its models and its state. The text form, "NAME@MILLISECONDS", is used in logs
+ * and between the processes of this system. An engine that doesn't report its
+ * start time has a new name after each start; its text form is the name alone.
  */
 using InstanceId = core::StrongId<struct InstanceTag>;
 
--- a/src/fleet/model_usage.cc
+++ b/src/fleet/model_usage.cc
@@ -1,4 +1,4 @@
-/** @file model_usage.cc How much models and adapters are in use. */
+/** @file model_usage.cc Tracks the use of models and adapters. */
 #include <algorithm>
 #include <cmath>
 
@@ -8,8 +8,9 @@
 
 namespace {
 
-/** Time over which demand is averaged: rare models are asked for every half
- * minute, and demand that moves to other models shows within seconds. */
+/** Time constant of the demand's moving average: rare models get a request
+ * every half minute, and demand that shifts to other models must show within
+ * seconds. */
 constexpr double kAverageSeconds = 15;
 
 }  // namespace
--- a/src/fleet/model_usage_base.h
+++ b/src/fleet/model_usage_base.h
@@ -1,4 +1,4 @@
-/** @file model_usage_base.h How much models and adapters are in use. */
+/** @file model_usage_base.h Tracks the use of models and adapters. */
 #ifndef SAPPHIRE_FLEET_MODEL_USAGE_BASE_H_
 #define SAPPHIRE_FLEET_MODEL_USAGE_BASE_H_
 
@@ -9,38 +9,40 @@
 
 namespace sapphire::fleet {
 
-/** Adds up requests that have begun and that are in progress. One thread. */
+/** Counts requests in progress and averages the rate of new ones, per model and
+ * adapter. Not thread-safe. */
 class ModelUsage {
  public:
-  /** @pre `clock` outlives it. */
+  /** @pre `clock` outlives this object. */
   explicit ModelUsage(const core::Clock& clock) : clock_(clock) {}
 
-  /** A request has begun. */
+  /** Records that a request has begun now. */
   void NoteBegun(const UsedPart& part);
 
-  /** So many more, or fewer, are in progress. */
+  /** Changes the number of requests in progress. */
   void AddRunning(const UsedPart& part, int change);
 
-  /** So many more, or fewer, begin each second. */
+  /** Changes the demand, in requests per second. */
   void AddDemand(const UsedPart& part, double change);
 
-  /** One began then. */
+  /** Records that a request began at `time`. */
   void NoteLastBegun(const UsedPart& part, core::SteadyTime time);
 
   [[nodiscard]] Usage Of(const UsedPart& part) const;
 
-  /** @return What is in progress, or began within `time`. */
+  /** @return Use of all models and adapters with requests that are in progress
+   * or began within `time`. */
   [[nodiscard]] UsageTable Recent(std::chrono::milliseconds time) const;
 
-  /** @return Requests in progress; those for adapters count with their models.
-   */
+  /** @return Number of requests in progress. Requests for an adapter are
+   * counted once, with its model. */
   [[nodiscard]] int running() const { return running_; }
 
  private:
   struct Counts {
     int running = 0;
     double demand = 0;
-    /** When `demand` was worked out. */
+    /** When `demand` was last updated. */
     core::SteadyTime demand_at;
     std::optional<core::SteadyTime> last_begun;
   };
@@ -53,7 +55,7 @@
   int running_ = 0;
 };
 
-/** @return What is left of a demand of which nothing was heard for so long. */
+/** @return The demand after exponential decay for the given time. */
 double DecayedDemand(double demand, std::chrono::duration<double> age);
 
 }  // namespace sapphire::fleet
--- a/src/fleet/order_calls.cc
+++ b/src/fleet/order_calls.cc
@@ -1,4 +1,5 @@
-/** @file order_calls.cc Asks the processes that order engines for loads. */
+/** @file order_calls.cc Requests model loads from the processes that
+ * control the engines. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -18,7 +19,7 @@
 
 namespace {
 
-/** @return True if the process was not reached, or does not order the engine.
+/** @return True if the process was not reached, or doesn't control the engine.
  */
 bool IsUnreachable(ErrorCode code) {
   return code == ErrorCode::kLinkLost || code == ErrorCode::kNotHolder;
@@ -69,8 +70,8 @@
   co_await call->Receive(timeout);
 }
 
-/** @return The holder of the engine's lease; the process beside the engine if
- * none is known. */
+/** @return The holder of the engine's lease; if none is known, the endpoint
+ * process on the engine's VM. */
 OrderCalls::Target OrderCalls::TargetOf(const InstanceId& instance) const {
   const EngineEntry* engine = registry_.Find(instance);
   if (engine == nullptr) {
@@ -93,7 +94,7 @@
   Failures& failures = failures_[target.engine];
   const bool again =
       failures.fence == target.fence && failures.pause > milliseconds(0);
-  // Asked together with one that has failed already.
+  // Sent at the same time as a request whose failure was already recorded.
   if (again && now < failures.until) return;
   failures.fence = target.fence;
   failures.pause = again ? std::min(2 * failures.pause, options_.last_pause)
@@ -116,7 +117,7 @@
   if (it == failures_.end()) return milliseconds(0);
   const EngineHolder* holder = holders_.Find(engine->address);
   const std::int64_t fence = holder == nullptr ? 0 : holder->revision;
-  // Another holder has not been asked yet.
+  // The failures were those of another holder.
   if (fence != it->second.fence) return milliseconds(0);
   const auto left =
       std::chrono::ceil<milliseconds>(it->second.until - clock_.Now());
--- a/src/fleet/order_calls_base.h
+++ b/src/fleet/order_calls_base.h
@@ -1,4 +1,5 @@
-/** @file order_calls_base.h Asks the processes that order engines for loads. */
+/** @file order_calls_base.h Requests model loads from the processes that
+ * control the engines. */
 #ifndef SAPPHIRE_FLEET_ORDER_CALLS_BASE_H_
 #define SAPPHIRE_FLEET_ORDER_CALLS_BASE_H_
 
@@ -18,52 +19,53 @@
 namespace sapphire::fleet {
 
 struct OrderCallOptions {
-  /** "ip:port" of this process's own links. */
+  /** "ip:port" at which this process accepts links. */
   std::string self;
   /** Port on which endpoint processes listen for links, on the engine's VM. */
   std::uint16_t endpoint_port = 0;
-  /** A process that can't be reached is left alone for the first time, and
-   * twice as long after each further failure, up to the last. */
+  /** Initial and longest time for which an unreachable process is not contacted
+   * again; doubled after each further failure. */
   std::chrono::milliseconds first_pause{1000};
   std::chrono::milliseconds last_pause{8000};
 };
 
-/** One thread. A link is up only while something is asked on it. */
+/** Requests model loads, and backs off from processes that can't be reached. A
+ * link is open only during a request. Not thread-safe. */
 class OrderCalls {
  public:
-  /** Has a model loaded at an engine that this process orders itself. */
+  /** Loads a model at an engine that this process controls itself. */
   using EnsureHere = std::function<core::Task<>(gen::EnsureModel)>;
 
-  /** @pre All references outlive it. */
+  /** @pre All references outlive this object. */
   OrderCalls(OrderCallOptions options, EnsureHere ensure_here,
              link::LinkNode& links, const EngineRegistry& registry,
              const EngineHolders& holders, const core::Clock& clock,
              const core::Logger& log);
 
   /**
-   * Has a model loaded; returns once the engine holds it.
-   * @throws core::Error
+   * Requests that a model be loaded; returns once the engine has loaded it.
+   * @throws core::Error if the request fails.
    */
   core::Task<> Ensure(InstanceId instance, gen::EnsureModel load_request,
                       std::chrono::milliseconds timeout);
 
-  /** @return Until whoever orders the engine is worth asking: it could not be
-   * reached a moment ago; 0: now. */
+  /** @return Remaining time for which the process that controls the engine is
+   * not contacted, as it was unreachable; 0 if it may be contacted now. */
   [[nodiscard]] std::chrono::milliseconds UnreachableFor(
       const InstanceId& instance) const;
 
-  /** Drops what is known of engines that are gone. */
+  /** Removes the failures of engines that are gone. */
   void Forget();
 
  private:
-  /** Failures to reach who orders an engine. */
+  /** Failures to reach the process that controls an engine. */
   struct Failures {
-    /** Of the holder's lease; 0: none was known. */
+    /** Revision of the holder's lease; 0 if no holder was known. */
     std::int64_t fence = 0;
     std::chrono::milliseconds pause{0};
     core::SteadyTime until;
   };
-  /** Who orders an engine. */
+  /** The process that controls an engine. */
   struct Target {
     std::string engine;
     std::string address;
@@ -82,7 +84,7 @@
   const EngineHolders& holders_;
   const core::Clock& clock_;
   const core::Logger& log_;
-  /** By engine. */
+  /** By the engine's address. */
   std::map<std::string, Failures> failures_;
 };
 
--- a/src/fleet/peer_table.cc
+++ b/src/fleet/peer_table.cc
@@ -1,4 +1,5 @@
-/** @file peer_table.cc What the entries tell each other of the engines. */
+/** @file peer_table.cc Tracks the other entries and their reported use of
+ * the engines. */
 #include <algorithm>
 #include <iterator>
 #include <set>
@@ -16,30 +17,34 @@
 
 namespace {
 
-/** Entries that are assumed to share a limit until all have been heard of: more
- * than a small site has, so that the limit holds meanwhile. */
+/** Number of entries that are assumed to share a limit until all are known:
+ * more than a small site has, so that the limit holds meanwhile. */
 constexpr int kAssumedEntries = 8;
+/** Time after the start until all entries are expected to be known. */
 constexpr std::chrono::seconds kAllHeardOf{5};
-/**
- * An entry whose presence is gone counts among those that share a limit for
- * this long: leases lapse with the store, and the entries go on.
- */
+/** An entry whose presence was removed is still counted among those that share
+ * a limit for this time: leases expire in a store outage, but entries keep
+ * running. */
 constexpr std::chrono::seconds kCountedOn{15};
-/** What an entry had in progress is over if it is silent for longer: streams
- * last seconds, and in the largest fleets an entry is heard of every few. */
+/** The requests in progress of an entry are dropped if it has been silent for
+ * this time: streams last seconds, and in the largest fleets an entry's records
+ * arrive every few seconds. */
 constexpr std::chrono::seconds kSilent{15};
-/** A load that is overdue by this is not counted on. */
+/** A load is ignored if it is overdue by this time. */
 constexpr milliseconds kOverdue{1000};
-/** How long the time of a load from the weight store tells of the next. */
+/** Time for which a peer's last load time from the weight store is used as an
+ * estimate. */
 constexpr std::chrono::seconds kStoreLoadFresh{15};
-/** A demand below this, requests a second, is none. */
+/** Demand in requests per second below which it counts as 0. */
 constexpr double kNoDemand = 0.001;
-/** An entry without presence is a peer for this long after its last datagram,
- * and the time between two of them. */
+/** An entry without a presence remains a peer for this time, plus the interval
+ * between its datagrams, after its last datagram. */
 constexpr std::chrono::seconds kHeardOn{3};
+/** Bound on the number of unknown senders that are remembered. */
 constexpr std::size_t kMostStrangers = 4096;
 
-/** Collects peers; of two on one VM the later one runs. */
+/** Collects peers, only the most recent one per VM, as an older one has been
+ * replaced. */
 class PeerList {
  public:
   void Add(Peer peer) {
@@ -183,7 +188,8 @@
           state.heard};
 }
 
-/** What the record does not name is not in progress; its demand fades. */
+/** Applies the use in a record. Whatever the record doesn't name is no longer
+ * in progress, and its demand decays. */
 void PeerTable::TakeShares(const gen::EntryRecord& record, EntryState& state) {
   ClearRunning(state);
   const core::SteadyTime now = clock_.Now();
--- a/src/fleet/peer_table_base.h
+++ b/src/fleet/peer_table_base.h
@@ -1,4 +1,5 @@
-/** @file peer_table_base.h What the entries tell each other of the engines. */
+/** @file peer_table_base.h Tracks the other entries and their reported
+ * use of the engines. */
 #ifndef SAPPHIRE_FLEET_PEER_TABLE_BASE_H_
 #define SAPPHIRE_FLEET_PEER_TABLE_BASE_H_
 
@@ -20,10 +21,10 @@
 
 namespace sapphire::fleet {
 
-/** An entry tells one other entry of its use each time. */
+/** Interval at which an entry sends its record to the next of its peers. */
 inline constexpr std::chrono::milliseconds kTellPause{50};
 
-/** A model on its way to an engine, as the entry that asked for it tells. */
+/** A load in progress, as reported by the entry that requested it. */
 struct ComingLoad {
   InstanceId instance;
   core::ModelId model;
@@ -31,22 +32,22 @@
   bool from_weight_store = false;
 };
 
-/** Another entry that runs, as far as known. */
+/** Another entry that is believed to be running. */
 struct Peer {
-  /** Key of its presence. */
+  /** Key of its presence in the store. */
   std::string entry;
   std::string vm;
-  /** "ip:port" for datagrams. */
+  /** "ip:port" at which it receives datagrams. */
   std::string address;
   core::SteadyTime known_since;
-  /** When a datagram of it last came. */
+  /** When a datagram was last received from it. */
   std::optional<core::SteadyTime> heard;
 };
 
 /**
- * Which entries there are, by the store, and what each of them said last of its
- * use of engines, added up by engine. This entry's own use is counted as it is
- * now. One thread.
+ * The other entries, from their presences in the store, and the sum of their
+ * last reported use of each engine. This entry's own current use is added. Not
+ * thread-safe.
  */
 class PeerTable {
  public:
@@ -57,90 +58,95 @@
   PeerTable(std::string self, const EngineLoads& loads,
             const core::Clock& clock, const core::Logger& log);
 
-  /** These are all entries there are, by the keys of their presence. */
+  /** Replaces all entries by those listed in the store, by the keys of their
+   * presences. */
   void SetEntries(const std::map<std::string, gen::EntryPresence>& entries);
   void PutEntry(const std::string& entry, const gen::EntryPresence& presence);
-  /** A datagram of the entry has come. */
+  /** Records that a datagram was received from the entry. */
   void NoteHeard(const std::string& entry);
-  /** The entry is gone, and what it had in progress with it. */
+  /** Removes an entry, its requests in progress and its loads. */
   void RemoveEntry(const std::string& entry);
 
-  /** Takes a record of an entry that is known; passes over one that was
-   * overtaken, or whose sender is not known. */
+  /** Applies a record from a known entry; ignores a record that is older than
+   * the last one, or whose sender is unknown. */
   void Take(const gen::EntryRecord& record);
 
-  /** These are the loads that this entry has asked for and still waits for. */
+  /** Replaces the loads that this entry has requested and still waits for. */
   void SetOwnLoads(std::vector<ComingLoad> loads);
 
-  /** Forgets what entries that are silent for long had in progress, and all
-   * that is known of engines that are not in `alive`. */
+  /** Removes the requests in progress and loads of entries that have been
+   * silent for long, and unused engines that are not in `alive`. */
   void Forget(const std::set<InstanceId>& alive);
 
-  /** @return How many entries share what all share, this one included. */
+  /** @return Number of entries, including this one, among which shared limits
+   * are divided. */
   [[nodiscard]] int entries() const;
 
-  /** @return How old what other entries told may be: each of them is heard of
-   * this often. */
+  /** @return Greatest expected age of another entry's record, which is the
+   * interval at which each of them sends one here. */
   [[nodiscard]] std::chrono::milliseconds Age() const {
     return static_cast<int>(entries_.size()) * kTellPause;
   }
 
   /**
-   * @return The other entries, one a VM, by key. An entry whose presence has
-   *   lapsed stays while its datagrams come: leases lapse with the store.
+   * @return The other entries, one per VM, sorted by key. An entry whose
+   * presence has expired is included while it sends datagrams, as leases expire
+   * in a store outage.
    */
   [[nodiscard]] std::vector<Peer> Peers() const;
 
-  /** Counts entries that came or went. */
+  /** @return Counter of added and removed entries. */
   [[nodiscard]] std::int64_t generation() const { return generation_; }
 
-  /** @return VMs on which an entry runs or ran a moment ago, this one included.
-   */
+  /** @return Number of VMs, including this one, with an entry that is running
+   * or was recently removed. */
   [[nodiscard]] int VmsLately() const;
 
-  /** @return When a datagram of the entry last came; nothing: never. */
+  /** @return When a datagram was last received from the entry; nothing if
+   * never. */
   [[nodiscard]] std::optional<core::SteadyTime> HeardAt(
       const std::string& entry) const;
 
-  /** @return When any entry was last heard of; nothing: never. */
+  /** @return When a datagram was last received from any entry; nothing if
+   * never. */
   [[nodiscard]] std::optional<core::SteadyTime> last_heard() const {
     return last_heard_;
   }
 
-  /** @return Where the other entries take datagrams, in a fixed order. */
+  /** @return Datagram addresses of the other entries, in a fixed order. */
   [[nodiscard]] std::vector<std::string> Addresses() const;
 
-  /** @return Requests in progress at the engine, of all entries. */
+  /** @return Number of requests in progress at the engine, of all entries. */
   [[nodiscard]] int Running(const InstanceId& instance) const;
 
   [[nodiscard]] Usage UseOf(const InstanceId& instance,
                             const UsedPart& part) const;
 
-  /** @return Until the engine takes an order, as far as known. */
+  /** @return Expected time until the loads in progress at the engine end, so
+   * that it accepts the next order. */
   [[nodiscard]] std::chrono::milliseconds OrderLeft(
       const InstanceId& instance) const;
 
-  /** @return Loads at this engine that entries have asked for. */
+  /** @return Loads in progress at this engine, of all entries. */
   [[nodiscard]] std::vector<ComingLoad> ComingAt(
       const InstanceId& instance) const;
 
-  /** @return Loads of the model that entries have asked for, at any engine. */
+  /** @return Loads in progress of the model at all engines, of all entries. */
   [[nodiscard]] std::vector<ComingLoad> ComingOf(
       const core::ModelId& model) const;
 
-  /** Counts changes of the loads that this entry asks for. */
+  /** @return Counter of changes of this entry's own loads. */
   [[nodiscard]] std::int64_t loads_generation() const {
     return loads_generation_;
   }
 
-  /** @return What the latest loads from the weight store took that other
-   * entries asked for, the longest of them; 0 if none ended lately. They take
-   * longer in company. */
+  /** @return Longest time that the other entries' latest loads from the weight
+   * store took; 0 if none ended recently. Concurrent loads take longer. */
   [[nodiscard]] std::chrono::milliseconds StoreLoadTime() const;
 
  private:
   using EnginePart = std::pair<InstanceId, UsedPart>;
-  /** What one entry adds to the use of a part. */
+  /** Contribution of one entry to the use of a model or adapter. */
   struct Share {
     int running = 0;
     double demand = 0;
@@ -152,10 +158,10 @@
     std::map<EnginePart, Share> shares;
     std::chrono::milliseconds store_load{0};
     core::SteadyTime known_since;
-    /** When it was last heard of. */
+    /** When a datagram was last received from it. */
     std::optional<core::SteadyTime> heard;
   };
-  /** An entry whose presence is gone. */
+  /** An entry whose presence was removed. */
   struct GoneEntry {
     core::SteadyTime at;
     Peer peer;
@@ -178,12 +184,13 @@
   std::map<std::string, EntryState> entries_;
   std::map<std::string, GoneEntry> gone_;
   std::optional<core::SteadyTime> last_heard_;
-  /** When senders were heard of that the store has not named yet. */
+  /** When datagrams were last received from senders that are not known from the
+   * store yet. */
   std::map<std::string, core::SteadyTime> strangers_;
   std::int64_t generation_ = 0;
   /** Use by other entries. */
   std::map<InstanceId, ModelUsage> engines_;
-  /** What each entry has asked for, by engine. */
+  /** Loads in progress by engine and requesting entry. */
   std::map<InstanceId, std::map<std::string, std::vector<ComingLoad>>>
       loads_at_;
   std::int64_t loads_generation_ = 0;
--- a/src/fleet/peer_table_test.cc
+++ b/src/fleet/peer_table_test.cc
@@ -1,4 +1,4 @@
-/** @file peer_table_test.cc Tests of what entries tell each other. */
+/** @file peer_table_test.cc Tests of the records that entries exchange. */
 #define BOOST_TEST_MODULE peer_table
 #include <boost/test/unit_test.hpp>
 #include <chrono>
@@ -18,7 +18,7 @@
 const UsedPart kModel{core::ModelId("m"), core::AdapterId()};
 const UsedPart kAdapter{core::ModelId("m"), core::AdapterId("a1")};
 
-/** A peer table, and other entries that tell it. */
+/** A peer table that receives records of simulated entries. */
 struct Rig {
   Rig()
       : log({"entry", core::VmId("vm"), core::ZoneId("z")},
@@ -32,7 +32,7 @@
     peer_table.PutEntry(entry, presence);
   }
 
-  /** An entry tells of its use of the model at the engine. */
+  /** Passes a record of an entry that uses the model at the engine. */
   void Tell(const std::string& entry, std::int64_t number, int running,
             double demand) {
     Usage usage;
@@ -49,7 +49,7 @@
     peer_table.Take(record);
   }
 
-  /** An entry tells that it uses nothing. */
+  /** Passes a record of an entry that uses no engine. */
   void TellNothing(const std::string& entry, std::int64_t number) {
     gen::EntryRecord record;
     record.entry = entry;
@@ -81,9 +81,9 @@
 }
 
 /**
- * An engine looks busier with each second, and nobody is sent there any more.
- * Each record says all that its entry has in progress: a later one replaces it,
- * one that comes twice or out of turn counts nothing.
+ * Guards against an engine that seems ever busier and gets no more requests. A
+ * record contains all that its entry has in progress: a later one replaces it,
+ * duplicate and reordered records are ignored.
  */
 BOOST_AUTO_TEST_CASE(ARecordReplacesTheOneBefore) {
   Rig rig;
@@ -96,15 +96,15 @@
   BOOST_TEST(rig.peer_table.UseOf(kEngine, kModel).demand < 0.41);
   rig.TellNothing("b", 4);
   BOOST_TEST(rig.peer_table.Running(kEngine) == 0);
-  // Demand fades, as no request has to be in progress for it.
+  // Demand doesn't need requests in progress, so it only decays.
   BOOST_TEST(rig.peer_table.UseOf(kEngine, kModel).demand > 0.39);
   rig.clock.Advance(std::chrono::seconds(60));
   BOOST_TEST(rig.peer_table.UseOf(kEngine, kModel).demand < 0.01);
 }
 
 /**
- * An engine looks busy for good though it is idle.
- * An entry was killed, or is cut off, with streams in progress there.
+ * Guards against an idle engine that seems busy forever, after an entry with
+ * streams in progress there was killed or became unreachable.
  */
 BOOST_AUTO_TEST_CASE(WhatAnEntryThatIsGoneHadInProgressIsOver) {
   Rig rig;
@@ -119,7 +119,8 @@
   BOOST_TEST(rig.peer_table.Running(kEngine) == 0);
 }
 
-/** Whoever is not in the store's list may be of another deployment. */
+/** A sender that is not listed in the store may belong to another deployment.
+ */
 BOOST_AUTO_TEST_CASE(ARecordOfAStrangerCountsNothing) {
   Rig rig;
   rig.Tell("stranger", 1, 5, 1.0);
@@ -127,9 +128,9 @@
 }
 
 /**
- * A service gets more repeats than operators allow, right after the store is
- * back. All leases lapsed with it, so each entry saw itself alone and took the
- * whole limit.
+ * Guards against more retries of a service's requests than configured after a
+ * store outage: all leases had expired, so that each entry saw no other one and
+ * used the full limit.
  */
 BOOST_AUTO_TEST_CASE(EntriesThatLapsedWithTheStoreShareTheLimitOn) {
   Rig rig;
@@ -142,7 +143,7 @@
   BOOST_TEST(rig.peer_table.entries() == 1);
 }
 
-/** Right after a start nobody has been heard of: a few are assumed. */
+/** Right after a start no other entries are known, so a few are assumed. */
 BOOST_AUTO_TEST_CASE(AnEntryThatHasJustStartedIsNotAlone) {
   Rig rig;
   BOOST_TEST(rig.peer_table.entries() > 4);
@@ -165,7 +166,8 @@
   BOOST_TEST(rig.peer_table.ComingAt(kEngine).empty());
 }
 
-/** Datagrams come from anybody: what is no record ends no process. */
+/** Datagrams may come from any sender, so malformed ones must not end the
+ * process. */
 BOOST_AUTO_TEST_CASE(BytesThatAreNoRecordAreRefused) {
   gen::EntryRecord record;
   record.entry = "entries/vm@1";
@@ -177,7 +179,7 @@
   BOOST_CHECK_THROW(DecodeDatagram(""), core::Error);
 }
 
-/** Nothing is sent to an address that can't be one. */
+/** Guards against datagrams being sent to an invalid address. */
 BOOST_AUTO_TEST_CASE(APresenceWithoutAnAddressIsRefused) {
   gen::EntryPresence presence;
   presence.address = "10.0.0.1:7380";
@@ -186,8 +188,8 @@
   BOOST_CHECK_THROW(DecodePresence(Encode(presence)), core::Error);
 }
 
-/** Guards against entries that count as silent after all have started: they are
- * heard of before the store names them. */
+/** Guards against entries that are taken to be silent after all have started:
+ * their datagrams arrive before the store lists them. */
 BOOST_AUTO_TEST_CASE(WhoIsHeardOfBeforeItIsKnownCountsAsHeard) {
   Rig rig;
   rig.TellNothing("b", 1);
@@ -196,7 +198,8 @@
   BOOST_TEST(rig.peer_table.Peers().front().heard.has_value());
 }
 
-/** Guards against peers that vanish with the store, though they still talk. */
+/** Guards against peers that are dropped in a store outage although they still
+ * send datagrams. */
 BOOST_AUTO_TEST_CASE(APeerWhoseLeaseLapsedStaysWhileItIsHeard) {
   Rig rig;
   rig.Know("b");
@@ -210,7 +213,8 @@
   BOOST_TEST(rig.peer_table.Peers().empty());
 }
 
-/** Guards against a dead process that is asked, as its key outlives it. */
+/** Guards against requests to a dead process, whose key remains in the store
+ * for a while. */
 BOOST_AUTO_TEST_CASE(OfTwoEntriesOnOneVmTheLaterOneIsThePeer) {
   Rig rig;
   gen::EntryPresence presence;
@@ -223,8 +227,8 @@
   BOOST_TEST(rig.peer_table.Peers().front().entry == "entries/vm-1@a");
 }
 
-/** Guards against asks on engines' limits that no entry ever takes: each kind
- * of datagram is read. */
+/** Guards against quota requests about engines' limits that are rejected by the
+ * decoder. */
 BOOST_AUTO_TEST_CASE(EachKindOfDatagramIsRead) {
   gen::QuotaAsk ask;
   ask.entry = "a";
--- a/src/fleet/usage_type.h
+++ b/src/fleet/usage_type.h
@@ -1,4 +1,5 @@
-/** @file usage_type.h Use of what engines hold. */
+/** @file usage_type.h Use of the models and adapters that engines have
+ * loaded. */
 #ifndef SAPPHIRE_FLEET_USAGE_TYPE_H_
 #define SAPPHIRE_FLEET_USAGE_TYPE_H_
 
@@ -11,7 +12,7 @@
 
 namespace sapphire::fleet {
 
-/** A model, or an adapter of it; both empty for a plain service. */
+/** A model, or an adapter of it; both empty for a service without models. */
 struct UsedPart {
   core::ModelId model;
   core::AdapterId adapter;
@@ -25,13 +26,13 @@
 struct Usage {
   /** Requests in progress. */
   int running = 0;
-  /** Requests begun a second, over the last quarter of a minute or so. */
+  /** Requests begun per second, averaged over about the last 15 s. */
   double demand = 0;
   /** When the last request began; nothing if none is known. */
   std::optional<core::SteadyTime> last_begun;
 };
 
-/** Use of all that one engine holds; what is missing is not used. */
+/** Use of an engine's models and adapters; missing ones are not in use. */
 using UsageTable = std::map<UsedPart, Usage>;
 
 }  // namespace sapphire::fleet
--- a/src/quota/quota_client_usage.cc
+++ b/src/quota/quota_client_usage.cc
@@ -69,8 +69,8 @@
   }
 }
 
-/** Sends the quota's use to the entries that would coordinate after this one.
- */
+/** Sends the quota's use to the entries that would coordinate after this one,
+ * as they must know what was granted. */
 void QuotaClient::TellCandidates(const QuotaId& id) {
   const auto role = roles_.find(id);
   const core::SteadyTime now = clock_.Now();
