--- a/src/fleet/engine_registry_test.cc
+++ b/src/fleet/engine_registry_test.cc
@@ -110,9 +110,9 @@
 }
 
 /**
- * Guards against a healthy engine that gets no requests until its clock has
- * caught up: the clock was set back during the restart, so that the new
- * instance has an earlier start time than the old one.
+ * Guards against a healthy engine that gets no requests for the rest of the
+ * day: its clock was set back during the restart, so that the new instance has
+ * an earlier start time than the old one.
  */
 BOOST_AUTO_TEST_CASE(AStartWithAClockSetBackIsBelievedInTheEnd) {
   Rig rig;
--- a/src/fleet/entry_message.cc
+++ b/src/fleet/entry_message.cc
@@ -43,7 +43,7 @@
     message.read(&protocol);
   } catch (const apache::thrift::TException& e) {
     throw core::Error(core::ErrorCode::kMalformedRequest,
-                      std::string("message of an entry: ") + e.what());
+                      std::string("malformed entry message: ") + e.what());
   }
   return message;
 }
@@ -85,7 +85,7 @@
       (datagram.__isset.engine_answer && !datagram.engine_answer.entry.empty());
   if (!has_sender) {
     throw core::Error(core::ErrorCode::kMalformedRequest,
-                      "message of an entry: names no entry");
+                      "malformed entry message: no sender");
   }
   return datagram;
 }
