--- a/src/quota/quota_client.cc
+++ b/src/quota/quota_client.cc
@@ -14,12 +14,12 @@
 namespace {
 
 /** Longest time for which a denial applies to later requests too. */
-constexpr milliseconds kLongestDenial{100};
+constexpr milliseconds kMaxDenialCacheTime{100};
 /** An entry is suspected for at most this time. */
-constexpr std::chrono::seconds kSuspectedFor{30};
+constexpr std::chrono::seconds kSuspicionTimeout{30};
 /** Retention of answers for repeated requests, and of requests that timed out
  * for late answers. */
-constexpr milliseconds kRemembered{2000};
+constexpr milliseconds kAnswerRetention{2000};
 
 }  // namespace
 
@@ -31,22 +31,22 @@
       send_(std::move(send)),
       clock_(clock),
       log_(log),
-      began_(clock.Now()),
-      last_alive_(began_),
+      running_since_(clock.Now()),
+      last_call_(running_since_),
       usage_(options_.entry, options_.rules.window, clock),
       coordinator_(options_.rules, usage_, clock) {}
 
 void QuotaClient::Take(const QuotaId& id, const SharedLimit& limit, double cost,
-                       Done done) {
-  NoteAlive();
+                       DecisionCallback done) {
+  DetectFreeze();
   const core::SteadyTime now = clock_.Now();
   const auto denial = denials_.find(id);
   if (denial != denials_.end() && now < denial->second.until) {
     done({false, QuotaSource::kDenial,
-          std::chrono::ceil<milliseconds>(denial->second.offer - now)});
+          std::chrono::ceil<milliseconds>(denial->second.retry_at - now)});
     return;
   }
-  Pending pending;
+  PendingRequest pending;
   pending.id = id;
   pending.limit = limit;
   pending.cost = cost;
@@ -55,46 +55,46 @@
   Dispatch(std::move(pending));
 }
 
-void QuotaClient::Dispatch(Pending pending) {
+void QuotaClient::Dispatch(PendingRequest pending) {
   const bool waited_out =
       clock_.Now() - pending.began >= options_.failover_limit;
   if (waited_out || IsIsolated()) {
-    TakeShare(pending);
+    TakeFromShare(pending);
     return;
   }
   const fleet::Peer* coordinator = FindCoordinator(pending.id);
   if (coordinator == nullptr) {
     if (MayGrant(pending.id)) {
-      TakeHere(pending);
+      TakeAsCoordinator(pending);
     } else {
-      Park(std::move(pending));
+      Defer(std::move(pending));
     }
     return;
   }
-  roles_.erase(pending.id);
+  coordinated_.erase(pending.id);
   pending.entry = coordinator->entry;
   pending.address = coordinator->address;
   pending.resent = false;
   pending.redirected = false;
-  Ask(std::move(pending));
+  StartRequest(std::move(pending));
 }
 
-void QuotaClient::TakeHere(const Pending& pending) {
-  const View& view = CurrentView();
+void QuotaClient::TakeAsCoordinator(const PendingRequest& pending) {
+  const PeerView& view = CurrentView();
   QuotaDecision decision = coordinator_.Take(
       pending.id, pending.limit, pending.cost,
-      {view.heard_share, view.generation}, options_.wait_limit);
+      {view.reachable_fraction, view.generation}, options_.wait_limit);
   decision.source = QuotaSource::kSelf;
-  TellCandidates(pending.id);
+  ReportToCandidates(pending.id);
   pending.done(decision);
 }
 
 /** Decides by this entry's even share of the limit. The sum of all shares is at
  * most the limit, and a request is granted only if the share's bucket holds all
  * of its cost. */
-void QuotaClient::TakeShare(const Pending& pending) {
-  roles_.erase(pending.id);
-  const View& view = CurrentView();
+void QuotaClient::TakeFromShare(const PendingRequest& pending) {
+  coordinated_.erase(pending.id);
+  const PeerView& view = CurrentView();
   const auto entries = static_cast<double>(view.entries);
   const BucketLimit own{pending.limit.limit.per_second / entries,
                         pending.limit.limit.burst / entries};
@@ -105,23 +105,24 @@
     share.generation = view.generation;
     share.bucket = {std::min(share.bucket.level, 0.0), clock_.Now()};
   }
-  Fill(share.bucket, own, clock_.Now());
+  Refill(share.bucket, own, clock_.Now());
   QuotaDecision decision;
   decision.source = QuotaSource::kShare;
-  decision.granted = TakeInFull(share.bucket, pending.cost);
-  if (decision.granted) usage_.NoteGranted(pending.id, pending.cost);
+  decision.granted = TryTake(share.bucket, pending.cost);
+  if (decision.granted) usage_.RecordGrant(pending.id, pending.cost);
   if (!decision.granted) decision.delay = options_.failover_limit;
   pending.done(decision);
 }
 
-void QuotaClient::Ask(Pending pending) {
+void QuotaClient::StartRequest(PendingRequest pending) {
   pending.sent = clock_.Now();
-  const std::int64_t number = ++number_;
-  SendAsk(number, pending);
+  const std::int64_t number = ++last_number_;
+  SendRequest(number, pending);
   pending_.emplace(number, std::move(pending));
 }
 
-void QuotaClient::SendAsk(std::int64_t number, const Pending& pending) {
+void QuotaClient::SendRequest(std::int64_t number,
+                              const PendingRequest& pending) {
   gen::QuotaAsk ask;
   ask.entry = options_.entry;
   ask.number = number;
@@ -131,8 +132,8 @@
   ask.units_per_second = pending.limit.limit.per_second;
   ask.burst = pending.limit.limit.burst;
   ask.wait_ms = options_.wait_limit.count();
-  ask.usage =
-      pending.cost == 0 ? usage_.Tell(pending.id) : usage_.TellOwn(pending.id);
+  ask.usage = pending.cost == 0 ? usage_.Export(pending.id)
+                                : usage_.ExportOwn(pending.id);
   gen::EntryDatagram datagram;
   datagram.__set_quota_ask(ask);
   send_(pending.address, datagram);
@@ -145,28 +146,29 @@
     coordinator_.GiveBack(id, cost);
     return;
   }
-  Pending pending;
+  PendingRequest pending;
   pending.id = id;
   pending.limit = limit;
   pending.cost = -cost;
   pending.address = coordinator->address;
-  SendAsk(++number_, pending);
+  SendRequest(++last_number_, pending);
 }
 
 void QuotaClient::OnAsk(const gen::QuotaAsk& ask, const std::string& address) {
-  NoteAlive();
-  if (!ask.quota.empty()) usage_.Learn(QuotaId(ask.quota), ask.usage);
+  DetectFreeze();
+  if (!ask.quota.empty()) usage_.Merge(QuotaId(ask.quota), ask.usage);
   if (ask.units < 0) {
     coordinator_.GiveBack(QuotaId(ask.quota), -ask.units);
     return;
   }
   const auto key = std::pair(ask.entry, ask.number);
-  auto known = answered_.find(key);
-  if (known == answered_.end()) {
-    std::optional<gen::QuotaAnswer> answer = AnswerTo(ask);
+  auto known = cached_answers_.find(key);
+  if (known == cached_answers_.end()) {
+    std::optional<gen::QuotaAnswer> answer = MakeAnswer(ask);
     // The sender resends its request.
     if (!answer) return;
-    known = answered_.emplace(key, Answered{clock_.Now(), *answer}).first;
+    known =
+        cached_answers_.emplace(key, CachedAnswer{clock_.Now(), *answer}).first;
   }
   gen::EntryDatagram datagram;
   datagram.__set_quota_answer(known->second.answer);
@@ -174,7 +176,7 @@
 }
 
 /** @return The answer; nothing while this entry may not grant yet. */
-std::optional<gen::QuotaAnswer> QuotaClient::AnswerTo(
+std::optional<gen::QuotaAnswer> QuotaClient::MakeAnswer(
     const gen::QuotaAsk& ask) {
   gen::QuotaAnswer answer;
   answer.entry = options_.entry;
@@ -182,12 +184,12 @@
   answer.verdict = gen::QuotaVerdict::GRANTED;
   const QuotaId id(ask.quota);
   if (ask.units == 0) {
-    if (!ask.quota.empty()) FillUsage(id, ask.entry, answer);
+    if (!ask.quota.empty()) AddUsage(id, ask.entry, answer);
     return answer;
   }
   const fleet::Peer* better = FindCoordinator(id);
   if (better != nullptr) {
-    roles_.erase(id);
+    coordinated_.erase(id);
     answer.verdict = gen::QuotaVerdict::NOT_COORDINATOR;
     answer.coordinator = better->entry;
     answer.coordinator_address = better->address;
@@ -197,28 +199,28 @@
   }
   if (!MayGrant(id)) return std::nullopt;
   const SharedLimit limit{ask.version, {ask.units_per_second, ask.burst}};
-  const View& view = CurrentView();
+  const PeerView& view = CurrentView();
   const QuotaDecision decision = coordinator_.Take(
-      id, limit, ask.units, {view.heard_share, view.generation},
+      id, limit, ask.units, {view.reachable_fraction, view.generation},
       milliseconds(ask.wait_ms));
-  TellCandidates(id);
+  ReportToCandidates(id);
   answer.delay_ms = decision.delay.count();
   if (!decision.granted) answer.verdict = gen::QuotaVerdict::DENIED;
   return answer;
 }
 
 void QuotaClient::OnAnswer(const gen::QuotaAnswer& answer) {
-  NoteAlive();
+  DetectFreeze();
   unanswered_since_.erase(answer.entry);
-  if (!answer.quota.empty()) TakeUsage(answer);
+  if (!answer.quota.empty()) ApplyUsage(answer);
   const auto it = pending_.find(answer.number);
   if (it == pending_.end()) {
-    const auto late = abandoned_.extract(answer.number);
+    const auto late = timed_out_.extract(answer.number);
     if (late.empty() || answer.verdict != gen::QuotaVerdict::GRANTED) return;
     GiveBack(late.mapped().id, late.mapped().limit, late.mapped().cost);
     return;
   }
-  Pending pending = std::move(it->second);
+  PendingRequest pending = std::move(it->second);
   pending_.erase(it);
   if (!pending.done) return;
   QuotaDecision decision;
@@ -231,7 +233,7 @@
   decision.delay = milliseconds(answer.delay_ms);
   if (!decision.granted) {
     const core::SteadyTime now = clock_.Now();
-    denials_[pending.id] = {now + std::min(decision.delay, kLongestDenial),
+    denials_[pending.id] = {now + std::min(decision.delay, kMaxDenialCacheTime),
                             now + decision.delay};
   }
   pending.done(decision);
@@ -239,32 +241,33 @@
 
 /** Sends the request to the coordinator that the answer names, once: an entry
  * that has just joined is known to some entries only. */
-void QuotaClient::Redirect(Pending pending, const gen::QuotaAnswer& answer) {
+void QuotaClient::Redirect(PendingRequest pending,
+                           const gen::QuotaAnswer& answer) {
   const bool usable = !answer.coordinator_address.empty() &&
                       answer.coordinator != options_.entry &&
                       !IsSuspected(answer.coordinator);
   if (pending.redirected || !usable) {
-    Park(std::move(pending));
+    Defer(std::move(pending));
     return;
   }
   pending.redirected = true;
   pending.resent = false;
   pending.entry = answer.coordinator;
   pending.address = answer.coordinator_address;
-  Ask(std::move(pending));
+  StartRequest(std::move(pending));
 }
 
 /** Keeps the request until Tick looks for a coordinator again, as the entries
  * don't agree on one yet. */
-void QuotaClient::Park(Pending pending) {
+void QuotaClient::Defer(PendingRequest pending) {
   pending.sent = clock_.Now();
   pending.entry.clear();
-  pending_.emplace(++number_, std::move(pending));
+  pending_.emplace(++last_number_, std::move(pending));
 }
 
 void QuotaClient::Tick() {
-  NoteAlive();
-  for (const auto& [id, role] : roles_) TellCandidates(id);
+  DetectFreeze();
+  for (const auto& [id, role] : coordinated_) ReportToCandidates(id);
   const core::SteadyTime now = clock_.Now();
   std::vector<std::int64_t> due;
   for (auto& [number, it] : pending_) {
@@ -276,22 +279,22 @@
     } else if (!parked && now - it.sent >= options_.resend_after &&
                !it.resent) {
       it.resent = true;
-      SendAsk(number, it);
+      SendRequest(number, it);
     }
   }
   for (const std::int64_t number : due) {
-    GiveUp(number, std::move(pending_.extract(number).mapped()));
+    HandleTimeout(number, std::move(pending_.extract(number).mapped()));
   }
 }
 
-void QuotaClient::GiveUp(std::int64_t number, Pending pending) {
-  if (!pending.entry.empty()) NoteUnanswered(pending);
+void QuotaClient::HandleTimeout(std::int64_t number, PendingRequest pending) {
+  if (!pending.entry.empty()) RecordUnanswered(pending);
   if (!pending.done) return;
-  abandoned_[number] = {clock_.Now(), pending.id, pending.limit, pending.cost};
+  timed_out_[number] = {clock_.Now(), pending.id, pending.limit, pending.cost};
   Dispatch(std::move(pending));
 }
 
-void QuotaClient::NoteUnanswered(const Pending& pending) {
+void QuotaClient::RecordUnanswered(const PendingRequest& pending) {
   const auto [it, is_new] =
       unanswered_since_.try_emplace(pending.entry, pending.sent);
   const auto heard = peer_table_.HeardAt(pending.entry);
@@ -309,15 +312,16 @@
   coordinator_.Forget();
   usage_.Forget();
   const auto is_old = [now](const auto& it) {
-    return now - it.second.at >= kRemembered;
+    return now - it.second.at >= kAnswerRetention;
   };
-  std::erase_if(answered_, is_old);
-  std::erase_if(abandoned_, is_old);
+  std::erase_if(cached_answers_, is_old);
+  std::erase_if(timed_out_, is_old);
   std::erase_if(denials_,
                 [now](const auto& it) { return it.second.until <= now; });
   std::erase_if(unanswered_since_, [this, now](const auto& it) {
     const auto heard = peer_table_.HeardAt(it.first);
-    return (heard && *heard >= it.second) || now - it.second >= kSuspectedFor;
+    return (heard && *heard >= it.second) ||
+           now - it.second >= kSuspicionTimeout;
   });
 }
 
--- a/src/quota/quota_client_base.h
+++ b/src/quota/quota_client_base.h
@@ -57,7 +57,7 @@
  */
 class QuotaClient {
  public:
-  using Done = std::function<void(const QuotaDecision&)>;
+  using DecisionCallback = std::function<void(const QuotaDecision&)>;
   using Send = std::function<void(const std::string& address,
                                   const gen::EntryDatagram& datagram)>;
 
@@ -68,7 +68,7 @@
   /** Takes `cost` units from the quota.
    * @param done Called once with the decision, possibly before this returns. */
   void Take(const QuotaId& id, const SharedLimit& limit, double cost,
-            Done done);
+            DecisionCallback done);
 
   /** Returns units that a request took but did not use. */
   void GiveBack(const QuotaId& id, const SharedLimit& limit, double cost);
@@ -98,7 +98,7 @@
 
  private:
   /** A request that awaits a decision, or a probe if `done` is empty. */
-  struct Pending {
+  struct PendingRequest {
     QuotaId id;
     SharedLimit limit;
     double cost = 0;
@@ -110,26 +110,26 @@
     core::SteadyTime sent;
     bool resent = false;
     bool redirected = false;
-    Done done;
+    DecisionCallback done;
   };
   /** Cached view of the other entries, from which coordinators are computed. */
-  struct View {
-    core::SteadyTime made;
+  struct PeerView {
+    core::SteadyTime made_at;
     /** Generation of the peer table that this was made from. */
-    std::int64_t table = 0;
+    std::int64_t table_generation = 0;
     std::vector<fleet::Peer> peers;
     /** Hash of the VM of each peer, in the order of `peers`. */
-    std::vector<std::uint64_t> seeds;
+    std::vector<std::uint64_t> vm_hashes;
     /** Counts changes of the entries that may coordinate. */
     std::int64_t generation = 0;
     /** Number of entries, including this one and recently removed ones. */
     int entries = 1;
     /** Fraction of them, including this one, that this entry receives datagrams
      * from. */
-    double heard_share = 1;
+    double reachable_fraction = 1;
   };
   /** An answer kept for repeated requests. */
-  struct Answered {
+  struct CachedAnswer {
     core::SteadyTime at;
     gen::QuotaAnswer answer;
   };
@@ -144,55 +144,56 @@
     /** Until then, later requests are denied without asking the coordinator. */
     core::SteadyTime until;
     /** When the denied request may be retried. */
-    core::SteadyTime offer;
+    core::SteadyTime retry_at;
   };
   /** State of a quota that this entry coordinates. */
-  struct Role {
+  struct CoordinatorState {
     core::SteadyTime began;
     /** Generation of the view when the candidates were last queried. */
     std::int64_t generation = 0;
     /** Peers whose answers, with the use granted before, are awaited. */
-    std::set<std::string> awaited;
+    std::set<std::string> awaited_peers;
     /** When the quota's use was last sent to the next candidates. */
-    core::SteadyTime told;
+    core::SteadyTime reported_at;
     /** When a coordinator named by a peer was last probed. */
-    core::SteadyTime hinted;
+    core::SteadyTime hint_probed_at;
   };
   /** A quota request that timed out; its answer may still arrive. */
-  struct Abandoned {
+  struct TimedOutRequest {
     core::SteadyTime at;
     QuotaId id;
     SharedLimit limit;
     double cost = 0;
   };
 
-  void NoteAlive();
+  void DetectFreeze();
   bool MayGrant(const QuotaId& id);
-  void AskCandidates(const QuotaId& id, bool await);
-  void TellCandidates(const QuotaId& id);
-  [[nodiscard]] std::vector<const fleet::Peer*> Ranked(const QuotaId& id,
-                                                       bool suspected_too);
-  const View& CurrentView();
-  [[nodiscard]] double HeardShare(const View& view) const;
+  void QueryCandidates(const QuotaId& id, bool await);
+  void ReportToCandidates(const QuotaId& id);
+  [[nodiscard]] std::vector<const fleet::Peer*> RankedPeers(
+      const QuotaId& id, bool include_suspected);
+  const PeerView& CurrentView();
+  [[nodiscard]] double ReachableFraction(const PeerView& view) const;
   [[nodiscard]] bool IsIsolated();
   [[nodiscard]] bool IsSuspected(const std::string& entry) const;
   const fleet::Peer* FindCoordinator(const QuotaId& id);
-  const fleet::Peer* FindCoordinator(const QuotaId& id, const std::string& but);
-  void Dispatch(Pending pending);
-  void Ask(Pending pending);
-  void Park(Pending pending);
-  void SendAsk(std::int64_t number, const Pending& pending);
+  const fleet::Peer* FindCoordinator(const QuotaId& id,
+                                     const std::string& excluded);
+  void Dispatch(PendingRequest pending);
+  void StartRequest(PendingRequest pending);
+  void Defer(PendingRequest pending);
+  void SendRequest(std::int64_t number, const PendingRequest& pending);
   void Probe(const QuotaId& id, const std::string& entry,
              const std::string& address);
-  void TakeHere(const Pending& pending);
-  void TakeShare(const Pending& pending);
-  void FillUsage(const QuotaId& id, const std::string& sender,
-                 gen::QuotaAnswer& answer);
-  void TakeUsage(const gen::QuotaAnswer& answer);
-  void Redirect(Pending pending, const gen::QuotaAnswer& answer);
-  void GiveUp(std::int64_t number, Pending pending);
-  void NoteUnanswered(const Pending& pending);
-  std::optional<gen::QuotaAnswer> AnswerTo(const gen::QuotaAsk& ask);
+  void TakeAsCoordinator(const PendingRequest& pending);
+  void TakeFromShare(const PendingRequest& pending);
+  void AddUsage(const QuotaId& id, const std::string& sender,
+                gen::QuotaAnswer& answer);
+  void ApplyUsage(const gen::QuotaAnswer& answer);
+  void Redirect(PendingRequest pending, const gen::QuotaAnswer& answer);
+  void HandleTimeout(std::int64_t number, PendingRequest pending);
+  void RecordUnanswered(const PendingRequest& pending);
+  std::optional<gen::QuotaAnswer> MakeAnswer(const gen::QuotaAsk& ask);
 
   const QuotaClientOptions options_;
   const fleet::PeerTable& peer_table_;
@@ -200,22 +201,22 @@
   const core::Clock& clock_;
   const core::Logger& log_;
   /** When this process started, or resumed after a freeze. */
-  core::SteadyTime began_;
+  core::SteadyTime running_since_;
   /** Time of the last call, to detect freezes. */
-  core::SteadyTime last_alive_;
+  core::SteadyTime last_call_;
   UsageTable usage_;
   QuotaCoordinator coordinator_;
-  std::map<QuotaId, Role> roles_;
+  std::map<QuotaId, CoordinatorState> coordinated_;
   std::map<QuotaId, Share> shares_;
   std::map<QuotaId, Denial> denials_;
-  std::int64_t number_ = 0;
-  std::map<std::int64_t, Pending> pending_;
-  std::map<std::int64_t, Abandoned> abandoned_;
+  std::int64_t last_number_ = 0;
+  std::map<std::int64_t, PendingRequest> pending_;
+  std::map<std::int64_t, TimedOutRequest> timed_out_;
   /** Send time of the oldest unanswered request to each entry. */
   std::map<std::string, core::SteadyTime> unanswered_since_;
   /** Recent answers, by the requesting entry and the request's number. */
-  std::map<std::pair<std::string, std::int64_t>, Answered> answered_;
-  std::optional<View> view_;
+  std::map<std::pair<std::string, std::int64_t>, CachedAnswer> cached_answers_;
+  std::optional<PeerView> view_;
   /** Entries that were not suspected when the view was last made. */
   std::vector<std::string> candidates_;
 };
--- a/src/quota/quota_client_test.cc
+++ b/src/quota/quota_client_test.cc
@@ -32,8 +32,8 @@
 
 /** Sends requests of `per_second` units per second in total to the first
  * `entries` entries in turn. */
-void Load(QuotaRig& rig, const SharedLimit& limit, double per_second,
-          milliseconds time, std::size_t entries) {
+void SendRequests(QuotaRig& rig, const SharedLimit& limit, double per_second,
+                  milliseconds time, std::size_t entries) {
   const milliseconds pause(
       std::max<int>(10, static_cast<int>(kCost / per_second * 1000)));
   std::size_t turn = 0;
@@ -47,11 +47,11 @@
 }  // namespace
 
 /** Guards against denials below the limit. */
-BOOST_AUTO_TEST_CASE(RequestsBelowTheLimitAreLetIn) {
+BOOST_AUTO_TEST_CASE(RequestsBelowTheLimitAreGranted) {
   for (const int entries : {1, 3, 22}) {
     QuotaRig rig(entries);
     rig.Pass(seconds(2));
-    Load(rig, Limit(30'000, 30'000), 27'000, seconds(10), 22);
+    SendRequests(rig, Limit(30'000, 30'000), 27'000, seconds(10), 22);
     rig.Pass(seconds(1));
     BOOST_TEST(rig.answered == rig.asked);
     BOOST_TEST(rig.grants.size() == static_cast<std::size_t>(rig.asked));
@@ -60,28 +60,28 @@
 
 /** Guards against a limit that each entry enforces for itself, so that the sum
  * exceeds it. */
-BOOST_AUTO_TEST_CASE(AFloodIsHeldAtTheLimitWhereverItArrives) {
+BOOST_AUTO_TEST_CASE(LimitHoldsForAnyNumberOfReceivingEntries) {
   const SharedLimit limit = Limit(30'000, 30'000);
   for (const std::size_t entries : {1U, 2U, 22U}) {
     QuotaRig rig(22);
     rig.Pass(seconds(2));
-    Load(rig, limit, 130'000, seconds(16), entries);
-    BOOST_TEST(rig.MostInWindow(kWindow) <= WindowLimit(limit) + kCost);
+    SendRequests(rig, limit, 130'000, seconds(16), entries);
+    BOOST_TEST(rig.MaxInWindow(kWindow) <= WindowLimit(limit) + kCost);
     BOOST_TEST(rig.Granted() >= 1.8 * WindowLimit(limit));
   }
 }
 
 /** Guards against an excess of one request per entry, which would be more than
  * a small limit. */
-BOOST_AUTO_TEST_CASE(ASmallLimitHoldsOverManyEntries) {
+BOOST_AUTO_TEST_CASE(SmallLimitHoldsOverManyEntries) {
   const SharedLimit limit = Limit(2600, 2600);
   QuotaRig rig(22);
   rig.Pass(seconds(2));
-  Load(rig, limit, 20'000, seconds(16), 22);
-  BOOST_TEST(rig.MostInWindow(kWindow) <= WindowLimit(limit) + kCost);
+  SendRequests(rig, limit, 20'000, seconds(16), 22);
+  BOOST_TEST(rig.MaxInWindow(kWindow) <= WindowLimit(limit) + kCost);
 }
 
-BOOST_AUTO_TEST_CASE(LimitsInRequestsWithoutABurstHold) {
+BOOST_AUTO_TEST_CASE(LimitInRequestsWithoutBurstHolds) {
   const SharedLimit limit = Limit(10, 0);
   QuotaRig rig(3);
   rig.Pass(seconds(2));
@@ -89,13 +89,13 @@
     rig.Request(static_cast<std::size_t>(i % 3), kOrganisation, limit, 1);
     rig.Pass(milliseconds(20));
   }
-  BOOST_TEST(rig.MostInWindow(kWindow) <= 81);
+  BOOST_TEST(rig.MaxInWindow(kWindow) <= 81);
   BOOST_TEST(rig.Granted() >= 155);
 }
 
 /** Guards against denials that last until the store notices that the
  * coordinator has died. */
-BOOST_AUTO_TEST_CASE(AnotherEntryCoordinatesWithinASecondOfADeath) {
+BOOST_AUTO_TEST_CASE(CoordinatorIsReplacedWithinASecondOfItsDeath) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(22);
   rig.Pass(seconds(3));
@@ -105,64 +105,64 @@
   presence.address = QuotaRig::AddressOf(rig.At(first).entry);
   rig.dead_presences[rig.At(first).entry] = presence;
   rig.Kill(rig.At(first).vm);
-  Load(rig, limit, 20'000, seconds(2), 21);
+  SendRequests(rig, limit, 20'000, seconds(2), 21);
   rig.Pass(seconds(1));
   rig.asked = 0;
   rig.grants.clear();
-  Load(rig, limit, 20'000, seconds(4), 21);
+  SendRequests(rig, limit, 20'000, seconds(4), 21);
   BOOST_TEST(rig.grants.size() == static_cast<std::size_t>(rig.asked));
 }
 
 /** Guards against two coordinators that grant at the full rate: one is frozen,
  * another takes over, and the first resumes with its old bucket. */
-BOOST_AUTO_TEST_CASE(AFrozenCoordinatorBringsNoSecondLimit) {
+BOOST_AUTO_TEST_CASE(FrozenCoordinatorDoesNotDoubleTheLimit) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(22);
   rig.Pass(seconds(3));
-  Load(rig, limit, 130'000, seconds(8), 22);
+  SendRequests(rig, limit, 130'000, seconds(8), 22);
   const std::size_t first = rig.CoordinatorOf(kOrganisation);
   rig.At(first).frozen = true;
-  Load(rig, limit, 130'000, seconds(4), 22);
+  SendRequests(rig, limit, 130'000, seconds(4), 22);
   rig.At(first).frozen = false;
-  Load(rig, limit, 130'000, seconds(8), 22);
-  BOOST_TEST(rig.MostInWindow(kWindow) <= Bound(limit));
+  SendRequests(rig, limit, 130'000, seconds(8), 22);
+  BOOST_TEST(rig.MaxInWindow(kWindow) <= Bound(limit));
 }
 
 /** Guards against entries that each grant the full limit while they are
  * isolated from the others. */
-BOOST_AUTO_TEST_CASE(EntriesThatAreCutOffGoByTheirShare) {
+BOOST_AUTO_TEST_CASE(IsolatedEntriesUseTheirShare) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(22);
   rig.Pass(seconds(3));
-  Load(rig, limit, 130'000, seconds(8), 22);
-  const std::set<std::string> alone = {"vm-1", "vm-5", "vm-9", "vm-13"};
-  rig.cut = [&alone](const std::string& a, const std::string& b) {
-    return alone.contains(a) || alone.contains(b);
+  SendRequests(rig, limit, 130'000, seconds(8), 22);
+  const std::set<std::string> isolated_vms = {"vm-1", "vm-5", "vm-9", "vm-13"};
+  rig.is_cut = [&isolated_vms](const std::string& a, const std::string& b) {
+    return isolated_vms.contains(a) || isolated_vms.contains(b);
   };
-  Load(rig, limit, 130'000, seconds(8), 22);
-  BOOST_TEST(rig.MostInWindow(kWindow) <= Bound(limit));
+  SendRequests(rig, limit, 130'000, seconds(8), 22);
+  BOOST_TEST(rig.MaxInWindow(kWindow) <= Bound(limit));
 }
 
 /** Guards against entries that each grant the full limit after all leases have
  * expired in a store outage: entries that still exchange datagrams share it. */
-BOOST_AUTO_TEST_CASE(TheLimitHoldsWhileAllLeasesHaveLapsed) {
+BOOST_AUTO_TEST_CASE(LimitHoldsAfterAllLeasesExpired) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(22);
   rig.Pass(seconds(3));
-  Load(rig, limit, 130'000, seconds(8), 22);
+  SendRequests(rig, limit, 130'000, seconds(8), 22);
   for (const auto& it : rig.entries) it->peer_table.SetEntries({});
-  Load(rig, limit, 130'000, seconds(6), 22);
-  rig.TellAllOfAll();
-  Load(rig, limit, 130'000, seconds(8), 22);
-  BOOST_TEST(rig.MostInWindow(kWindow) <= Bound(limit));
+  SendRequests(rig, limit, 130'000, seconds(6), 22);
+  rig.SyncPresences();
+  SendRequests(rig, limit, 130'000, seconds(8), 22);
+  BOOST_TEST(rig.MaxInWindow(kWindow) <= Bound(limit));
 }
 
 /** Guards against a separate burst for each entry that joins. */
-BOOST_AUTO_TEST_CASE(ManyEntriesThatJoinAtOnceBringNoMore) {
+BOOST_AUTO_TEST_CASE(JoiningEntriesDoNotRaiseTheLimit) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(22);
   rig.Pass(seconds(3));
-  Load(rig, limit, 130'000, seconds(8), 22);
+  SendRequests(rig, limit, 130'000, seconds(8), 22);
   for (int i = 0; i < 17; ++i) rig.Start("new-" + std::to_string(i));
   // The new entries know all others at once, the old ones learn of them a
   // second later.
@@ -174,73 +174,73 @@
     }
     rig.At(i).peer_table.SetEntries(all);
   }
-  Load(rig, limit, 130'000, seconds(1), 39);
-  rig.TellAllOfAll();
-  Load(rig, limit, 130'000, seconds(8), 39);
-  BOOST_TEST(rig.MostInWindow(kWindow) <= Bound(limit));
+  SendRequests(rig, limit, 130'000, seconds(1), 39);
+  rig.SyncPresences();
+  SendRequests(rig, limit, 130'000, seconds(8), 39);
+  BOOST_TEST(rig.MaxInWindow(kWindow) <= Bound(limit));
   BOOST_TEST(rig.answered >= rig.asked - 40);
 }
 
 /** Guards against an old limit, far above the new one, that remains in use. */
-BOOST_AUTO_TEST_CASE(ALoweredLimitBindsAtOnce) {
+BOOST_AUTO_TEST_CASE(LoweredLimitAppliesAtOnce) {
   const SharedLimit before = Limit(60'000, 60'000, 1);
   const SharedLimit after = Limit(5000, 5000, 2);
   QuotaRig rig(5);
   rig.Pass(seconds(3));
-  Load(rig, before, 60'000, seconds(8), 5);
+  SendRequests(rig, before, 60'000, seconds(8), 5);
   // One entry has the new configuration first.
   rig.Request(0, kOrganisation, after, kCost);
   rig.Pass(milliseconds(100));
   rig.grants.clear();
-  Load(rig, after, 60'000, seconds(16), 5);
-  BOOST_TEST(rig.MostInWindow(kWindow) <= WindowLimit(after) + kCost);
+  SendRequests(rig, after, 60'000, seconds(16), 5);
+  BOOST_TEST(rig.MaxInWindow(kWindow) <= WindowLimit(after) + kCost);
 }
 
 /** Guards against coordinators that die one after the other, each of which
  * grants a part of the limit again. */
-BOOST_AUTO_TEST_CASE(SuccessorsKnowWhatWasGranted) {
+BOOST_AUTO_TEST_CASE(SuccessorsKnowTheGrantedUse) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(8);
   rig.Pass(seconds(3));
-  Load(rig, limit, 130'000, seconds(8), 8);
+  SendRequests(rig, limit, 130'000, seconds(8), 8);
   for (int i = 0; i < 3; ++i) {
     rig.Kill(rig.At(rig.CoordinatorOf(kOrganisation)).vm);
-    rig.TellAllOfAll();
-    Load(rig, limit, 130'000, seconds(2), 8);
+    rig.SyncPresences();
+    SendRequests(rig, limit, 130'000, seconds(2), 8);
   }
-  BOOST_TEST(rig.MostInWindow(kWindow) <= WindowLimit(limit) + 4 * kCost);
+  BOOST_TEST(rig.MaxInWindow(kWindow) <= WindowLimit(limit) + 4 * kCost);
 }
 
 /** Guards against a restarted coordinator that grants the limit a second time.
  */
-BOOST_AUTO_TEST_CASE(ARestartedCoordinatorAsksWhatItHadGranted) {
+BOOST_AUTO_TEST_CASE(RestartedCoordinatorRecoversItsGrants) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(5);
   rig.Pass(seconds(3));
-  Load(rig, limit, 130'000, seconds(8), 5);
+  SendRequests(rig, limit, 130'000, seconds(8), 5);
   const std::string vm = rig.At(rig.CoordinatorOf(kOrganisation)).vm;
   rig.Kill(vm);
   rig.Start(vm);
-  rig.TellAllOfAll();
-  Load(rig, limit, 130'000, seconds(6), 5);
-  BOOST_TEST(rig.MostInWindow(kWindow) <= WindowLimit(limit) + 4 * kCost);
+  rig.SyncPresences();
+  SendRequests(rig, limit, 130'000, seconds(6), 5);
+  BOOST_TEST(rig.MaxInWindow(kWindow) <= WindowLimit(limit) + 4 * kCost);
 }
 
 /** Guards against two coordinators that remain: the presences expire while one
  * entry is frozen, which then knows, and is known to, one other entry only. */
-BOOST_AUTO_TEST_CASE(AnEntryFindsTheCoordinatorThatItHasLostSightOf) {
+BOOST_AUTO_TEST_CASE(EntryFindsCoordinatorMissingFromItsView) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(5);
   rig.Pass(seconds(3));
   const std::size_t first = rig.CoordinatorOf(kOrganisation);
   rig.At(first).frozen = true;
-  Load(rig, limit, 130'000, seconds(8), 5);
+  SendRequests(rig, limit, 130'000, seconds(8), 5);
   for (const auto& it : rig.entries) it->peer_table.SetEntries({});
   rig.At(first).frozen = false;
   const std::size_t bridge = first == 0 ? 1 : 0;
   rig.At(bridge).peer_table.NoteHeard(rig.At(first).entry);
   rig.At(first).peer_table.NoteHeard(rig.At(bridge).entry);
-  Load(rig, limit, 130'000, seconds(8), 5);
+  SendRequests(rig, limit, 130'000, seconds(8), 5);
   int coordinators = 0;
   for (const auto& it : rig.entries) {
     it->client.Take(kOrganisation, limit, 0,
@@ -254,11 +254,11 @@
 
 /** Guards against a coordinator that resumes after a freeze and grants units
  * based on outdated use. */
-BOOST_AUTO_TEST_CASE(ACoordinatorThatWakesAsksBeforeItGrants) {
+BOOST_AUTO_TEST_CASE(ResumedCoordinatorQueriesPeersBeforeGranting) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(5);
   rig.Pass(seconds(3));
-  Load(rig, limit, 20'000, seconds(2), 5);
+  SendRequests(rig, limit, 20'000, seconds(2), 5);
   const std::size_t first = rig.CoordinatorOf(kOrganisation);
   rig.At(first).frozen = true;
   for (int i = 0; i < 400; ++i) {
@@ -276,17 +276,17 @@
 }
 
 /** Guards against an older configuration that raises the limit again. */
-BOOST_AUTO_TEST_CASE(AnOlderConfigurationChangesNoLimit) {
+BOOST_AUTO_TEST_CASE(OlderConfigurationDoesNotChangeTheLimit) {
   core::ManualClock clock;
   UsageTable usage("self", kWindow, clock);
   QuotaCoordinator coordinator({kWindow, 0, 0}, usage, clock);
-  coordinator.Take(kOrganisation, Limit(10, 0, 2), 1, Mandate(),
+  coordinator.Take(kOrganisation, Limit(10, 0, 2), 1, CoordinatorScope(),
                    milliseconds(0));
   int granted = 0;
   for (int i = 0; i < 800; ++i) {
     clock.Advance(milliseconds(10));
     if (coordinator
-            .Take(kOrganisation, Limit(1000, 0, 1), 1, Mandate(),
+            .Take(kOrganisation, Limit(1000, 0, 1), 1, CoordinatorScope(),
                   milliseconds(0))
             .granted) {
       ++granted;
@@ -295,7 +295,7 @@
   BOOST_TEST(granted <= 80);
 }
 
-BOOST_AUTO_TEST_CASE(WhatDidNotRunIsGivenBack) {
+BOOST_AUTO_TEST_CASE(UnusedUnitsAreGivenBack) {
   const SharedLimit limit = Limit(1500, 0);
   QuotaRig rig(3);
   rig.Pass(seconds(3));
@@ -310,7 +310,7 @@
 
 /** Guards against a request that is charged twice because its answer was lost.
  */
-BOOST_AUTO_TEST_CASE(ARepeatedAskIsChargedOnce) {
+BOOST_AUTO_TEST_CASE(RepeatedRequestIsChargedOnce) {
   QuotaRig rig(2);
   rig.Pass(seconds(3));
   const std::size_t first = rig.CoordinatorOf(kOrganisation);
@@ -330,14 +330,14 @@
 }
 
 /** Guards against requests larger than the burst that are never served. */
-BOOST_AUTO_TEST_CASE(ALargeRequestIsPaidOffAfterwards) {
+BOOST_AUTO_TEST_CASE(RequestLargerThanTheBurstIsGranted) {
   core::ManualClock clock;
   UsageTable usage("self", kWindow, clock);
   QuotaCoordinator coordinator({kWindow, 0, 0}, usage, clock);
   const SharedLimit limit = Limit(1000, 500);
   const auto take = [&](double cost) {
     return coordinator
-        .Take(kOrganisation, limit, cost, Mandate(), milliseconds(0))
+        .Take(kOrganisation, limit, cost, CoordinatorScope(), milliseconds(0))
         .granted;
   };
   BOOST_TEST(take(3000));
@@ -347,13 +347,14 @@
 }
 
 /** Guards against denials where a short delay would be enough. */
-BOOST_AUTO_TEST_CASE(AShortDebtDelaysRequestsInsteadOfRefusingThem) {
+BOOST_AUTO_TEST_CASE(ShortDebtDelaysRequestsInsteadOfDenyingThem) {
   core::ManualClock clock;
   UsageTable usage("self", kWindow, clock);
   QuotaCoordinator coordinator({kWindow, 0, 0}, usage, clock);
   const SharedLimit limit = Limit(1000, 0);
   const auto take = [&](milliseconds wait) {
-    return coordinator.Take(kOrganisation, limit, 150, Mandate(), wait);
+    return coordinator.Take(kOrganisation, limit, 150, CoordinatorScope(),
+                            wait);
   };
   BOOST_TEST(take(milliseconds(0)).granted);
   BOOST_TEST(!take(milliseconds(100)).granted);
@@ -364,15 +365,15 @@
 }
 
 /** Guards against denials right after all entries have started. */
-BOOST_AUTO_TEST_CASE(ANewCoordinatorStartsWithPartOfWhatIsBorne) {
+BOOST_AUTO_TEST_CASE(NewBucketStartsWithPartOfTheToleratedExcess) {
   core::ManualClock clock;
   UsageTable usage("self", kWindow, clock);
   QuotaCoordinator coordinator({kWindow, 0.1, 1000}, usage, clock);
   const SharedLimit limit = Limit(1000, 1000);
   int granted = 0;
   for (int i = 0; i < 20; ++i) {
-    const QuotaDecision decision =
-        coordinator.Take(kOrganisation, limit, 100, Mandate(), milliseconds(0));
+    const QuotaDecision decision = coordinator.Take(
+        kOrganisation, limit, 100, CoordinatorScope(), milliseconds(0));
     if (decision.granted) ++granted;
   }
   // A quarter of the slack of 1,000 and of a tenth of the window's limit of
@@ -381,33 +382,36 @@
 }
 
 /** Guards against a retry time at which the quota has no units yet. */
-BOOST_AUTO_TEST_CASE(RetryAfterNamesWhenThereIsRoom) {
+BOOST_AUTO_TEST_CASE(DeniedRequestIsGrantedAfterItsRetryTime) {
   core::ManualClock clock;
   UsageTable usage("self", kWindow, clock);
   QuotaCoordinator coordinator({kWindow, 0, 0}, usage, clock);
   const SharedLimit limit = Limit(1000, 0);
   BOOST_TEST(
-      coordinator.Take(kOrganisation, limit, 4000, Mandate(), milliseconds(0))
+      coordinator
+          .Take(kOrganisation, limit, 4000, CoordinatorScope(), milliseconds(0))
           .granted);
-  const QuotaDecision denied =
-      coordinator.Take(kOrganisation, limit, 100, Mandate(), milliseconds(0));
+  const QuotaDecision denied = coordinator.Take(
+      kOrganisation, limit, 100, CoordinatorScope(), milliseconds(0));
   BOOST_TEST(!denied.granted);
   clock.Advance(denied.delay - milliseconds(1));
   BOOST_TEST(
-      !coordinator.Take(kOrganisation, limit, 100, Mandate(), milliseconds(0))
+      !coordinator
+           .Take(kOrganisation, limit, 100, CoordinatorScope(), milliseconds(0))
            .granted);
   clock.Advance(milliseconds(1));
   BOOST_TEST(
-      coordinator.Take(kOrganisation, limit, 100, Mandate(), milliseconds(0))
+      coordinator
+          .Take(kOrganisation, limit, 100, CoordinatorScope(), milliseconds(0))
           .granted);
 }
 
 /** Every request gets a decision within the failover limit, even if all
  * datagrams are lost. */
-BOOST_AUTO_TEST_CASE(EveryRequestIsAnsweredInTime) {
+BOOST_AUTO_TEST_CASE(EveryRequestIsDecidedWithinTheFailoverTimeout) {
   QuotaRig rig(22);
   rig.Pass(seconds(3));
-  rig.cut = [](const std::string&, const std::string&) { return true; };
+  rig.is_cut = [](const std::string&, const std::string&) { return true; };
   for (std::size_t i = 0; i < 22; ++i) {
     rig.Request(i, kOrganisation, Limit(30'000, 30'000), kCost);
   }
--- a/src/quota/quota_client_view.cc
+++ b/src/quota/quota_client_view.cc
@@ -12,14 +12,14 @@
 namespace {
 
 /** Longest time for which a view of the other entries is cached. */
-constexpr milliseconds kViewAge{100};
+constexpr milliseconds kMaxViewAge{100};
 /** An entry is taken to be unreachable if nothing was received from it for this
  * time, and for two rounds of datagrams. */
-constexpr milliseconds kLeastHeardWithin{1000};
-constexpr int kRounds = 2;
+constexpr milliseconds kMinReachableWindow{1000};
+constexpr int kReachableRounds = 2;
 /** This entry is taken to be isolated if it received no datagram from any entry
  * for this time. */
-constexpr milliseconds kIsolatedAfter{1500};
+constexpr milliseconds kIsolationTimeout{1500};
 
 }  // namespace
 
@@ -42,44 +42,44 @@
   return FindCoordinator(id, "");
 }
 
-/** @param but Key of an entry to exclude; empty to exclude none. */
+/** @param excluded Key of an entry to exclude; empty to exclude none. */
 const fleet::Peer* QuotaClient::FindCoordinator(const QuotaId& id,
-                                                const std::string& but) {
-  const View& view = CurrentView();
+                                                const std::string& excluded) {
+  const PeerView& view = CurrentView();
   const fleet::Peer* best = nullptr;
   std::uint64_t best_rank = core::HashOf(id.value(), core::HashOf(options_.vm));
   for (std::size_t i = 0; i < view.peers.size(); ++i) {
-    const std::uint64_t rank = core::HashOf(id.value(), view.seeds[i]);
+    const std::uint64_t rank = core::HashOf(id.value(), view.vm_hashes[i]);
     if (rank <= best_rank || IsSuspected(view.peers[i].entry)) continue;
-    if (view.peers[i].entry == but) continue;
+    if (view.peers[i].entry == excluded) continue;
     best_rank = rank;
     best = &view.peers[i];
   }
   return best;
 }
 
-const QuotaClient::View& QuotaClient::CurrentView() {
+const QuotaClient::PeerView& QuotaClient::CurrentView() {
   const core::SteadyTime now = clock_.Now();
-  const bool is_fresh = view_ && now - view_->made < kViewAge &&
-                        view_->table == peer_table_.generation();
+  const bool is_fresh = view_ && now - view_->made_at < kMaxViewAge &&
+                        view_->table_generation == peer_table_.generation();
   if (is_fresh) return *view_;
-  View view;
-  view.made = now;
-  view.table = peer_table_.generation();
+  PeerView view;
+  view.made_at = now;
+  view.table_generation = peer_table_.generation();
   view.peers = peer_table_.Peers();
   for (const fleet::Peer& it : view.peers) {
-    view.seeds.push_back(core::HashOf(it.vm.empty() ? it.entry : it.vm));
+    view.vm_hashes.push_back(core::HashOf(it.vm.empty() ? it.entry : it.vm));
   }
   view.entries = std::max(static_cast<int>(view.peers.size()) + 1,
                           peer_table_.VmsLately());
-  view.heard_share = HeardShare(view);
+  view.reachable_fraction = ReachableFraction(view);
   std::vector<std::string> candidates;
   for (const fleet::Peer& it : view.peers) {
     if (!IsSuspected(it.entry)) candidates.push_back(it.entry);
   }
   view.generation = view_ ? view_->generation : 0;
   const bool same = view_ && candidates == candidates_ &&
-                    view.heard_share == view_->heard_share;
+                    view.reachable_fraction == view_->reachable_fraction;
   if (!same) ++view.generation;
   candidates_ = std::move(candidates);
   view_ = std::move(view);
@@ -91,13 +91,13 @@
  *   network partition a coordinator grants only this fraction of the limit, as
  *   the other entries have another coordinator.
  */
-double QuotaClient::HeardShare(const View& view) const {
+double QuotaClient::ReachableFraction(const PeerView& view) const {
   const core::SteadyTime now = clock_.Now();
   const milliseconds within =
-      std::max(kLeastHeardWithin, kRounds * peer_table_.Age());
+      std::max(kMinReachableWindow, kReachableRounds * peer_table_.Age());
   // Peers that have just become known count as reachable, except if this entry
   // is new itself: entries that don't know it yet have another coordinator.
-  const bool is_new = now - began_ < within + kLeastHeardWithin;
+  const bool is_new = now - running_since_ < within + kMinReachableWindow;
   const auto is_heard = [&](const fleet::Peer& it) {
     if (IsSuspected(it.entry)) return false;
     if (it.heard && now - *it.heard < within) return true;
@@ -108,21 +108,22 @@
 }
 
 bool QuotaClient::IsIsolated() {
-  const core::SteadyTime last =
-      std::max(peer_table_.last_heard().value_or(began_), began_);
-  const milliseconds limit = kIsolatedAfter + peer_table_.Age() / kRounds;
+  const core::SteadyTime last = std::max(
+      peer_table_.last_heard().value_or(running_since_), running_since_);
+  const milliseconds limit =
+      kIsolationTimeout + peer_table_.Age() / kReachableRounds;
   return CurrentView().entries > 1 && clock_.Now() - last >= limit;
 }
 
 /** @return The peers in the order in which they would coordinate the quota.
- * @param suspected_too True to include suspected peers. */
-std::vector<const fleet::Peer*> QuotaClient::Ranked(const QuotaId& id,
-                                                    bool suspected_too) {
-  const View& view = CurrentView();
+ * @param include_suspected True to include suspected peers. */
+std::vector<const fleet::Peer*> QuotaClient::RankedPeers(
+    const QuotaId& id, bool include_suspected) {
+  const PeerView& view = CurrentView();
   std::vector<std::pair<std::uint64_t, const fleet::Peer*>> ranked;
   for (std::size_t i = 0; i < view.peers.size(); ++i) {
-    if (!suspected_too && IsSuspected(view.peers[i].entry)) continue;
-    ranked.emplace_back(core::HashOf(id.value(), view.seeds[i]),
+    if (!include_suspected && IsSuspected(view.peers[i].entry)) continue;
+    ranked.emplace_back(core::HashOf(id.value(), view.vm_hashes[i]),
                         &view.peers[i]);
   }
   std::ranges::sort(ranked, std::greater<>());
--- a/src/quota/quota_coordinator_base.h
+++ b/src/quota/quota_coordinator_base.h
@@ -13,9 +13,9 @@
 namespace sapphire::quota {
 
 /** How much of a quota an entry may grant as coordinator. */
-struct Mandate {
+struct CoordinatorScope {
   /** Fraction of the rate that it may grant, 0 to 1. */
-  double share = 1;
+  double fraction = 1;
   /** Changes when another entry may have coordinated in the meantime. */
   std::int64_t generation = 0;
 };
@@ -33,7 +33,7 @@
    * @param wait Longest time that the request may be delayed.
    */
   QuotaDecision Take(const QuotaId& id, const SharedLimit& limit, double cost,
-                     const Mandate& mandate, milliseconds wait);
+                     const CoordinatorScope& scope, milliseconds wait);
 
   /** Returns units that a request took but did not use. */
   void GiveBack(const QuotaId& id, double cost);
@@ -43,35 +43,35 @@
 
   /** @return Fraction of the window's limit that all entries have used; 0 if
    * the quota has no bucket here. */
-  [[nodiscard]] double UsedPart(const QuotaId& id) const;
+  [[nodiscard]] double UsedFraction(const QuotaId& id) const;
 
   /** @return Units in the quota's bucket; 0 if it has none. */
   [[nodiscard]] double LevelOf(const QuotaId& id) const;
 
  private:
-  struct State {
+  struct QuotaState {
     SharedLimit limit;
     /** Spreads the grants over the window. */
     TokenBucket bucket;
     /** When the next denied request may be retried. */
-    core::SteadyTime next_offer;
-    core::SteadyTime asked_at;
+    core::SteadyTime next_retry;
+    core::SteadyTime last_request;
     std::int64_t generation = 0;
   };
 
-  State& StateOf(const QuotaId& id, const SharedLimit& limit,
-                 const Mandate& mandate);
-  [[nodiscard]] double WindowLimit(const State& state) const;
-  [[nodiscard]] BucketLimit PaceOf(const State& state) const;
-  [[nodiscard]] double FirstLevel(const State& state) const;
-  milliseconds Offer(const QuotaId& id, State& state, double cost,
-                     core::SteadyTime now);
+  QuotaState& StateOf(const QuotaId& id, const SharedLimit& limit,
+                      const CoordinatorScope& scope);
+  [[nodiscard]] double WindowLimit(const QuotaState& state) const;
+  [[nodiscard]] BucketLimit PacingLimit(const QuotaState& state) const;
+  [[nodiscard]] double InitialLevel(const QuotaState& state) const;
+  milliseconds ReserveRetryTime(const QuotaId& id, QuotaState& state,
+                                double cost, core::SteadyTime now);
 
   const QuotaRules rules_;
   /** Use by all entries, which bounds the grants in the window. */
   UsageTable& usage_;
   const core::Clock& clock_;
-  std::map<QuotaId, State> states_;
+  std::map<QuotaId, QuotaState> states_;
 };
 
 }  // namespace sapphire::quota
--- a/src/quota/quota_property_test.cc
+++ b/src/quota/quota_property_test.cc
@@ -24,9 +24,9 @@
 
 /** Random numbers. Doesn't use the standard distributions, as these differ
  * between libraries. */
-class Draw {
+class RandomSource {
  public:
-  explicit Draw(std::uint64_t seed) : random_(seed) {}
+  explicit RandomSource(std::uint64_t seed) : random_(seed) {}
   std::size_t Below(std::size_t bound) { return random_() % bound; }
 
  private:
@@ -35,32 +35,35 @@
 
 /** One organisation sends requests above its limit to some entries while faults
  * occur in a random order. */
-class Play {
+class FaultSimulation {
  public:
-  explicit Play(std::uint64_t seed)
-      : draw_(seed), rig_(static_cast<int>(2 + draw_.Below(21))) {
-    const double rate = static_cast<double>(2000 + draw_.Below(60'000));
-    limit_ = {1, {rate, rate * static_cast<double>(draw_.Below(3)) / 2}};
-    flood_ = rate * (1.5 + static_cast<double>(draw_.Below(4)));
-    targets_ = 1 + draw_.Below(rig_.entries.size());
-    rig_.cut = [this](const std::string& a, const std::string& b) {
-      return alone_.contains(a) || alone_.contains(b);
+  explicit FaultSimulation(std::uint64_t seed)
+      : random_source_(seed),
+        rig_(static_cast<int>(2 + random_source_.Below(21))) {
+    const double rate =
+        static_cast<double>(2000 + random_source_.Below(60'000));
+    limit_ = {1,
+              {rate, rate * static_cast<double>(random_source_.Below(3)) / 2}};
+    request_rate_ = rate * (1.5 + static_cast<double>(random_source_.Below(4)));
+    targets_ = 1 + random_source_.Below(rig_.entries.size());
+    rig_.is_cut = [this](const std::string& a, const std::string& b) {
+      return isolated_vms_.contains(a) || isolated_vms_.contains(b);
     };
   }
 
   /** Runs the simulation.
    * @return Units by which any window exceeded the bound; negative if none did.
    */
-  double ExcessAtEnd() {
+  double MaxExcess() {
     rig_.Pass(seconds(3));
     for (int i = 0; i < kRounds; ++i) {
-      if (i % kRoundsBetweenFaults == 0) Fault();
-      Flood(milliseconds(500));
+      if (i % kRoundsBetweenFaults == 0) InjectFault();
+      SendRequests(milliseconds(500));
     }
     const double bound =
         (limit_.limit.per_second * 8 + limit_.limit.burst) * kExcess +
         kSlackRequests * kCost;
-    return rig_.MostInWindow(kWindow) - bound;
+    return rig_.MaxInWindow(kWindow) - bound;
   }
 
  private:
@@ -68,12 +71,12 @@
   /** Interval between two faults, in rounds of 500 ms. */
   static constexpr int kRoundsBetweenFaults = 8;
 
-  void Flood(milliseconds time) {
+  void SendRequests(milliseconds time) {
     const milliseconds pause(
-        std::max<int>(10, static_cast<int>(kCost / flood_ * 1000)));
+        std::max<int>(10, static_cast<int>(kCost / request_rate_ * 1000)));
     for (milliseconds gone{0}; gone < time; gone += pause) {
       const std::size_t i =
-          draw_.Below(std::min(targets_, rig_.entries.size()));
+          random_source_.Below(std::min(targets_, rig_.entries.size()));
       if (!rig_.At(i).frozen) {
         rig_.Request(i, kOrganisation, limit_, kCost);
       }
@@ -81,11 +84,11 @@
     }
   }
 
-  void Fault() {
+  void InjectFault() {
     for (const auto& it : rig_.entries) it->frozen = false;
-    alone_.clear();
-    rig_.TellAllOfAll();
-    switch (draw_.Below(5)) {
+    isolated_vms_.clear();
+    rig_.SyncPresences();
+    switch (random_source_.Below(5)) {
       case 0:
         rig_.At(rig_.CoordinatorOf(kOrganisation)).frozen = true;
         break;
@@ -93,7 +96,8 @@
         Restart(rig_.CoordinatorOf(kOrganisation));
         break;
       case 2:
-        alone_.insert(rig_.At(draw_.Below(rig_.entries.size())).vm);
+        isolated_vms_.insert(
+            rig_.At(random_source_.Below(rig_.entries.size())).vm);
         break;
       case 3:
         for (const auto& it : rig_.entries) it->peer_table.SetEntries({});
@@ -109,7 +113,7 @@
     const std::string vm = rig_.At(i).vm;
     rig_.Kill(vm);
     rig_.Start(vm);
-    rig_.TellAllOfAll();
+    rig_.SyncPresences();
   }
 
   void Join() {
@@ -117,16 +121,16 @@
     for (std::size_t i = 0; i < n; ++i) {
       rig_.Start("new-" + std::to_string(++joined_));
     }
-    rig_.TellAllOfAll();
+    rig_.SyncPresences();
   }
 
-  Draw draw_;
+  RandomSource random_source_;
   QuotaRig rig_;
   SharedLimit limit_;
-  double flood_ = 0;
+  double request_rate_ = 0;
   std::size_t targets_ = 1;
   int joined_ = 0;
-  std::set<std::string> alone_;
+  std::set<std::string> isolated_vms_;
 };
 
 int Seeds() {
@@ -136,19 +140,21 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(TheBoundHoldsInEachOrderOfFaults) {
+BOOST_AUTO_TEST_CASE(BoundHoldsInRandomFaultSequences) {
   for (int seed = 1; seed <= Seeds(); ++seed) {
-    const double excess = Play(static_cast<std::uint64_t>(seed)).ExcessAtEnd();
+    const double excess =
+        FaultSimulation(static_cast<std::uint64_t>(seed)).MaxExcess();
     BOOST_TEST(excess <= 0, "seed " << seed << ": over by " << excess);
   }
 }
 
 /** Guards against several coordinators, successive or simultaneous, that each
  * grant the full limit. These sequences of faults have exceeded the bound. */
-BOOST_AUTO_TEST_CASE(TheBoundHoldsInOrdersThatExceededIt) {
+BOOST_AUTO_TEST_CASE(BoundHoldsInSequencesThatOnceExceededIt) {
   for (const int seed : {71, 134, 245, 273, 343, 896, 1039, 1286, 1606, 1629,
                          1634, 1718, 2062, 5889}) {
-    const double excess = Play(static_cast<std::uint64_t>(seed)).ExcessAtEnd();
+    const double excess =
+        FaultSimulation(static_cast<std::uint64_t>(seed)).MaxExcess();
     BOOST_TEST(excess <= 0, "seed " << seed << ": over by " << excess);
   }
 }
--- a/src/quota/quota_rig_test.h
+++ b/src/quota/quota_rig_test.h
@@ -83,7 +83,7 @@
         options_(std::move(options)) {
     clock.Advance(std::chrono::seconds(1000));
     for (int i = 0; i < entries; ++i) Start("vm-" + std::to_string(i));
-    TellAllOfAll();
+    SyncPresences();
   }
 
   /** Starts an entry under a new key. */
@@ -108,7 +108,7 @@
   }
 
   /** Updates the peer tables of all entries with the presences in the store. */
-  void TellAllOfAll() {
+  void SyncPresences() {
     std::map<std::string, gen::EntryPresence> all = dead_presences;
     for (const auto& it : entries) {
       gen::EntryPresence presence;
@@ -154,7 +154,7 @@
     for (milliseconds gone{0}; gone < time; gone += kStep) {
       clock.Advance(kStep);
       Deliver();
-      if (++steps_ % (kHeartbeat / kStep) == 0) Heartbeats();
+      if (++steps_ % (kHeartbeat / kStep) == 0) SendHeartbeats();
       for (const auto& it : entries) {
         if (it->frozen) continue;
         it->client.Tick();
@@ -165,10 +165,10 @@
 
   /** @return Largest sum of granted units of requests that arrived within one
    * window. */
-  [[nodiscard]] double MostInWindow(milliseconds window) const {
+  [[nodiscard]] double MaxInWindow(milliseconds window) const {
     std::vector<Grant> sorted = grants;
     std::ranges::sort(sorted, {}, &Grant::asked);
-    double most = 0;
+    double max_sum = 0;
     double sum = 0;
     std::size_t first = 0;
     for (const Grant& it : sorted) {
@@ -176,9 +176,9 @@
       while (sorted[first].asked + window < it.asked) {
         sum -= sorted[first++].cost;
       }
-      most = std::max(most, sum);
+      max_sum = std::max(max_sum, sum);
     }
-    return most;
+    return max_sum;
   }
 
   [[nodiscard]] double Granted() const {
@@ -191,7 +191,7 @@
 
   /** Returns true if datagrams between these two VMs are lost, in both
    * directions. */
-  std::function<bool(const std::string& a, const std::string& b)> cut =
+  std::function<bool(const std::string& a, const std::string& b)> is_cut =
       [](const std::string&, const std::string&) { return false; };
 
   core::ManualClock clock;
@@ -225,7 +225,7 @@
       TestEntry* from = FindAt(it.from);
       TestEntry* to = FindAt(it.to);
       if (from == nullptr || to == nullptr || to->frozen) continue;
-      if (cut(from->vm, to->vm)) continue;
+      if (is_cut(from->vm, to->vm)) continue;
       const gen::EntryDatagram& datagram = it.content;
       if (datagram.__isset.record) to->peer_table.Take(datagram.record);
       if (datagram.__isset.quota_ask) {
@@ -239,7 +239,7 @@
     }
   }
 
-  void Heartbeats() {
+  void SendHeartbeats() {
     for (const auto& it : entries) {
       const std::vector<std::string> others = it->peer_table.Addresses();
       if (it->frozen || others.empty()) continue;
--- a/src/quota/token_bucket.cc
+++ b/src/quota/token_bucket.cc
@@ -12,12 +12,13 @@
 using Seconds = std::chrono::duration<double>;
 using FractionalMillis = std::chrono::duration<double, std::milli>;
 
-/** Upper bound of the time that DebtTime returns. */
-constexpr std::chrono::hours kLongestDebt{1};
+/** Upper bound of the time that TimeUntilDebtPaid returns. */
+constexpr std::chrono::hours kMaxDebtTime{1};
 
 }  // namespace
 
-void Fill(TokenBucket& bucket, const BucketLimit& limit, core::SteadyTime now) {
+void Refill(TokenBucket& bucket, const BucketLimit& limit,
+            core::SteadyTime now) {
   if (now > bucket.filled_at) {
     const Seconds passed = now - bucket.filled_at;
     bucket.level += limit.per_second * passed.count();
@@ -26,17 +27,17 @@
   bucket.level = std::min(bucket.level, limit.burst);
 }
 
-bool TakeInFull(TokenBucket& bucket, double cost) {
+bool TryTake(TokenBucket& bucket, double cost) {
   if (bucket.level < cost) return false;
   bucket.level -= cost;
   return true;
 }
 
-std::chrono::milliseconds DebtTime(const TokenBucket& bucket,
-                                   const BucketLimit& limit) {
+std::chrono::milliseconds TimeUntilDebtPaid(const TokenBucket& bucket,
+                                            const BucketLimit& limit) {
   if (bucket.level >= 0) return std::chrono::milliseconds(0);
   const FractionalMillis time = Seconds(-bucket.level / limit.per_second);
-  const FractionalMillis longest = kLongestDebt;
+  const FractionalMillis longest = kMaxDebtTime;
   return std::chrono::milliseconds(
       std::llround(std::ceil(std::min(time, longest).count())));
 }
--- a/src/quota/token_bucket_func.h
+++ b/src/quota/token_bucket_func.h
@@ -10,17 +10,18 @@
 namespace sapphire::quota {
 
 /** Adds the units that accrued since the last call, up to the burst. */
-void Fill(TokenBucket& bucket, const BucketLimit& limit, core::SteadyTime now);
+void Refill(TokenBucket& bucket, const BucketLimit& limit,
+            core::SteadyTime now);
 
 /** Takes `cost` units if the bucket holds all of them.
  * @return True if it took them.
- * @pre Fill was called for the present time. */
-bool TakeInFull(TokenBucket& bucket, double cost);
+ * @pre Refill was called for the present time. */
+bool TryTake(TokenBucket& bucket, double cost);
 
 /** @return Time until the level is at least 0 again, rounded up.
- * @pre Fill was called for the present time. */
-std::chrono::milliseconds DebtTime(const TokenBucket& bucket,
-                                   const BucketLimit& limit);
+ * @pre Refill was called for the present time. */
+std::chrono::milliseconds TimeUntilDebtPaid(const TokenBucket& bucket,
+                                            const BucketLimit& limit);
 
 }  // namespace sapphire::quota
 
--- a/src/quota/token_bucket_test.cc
+++ b/src/quota/token_bucket_test.cc
@@ -19,32 +19,32 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(ABucketFillsUpToItsBurst) {
+BOOST_AUTO_TEST_CASE(BucketRefillsUpToItsBurst) {
   TokenBucket bucket = EmptyAt(kStart);
-  Fill(bucket, kLimit, kStart + milliseconds(200));
+  Refill(bucket, kLimit, kStart + milliseconds(200));
   BOOST_TEST(bucket.level == 200);
-  Fill(bucket, kLimit, kStart + seconds(60));
+  Refill(bucket, kLimit, kStart + seconds(60));
   BOOST_TEST(bucket.level == 500);
 }
 
-BOOST_AUTO_TEST_CASE(InFullTakesNoMoreThanThereIs) {
+BOOST_AUTO_TEST_CASE(TryTakeDeniesMoreThanTheLevel) {
   TokenBucket bucket = EmptyAt(kStart);
-  Fill(bucket, kLimit, kStart + milliseconds(100));
-  BOOST_TEST(!TakeInFull(bucket, 101));
-  BOOST_TEST(TakeInFull(bucket, 100));
+  Refill(bucket, kLimit, kStart + milliseconds(100));
+  BOOST_TEST(!TryTake(bucket, 101));
+  BOOST_TEST(TryTake(bucket, 100));
 }
 
 /** Guards against a bucket that is refilled twice for the same time when
  * timestamps arrive out of order. */
-BOOST_AUTO_TEST_CASE(TimeThatGoesBackAddsNothing) {
+BOOST_AUTO_TEST_CASE(TimestampsOutOfOrderAddNothing) {
   TokenBucket bucket = EmptyAt(kStart);
-  Fill(bucket, kLimit, kStart + milliseconds(100));
-  Fill(bucket, kLimit, kStart);
-  Fill(bucket, kLimit, kStart + milliseconds(100));
+  Refill(bucket, kLimit, kStart + milliseconds(100));
+  Refill(bucket, kLimit, kStart);
+  Refill(bucket, kLimit, kStart + milliseconds(100));
   BOOST_TEST(bucket.level == 100);
 }
 
-BOOST_AUTO_TEST_CASE(AWindowForgetsWhatIsOlder) {
+BOOST_AUTO_TEST_CASE(OldSamplesExpireFromTheWindow) {
   UsageWindow used;
   used.Add(10, kStart);
   used.Add(5, kStart + seconds(4));
@@ -53,7 +53,7 @@
   BOOST_TEST(used.Sum(seconds(8), kStart + seconds(20)) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(WhatIsGivenBackIsNotUsed) {
+BOOST_AUTO_TEST_CASE(RemovedUnitsAreNotCounted) {
   UsageWindow used;
   used.Add(10, kStart);
   used.Add(5, kStart + seconds(1));
@@ -63,7 +63,7 @@
   BOOST_TEST(used.Sum(seconds(8), kStart + seconds(1)) == 0);
 }
 
-BOOST_AUTO_TEST_CASE(AWindowTellsWhenItHasRoom) {
+BOOST_AUTO_TEST_CASE(TimeUntilBelowIsWhenSamplesExpire) {
   UsageWindow used;
   used.Add(10, kStart);
   used.Add(5, kStart + seconds(1));
--- a/src/quota/usage_table.cc
+++ b/src/quota/usage_table.cc
@@ -11,7 +11,7 @@
 namespace {
 
 /** Number of time steps per window in the use that entries exchange. */
-constexpr int kSteps = 16;
+constexpr int kStepsPerWindow = 16;
 
 }  // namespace
 
@@ -19,15 +19,17 @@
                        const core::Clock& clock)
     : self_(std::move(self)), window_(window), clock_(clock) {}
 
-milliseconds UsageTable::Step() const { return window_ / kSteps; }
+milliseconds UsageTable::StepLength() const {
+  return window_ / kStepsPerWindow;
+}
 
-void UsageTable::NoteGranted(const QuotaId& id, double units) {
+void UsageTable::RecordGrant(const QuotaId& id, double units) {
   Usage& own = quotas_[id][self_];
   own.number = ++number_;
   own.window.Add(units, clock_.Now());
 }
 
-void UsageTable::NoteGivenBack(const QuotaId& id, double units) {
+void UsageTable::RecordGiveBack(const QuotaId& id, double units) {
   const auto quota = quotas_.find(id);
   if (quota == quotas_.end()) return;
   const auto own = quota->second.find(self_);
@@ -36,21 +38,22 @@
   own->second.window.Remove(units);
 }
 
-void UsageTable::Learn(const QuotaId& id,
+void UsageTable::Merge(const QuotaId& id,
                        const std::vector<gen::QuotaUsage>& usages) {
   const core::SteadyTime now = clock_.Now();
-  for (const gen::QuotaUsage& told : usages) {
-    if (told.entry == self_ || told.steps.size() > kSteps + 1) continue;
-    Usage& known = quotas_[id][told.entry];
-    if (told.number <= known.number) continue;
-    known.number = told.number;
+  for (const gen::QuotaUsage& update : usages) {
+    if (update.entry == self_ || update.steps.size() > kStepsPerWindow + 1)
+      continue;
+    Usage& known = quotas_[id][update.entry];
+    if (update.number <= known.number) continue;
+    known.number = update.number;
     known.window = UsageWindow();
     // All use of a step is dated at the step's latest time, so that it doesn't
     // expire early.
-    for (std::size_t i = told.steps.size(); i-- > 0;) {
-      const auto units = static_cast<double>(told.steps[i]);
+    for (std::size_t i = update.steps.size(); i-- > 0;) {
+      const auto units = static_cast<double>(update.steps[i]);
       if (units > 0) {
-        known.window.Add(units, now - static_cast<int>(i) * Step());
+        known.window.Add(units, now - static_cast<int>(i) * StepLength());
       }
     }
   }
@@ -77,58 +80,58 @@
 milliseconds UsageTable::TimeUntilBelow(const QuotaId& id, double units) {
   const auto quota = quotas_.find(id);
   if (quota == quotas_.end()) return milliseconds(0);
-  std::vector<Use> uses;
+  std::vector<UsageSample> samples;
   for (const auto& [entry, usage] : quota->second) {
-    const std::deque<Use>& of_entry = usage.window.uses();
-    uses.insert(uses.end(), of_entry.begin(), of_entry.end());
+    const std::deque<UsageSample>& of_entry = usage.window.samples();
+    samples.insert(samples.end(), of_entry.begin(), of_entry.end());
   }
-  std::ranges::sort(uses, {}, &Use::at);
+  std::ranges::sort(samples, {}, &UsageSample::at);
   UsageWindow all;
-  for (const Use& it : uses) all.Add(it.units, it.at);
+  for (const UsageSample& it : samples) all.Add(it.units, it.at);
   return all.TimeUntilBelow(units, window_, clock_.Now());
 }
 
-gen::QuotaUsage UsageTable::TellOne(const std::string& entry,
-                                    const Usage& usage) const {
+gen::QuotaUsage UsageTable::ExportEntry(const std::string& entry,
+                                        const Usage& usage) const {
   const core::SteadyTime now = clock_.Now();
-  gen::QuotaUsage told;
-  told.entry = entry;
-  told.number = usage.number;
+  gen::QuotaUsage update;
+  update.entry = entry;
+  update.number = usage.number;
   std::vector<double> steps;
-  for (const Use& it : usage.window.uses()) {
+  for (const UsageSample& it : usage.window.samples()) {
     const auto age = std::max(now - it.at, core::SteadyTime::duration(0));
-    const auto step = static_cast<std::size_t>(age / Step());
-    if (step > kSteps) continue;
+    const auto step = static_cast<std::size_t>(age / StepLength());
+    if (step > kStepsPerWindow) continue;
     if (steps.size() <= step) steps.resize(step + 1);
     steps[step] += it.units;
   }
   for (const double it : steps) {
-    told.steps.push_back(static_cast<std::int64_t>(std::ceil(it)));
+    update.steps.push_back(static_cast<std::int64_t>(std::ceil(it)));
   }
-  return told;
+  return update;
 }
 
-std::vector<gen::QuotaUsage> UsageTable::Tell(const QuotaId& id) {
-  std::vector<gen::QuotaUsage> told;
+std::vector<gen::QuotaUsage> UsageTable::Export(const QuotaId& id) {
+  std::vector<gen::QuotaUsage> update;
   const auto quota = quotas_.find(id);
-  if (quota == quotas_.end()) return told;
+  if (quota == quotas_.end()) return update;
   for (auto& [entry, usage] : quota->second) {
     if (usage.window.Sum(window_, clock_.Now()) <= 0) continue;
-    told.push_back(TellOne(entry, usage));
+    update.push_back(ExportEntry(entry, usage));
   }
-  return told;
+  return update;
 }
 
-std::vector<gen::QuotaUsage> UsageTable::TellOwn(const QuotaId& id) {
+std::vector<gen::QuotaUsage> UsageTable::ExportOwn(const QuotaId& id) {
   if (OwnSum(id) <= 0) return {};
-  return {TellOne(self_, quotas_.at(id).at(self_))};
+  return {ExportEntry(self_, quotas_.at(id).at(self_))};
 }
 
 void UsageTable::Forget() {
   const core::SteadyTime now = clock_.Now();
   for (auto& [id, entries] : quotas_) {
     std::erase_if(entries, [this, now](const auto& it) {
-      return it.second.window.IsOver(window_, now);
+      return it.second.window.IsExpired(window_, now);
     });
   }
   std::erase_if(quotas_, [](const auto& it) { return it.second.empty(); });
--- a/src/quota/usage_table_base.h
+++ b/src/quota/usage_table_base.h
@@ -29,12 +29,12 @@
    */
   UsageTable(std::string self, milliseconds window, const core::Clock& clock);
 
-  void NoteGranted(const QuotaId& id, double units);
-  void NoteGivenBack(const QuotaId& id, double units);
+  void RecordGrant(const QuotaId& id, double units);
+  void RecordGiveBack(const QuotaId& id, double units);
 
   /** Adopts the use that another entry sent. Per granting entry, a higher
    * sequence number replaces a lower one; this entry's own use is ignored. */
-  void Learn(const QuotaId& id, const std::vector<gen::QuotaUsage>& usages);
+  void Merge(const QuotaId& id, const std::vector<gen::QuotaUsage>& usages);
 
   /** @return Units granted within the window by all entries. */
   [[nodiscard]] double Sum(const QuotaId& id);
@@ -48,11 +48,11 @@
 
   /** @return The use to send to others, of each entry that has granted units
    * within the window. */
-  [[nodiscard]] std::vector<gen::QuotaUsage> Tell(const QuotaId& id);
+  [[nodiscard]] std::vector<gen::QuotaUsage> Export(const QuotaId& id);
 
   /** @return The use of this entry only; empty if it has granted nothing within
    * the window. */
-  [[nodiscard]] std::vector<gen::QuotaUsage> TellOwn(const QuotaId& id);
+  [[nodiscard]] std::vector<gen::QuotaUsage> ExportOwn(const QuotaId& id);
 
   /** Removes use that is older than the window. */
   void Forget();
@@ -65,8 +65,9 @@
   };
   using ByEntry = std::map<std::string, Usage>;
 
-  gen::QuotaUsage TellOne(const std::string& entry, const Usage& usage) const;
-  [[nodiscard]] milliseconds Step() const;
+  gen::QuotaUsage ExportEntry(const std::string& entry,
+                              const Usage& usage) const;
+  [[nodiscard]] milliseconds StepLength() const;
 
   const std::string self_;
   const milliseconds window_;
--- a/src/quota/usage_table_test.cc
+++ b/src/quota/usage_table_test.cc
@@ -24,13 +24,13 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(WhatIsToldCountsUntilItIsOlderThanTheWindow) {
+BOOST_AUTO_TEST_CASE(MergedUseExpiresWithTheWindow) {
   Rig rig;
-  rig.a.NoteGranted(kQuota, 100);
+  rig.a.RecordGrant(kQuota, 100);
   rig.clock.Advance(seconds(3));
-  rig.a.NoteGranted(kQuota, 50);
-  rig.b.Learn(kQuota, rig.a.Tell(kQuota));
-  rig.b.NoteGranted(kQuota, 7);
+  rig.a.RecordGrant(kQuota, 50);
+  rig.b.Merge(kQuota, rig.a.Export(kQuota));
+  rig.b.RecordGrant(kQuota, 7);
   BOOST_TEST(rig.b.Sum(kQuota) == 157);
   rig.clock.Advance(milliseconds(5600));
   BOOST_TEST(rig.b.Sum(kQuota) == 57);
@@ -39,12 +39,12 @@
 }
 
 /** Guards against use that expires earlier at the entries that receive it. */
-BOOST_AUTO_TEST_CASE(WhatIsToldNeverEndsBeforeItDoes) {
+BOOST_AUTO_TEST_CASE(MergedUseNeverExpiresEarly) {
   Rig rig;
   for (int i = 0; i < 80; ++i) {
-    rig.a.NoteGranted(kQuota, 1.5);
+    rig.a.RecordGrant(kQuota, 1.5);
     rig.clock.Advance(milliseconds(100));
-    rig.b.Learn(kQuota, rig.a.Tell(kQuota));
+    rig.b.Merge(kQuota, rig.a.Export(kQuota));
     BOOST_TEST(rig.b.Sum(kQuota) >= rig.a.Sum(kQuota));
   }
   for (int i = 0; i < 90; ++i) {
@@ -54,42 +54,42 @@
 }
 
 /** Guards against use that is counted twice, or replaced by an older update. */
-BOOST_AUTO_TEST_CASE(OfTwoWordsTheLaterCounts) {
+BOOST_AUTO_TEST_CASE(LaterUpdateReplacesEarlierOne) {
   Rig rig;
-  rig.a.NoteGranted(kQuota, 100);
-  const auto before = rig.a.Tell(kQuota);
-  rig.a.NoteGranted(kQuota, 100);
-  rig.b.Learn(kQuota, rig.a.Tell(kQuota));
-  rig.b.Learn(kQuota, before);
-  rig.b.Learn(kQuota, rig.a.Tell(kQuota));
+  rig.a.RecordGrant(kQuota, 100);
+  const auto before = rig.a.Export(kQuota);
+  rig.a.RecordGrant(kQuota, 100);
+  rig.b.Merge(kQuota, rig.a.Export(kQuota));
+  rig.b.Merge(kQuota, before);
+  rig.b.Merge(kQuota, rig.a.Export(kQuota));
   BOOST_TEST(rig.b.Sum(kQuota) == 200);
-  rig.a.NoteGivenBack(kQuota, 60);
-  rig.b.Learn(kQuota, rig.a.Tell(kQuota));
+  rig.a.RecordGiveBack(kQuota, 60);
+  rig.b.Merge(kQuota, rig.a.Export(kQuota));
   BOOST_TEST(rig.b.Sum(kQuota) == 140);
 }
 
 /** Guards against grants that are not counted: an entry whose use has expired
  * continues with higher sequence numbers. */
-BOOST_AUTO_TEST_CASE(AnEntryThatWasForgottenIsBelievedAgain) {
+BOOST_AUTO_TEST_CASE(UpdatesAreAcceptedAfterTheUseExpired) {
   Rig rig;
-  for (int i = 0; i < 5; ++i) rig.a.NoteGranted(kQuota, 1);
-  rig.b.Learn(kQuota, rig.a.Tell(kQuota));
+  for (int i = 0; i < 5; ++i) rig.a.RecordGrant(kQuota, 1);
+  rig.b.Merge(kQuota, rig.a.Export(kQuota));
   rig.clock.Advance(milliseconds(8100));
   rig.a.Forget();
-  rig.a.NoteGranted(kQuota, 9);
-  rig.b.Learn(kQuota, rig.a.Tell(kQuota));
+  rig.a.RecordGrant(kQuota, 9);
+  rig.b.Merge(kQuota, rig.a.Export(kQuota));
   BOOST_TEST(rig.b.Sum(kQuota) >= 9);
 }
 
 /** Datagrams may come from any sender, so they must not change an entry's own
  * grants. */
-BOOST_AUTO_TEST_CASE(AnEntryKnowsItsOwnGrantsBest) {
+BOOST_AUTO_TEST_CASE(OwnUseIsNotOverwrittenByOthers) {
   Rig rig;
-  rig.a.NoteGranted(kQuota, 10);
-  auto told = rig.a.Tell(kQuota);
-  told.front().number += 100;
-  told.front().steps = {1000};
-  rig.a.Learn(kQuota, told);
+  rig.a.RecordGrant(kQuota, 10);
+  auto update = rig.a.Export(kQuota);
+  update.front().number += 100;
+  update.front().steps = {1000};
+  rig.a.Merge(kQuota, update);
   BOOST_TEST(rig.a.Sum(kQuota) == 10);
 }
 
--- a/src/quota/usage_window_base.h
+++ b/src/quota/usage_window_base.h
@@ -10,7 +10,7 @@
 namespace sapphire::quota {
 
 /** Units used at about the same time. */
-struct Use {
+struct UsageSample {
   core::SteadyTime at;
   double units = 0;
 };
@@ -28,8 +28,8 @@
   double Sum(std::chrono::milliseconds window, core::SteadyTime now);
 
   /** @return True if nothing was used in the window. */
-  [[nodiscard]] bool IsOver(std::chrono::milliseconds window,
-                            core::SteadyTime now) const;
+  [[nodiscard]] bool IsExpired(std::chrono::milliseconds window,
+                               core::SteadyTime now) const;
 
   /** @return Time until the sum falls below `units`, if nothing is added. */
   [[nodiscard]] std::chrono::milliseconds TimeUntilBelow(
@@ -37,10 +37,12 @@
       core::SteadyTime now) const;
 
   /** @return The samples, oldest first. */
-  [[nodiscard]] const std::deque<Use>& uses() const { return uses_; }
+  [[nodiscard]] const std::deque<UsageSample>& samples() const {
+    return samples_;
+  }
 
  private:
-  std::deque<Use> uses_;
+  std::deque<UsageSample> samples_;
   double sum_ = 0;
 };
 
--- a/src/serving/engine_limit_test.cc
+++ b/src/serving/engine_limit_test.cc
@@ -51,8 +51,8 @@
   /** One fault; the one before ends. */
   void Strike(std::mt19937& random) {
     for (const auto& it : rig.entries) it->frozen = false;
-    rig.cut = [](const std::string&, const std::string&) { return false; };
-    rig.TellAllOfAll();
+    rig.is_cut = [](const std::string&, const std::string&) { return false; };
+    rig.SyncPresences();
     const std::size_t coordinator = rig.CoordinatorOf(kEngine);
     const std::string vm = rig.At(coordinator).vm;
     switch (random() % 4) {
@@ -62,16 +62,16 @@
       case 1:
         rig.Kill(vm);
         rig.Start(vm);
-        rig.TellAllOfAll();
+        rig.SyncPresences();
         break;
       case 2:
-        rig.cut = [vm](const std::string& a, const std::string& b) {
+        rig.is_cut = [vm](const std::string& a, const std::string& b) {
           return a == vm || b == vm;
         };
         break;
       default:
         rig.Start("joined-" + std::to_string(random()));
-        rig.TellAllOfAll();
+        rig.SyncPresences();
     }
   }
 
@@ -156,7 +156,7 @@
     for (const double per_second : {0.0, 0.2, 1.0, 7.5, 40.0}) {
       Fleet fleet(entries, per_second);
       fleet.Want(milliseconds(12'000));
-      BOOST_TEST(fleet.rig.MostInWindow(kWindow) <= Allowed(per_second),
+      BOOST_TEST(fleet.rig.MaxInWindow(kWindow) <= Allowed(per_second),
                  entries << " entries, " << per_second << " a second");
     }
   }
@@ -182,14 +182,14 @@
     fleet.rig.Kill(vm);
     fleet.Want(milliseconds(3000));
     fleet.rig.Start(vm);
-    fleet.rig.TellAllOfAll();
+    fleet.rig.SyncPresences();
     fleet.Want(milliseconds(3000));
     for (int i = 0; i < entries; ++i) {
       fleet.rig.Start("new-" + std::to_string(i));
     }
-    fleet.rig.TellAllOfAll();
+    fleet.rig.SyncPresences();
     fleet.Want(milliseconds(5000));
-    BOOST_TEST(fleet.rig.MostInWindow(kWindow) <= Allowed(kPerSecond),
+    BOOST_TEST(fleet.rig.MaxInWindow(kWindow) <= Allowed(kPerSecond),
                entries << " entries");
   }
 }
@@ -209,8 +209,8 @@
       fleet.Strike(random);
       fleet.Want(milliseconds(4000));
     }
-    BOOST_TEST(fleet.rig.MostInWindow(kWindow) <= Allowed(per_second),
-               "seed " << seed << ": " << fleet.rig.MostInWindow(kWindow)
+    BOOST_TEST(fleet.rig.MaxInWindow(kWindow) <= Allowed(per_second),
+               "seed " << seed << ": " << fleet.rig.MaxInWindow(kWindow)
                        << " at " << per_second << " a second");
   }
 }
