--- a/bench/sapphire_quota_bench_main.cc
+++ b/bench/sapphire_quota_bench_main.cc
@@ -50,7 +50,7 @@
     it.address = "10.0.0.1:1";
   }
   peer_table.SetEntries(peers);
-  if (entries > 1) peer_table.NoteHeard("entries/vm-1@1");
+  if (entries > 1) peer_table.RecordDatagram("entries/vm-1@1");
   std::int64_t sent = 0;
   quota::QuotaClientOptions options;
   options.entry = "entries/self@1";
--- a/src/fleet/engine_holders.cc
+++ b/src/fleet/engine_holders.cc
@@ -16,14 +16,14 @@
   return address.substr(0, address.rfind(':'));
 }
 
-bool IsBeside(const std::string& engine, const EngineHolder& holder) {
+bool IsOnSameVm(const std::string& engine, const EngineHolder& holder) {
   return HostOf(engine) == HostOf(holder.address);
 }
 
 /** Holders on the engine's own VM are logged at debug level only, as they are
  * the normal case and cause hundreds of lines at each start. */
-LogLevel LevelOf(const std::string& engine, const EngineHolder& holder) {
-  return IsBeside(engine, holder) ? LogLevel::kDebug : LogLevel::kInfo;
+LogLevel LogLevelOf(const std::string& engine, const EngineHolder& holder) {
+  return IsOnSameVm(engine, holder) ? LogLevel::kDebug : LogLevel::kInfo;
 }
 
 }  // namespace
@@ -45,7 +45,7 @@
   const EngineHolder* known = Find(engine);
   const bool is_new = known == nullptr || known->address != holder.address;
   if (is_new) {
-    log_.Event(LevelOf(engine, holder), LogCategory::kReplica,
+    log_.Event(LogLevelOf(engine, holder), LogCategory::kReplica,
                "engine_holder_known",
                {{"engine", engine},
                 {"holder", holder.vm},
@@ -62,7 +62,7 @@
              {{"engine", engine},
               {"holder", it->second.vm},
               {"fence", it->second.revision}});
-  const Ended ended{clock_.Now(), IsBeside(engine, it->second)};
+  const EndedLease ended{clock_.Now(), IsOnSameVm(engine, it->second)};
   holders_.erase(it);
   ended_.insert_or_assign(engine, ended);
 }
@@ -79,9 +79,9 @@
   return it == ended_.end() ? first_listing_ : it->second.at;
 }
 
-bool EngineHolders::WasOrderedByEntry(const std::string& engine) const {
+bool EngineHolders::WasHeldRemotely(const std::string& engine) const {
   const auto it = ended_.find(engine);
-  return it != ended_.end() && !it->second.was_beside;
+  return it != ended_.end() && !it->second.was_on_same_vm;
 }
 
 }  // namespace sapphire::fleet
--- a/src/fleet/engine_holders_base.h
+++ b/src/fleet/engine_holders_base.h
@@ -39,7 +39,7 @@
 
   /** @return True if the engine's last known holder was on another VM than the
    * engine. */
-  [[nodiscard]] bool WasOrderedByEntry(const std::string& engine) const;
+  [[nodiscard]] bool WasHeldRemotely(const std::string& engine) const;
 
   /** @return When the engine was first known to have no holder; nothing if it
    * has one, or if the store has not been read yet. */
@@ -48,15 +48,15 @@
 
  private:
   /** A lease that has ended. */
-  struct Ended {
+  struct EndedLease {
     core::SteadyTime at;
-    bool was_beside = true;
+    bool was_on_same_vm = true;
   };
 
   const core::Clock& clock_;
   const core::Logger& log_;
   std::map<std::string, EngineHolder> holders_;
-  std::map<std::string, Ended> ended_;
+  std::map<std::string, EndedLease> ended_;
   /** When the first listing was received from the store. */
   std::optional<core::SteadyTime> first_listing_;
 };
--- a/src/fleet/engine_limits.cc
+++ b/src/fleet/engine_limits.cc
@@ -10,10 +10,10 @@
 namespace {
 
 /** A limit is sent to peers for this time after an engine reported it. */
-constexpr milliseconds kToldFor{5000};
+constexpr milliseconds kReportToPeersFor{5000};
 /** A limit received from a peer is valid for this time. In a large fleet each
  * peer sends a record only every few seconds. */
-constexpr milliseconds kTrustedFor{10'000};
+constexpr milliseconds kPeerLimitLifetime{10'000};
 
 }  // namespace
 
@@ -24,32 +24,37 @@
   const core::SteadyTime now = clock_.Now();
   if (notice.per_second) {
     Limit& limit = limits_[instance];
-    const bool is_new = limit.named != notice.per_second;
-    limit.named = notice.per_second;
-    limit.named_at = now;
+    const bool is_new = limit.reported_rate != notice.per_second;
+    limit.reported_rate = notice.per_second;
+    limit.reported_at = now;
     limit.ended_at.reset();
-    return is_new ? LimitChange::kNamed : LimitChange::kNone;
+    return is_new ? LimitChange::kReported : LimitChange::kNone;
   }
   const auto it = limits_.find(instance);
   if (it == limits_.end()) return LimitChange::kNone;
   Limit& limit = it->second;
   const bool had_limit = RateOf(limit).has_value();
-  if (limit.named && sent < limit.named_at) return LimitChange::kNone;
-  if (limit.told && sent < limit.told_at) return LimitChange::kNone;
-  limit.named.reset();
-  limit.told.reset();
+  if (limit.reported_rate && sent < limit.reported_at) {
+    return LimitChange::kNone;
+  }
+  if (limit.peer_rate && sent < limit.peer_reported_at) {
+    return LimitChange::kNone;
+  }
+  limit.reported_rate.reset();
+  limit.peer_rate.reset();
   limit.ended_at = now;
   limit.throttled_until = now;
   return had_limit ? LimitChange::kEnded : LimitChange::kNone;
 }
 
-void EngineLimits::ApplyTold(const InstanceId& instance, double per_second) {
+void EngineLimits::ApplyPeerLimit(const InstanceId& instance,
+                                  double per_second) {
   const core::SteadyTime now = clock_.Now();
   Limit& limit = limits_[instance];
   // Peers may still send a limit for a while after it has ended.
-  if (limit.ended_at && now - *limit.ended_at < kToldFor) return;
-  limit.told = per_second;
-  limit.told_at = now;
+  if (limit.ended_at && now - *limit.ended_at < kReportToPeersFor) return;
+  limit.peer_rate = per_second;
+  limit.peer_reported_at = now;
 }
 
 std::optional<double> EngineLimits::RateOf(const InstanceId& instance) const {
@@ -59,9 +64,10 @@
 }
 
 std::optional<double> EngineLimits::RateOf(const Limit& limit) const {
-  if (limit.named) return limit.named;
-  if (limit.told && clock_.Now() - limit.told_at < kTrustedFor) {
-    return limit.told;
+  if (limit.reported_rate) return limit.reported_rate;
+  if (limit.peer_rate &&
+      clock_.Now() - limit.peer_reported_at < kPeerLimitLifetime) {
+    return limit.peer_rate;
   }
   return std::nullopt;
 }
@@ -78,11 +84,12 @@
   return std::max(left, milliseconds(0));
 }
 
-std::map<InstanceId, double> EngineLimits::NamedLately() const {
+std::map<InstanceId, double> EngineLimits::RecentlyReported() const {
   std::map<InstanceId, double> lately;
   for (const auto& [instance, limit] : limits_) {
-    if (limit.named && clock_.Now() - limit.named_at < kToldFor) {
-      lately.emplace(instance, *limit.named);
+    if (limit.reported_rate &&
+        clock_.Now() - limit.reported_at < kReportToPeersFor) {
+      lately.emplace(instance, *limit.reported_rate);
     }
   }
   return lately;
--- a/src/fleet/engine_limits_base.h
+++ b/src/fleet/engine_limits_base.h
@@ -23,7 +23,7 @@
 };
 
 /** Effect of a notice on the known limit. */
-enum class LimitChange { kNone, kNamed, kEnded };
+enum class LimitChange { kNone, kReported, kEnded };
 
 /** Rate limits that engines have reported to this entry or to its peers, and
  * engines that are throttled as their limit is used up. Not thread-safe. */
@@ -42,7 +42,7 @@
                     core::SteadyTime sent);
 
   /** Applies a limit that a peer has recently received from the engine. */
-  void ApplyTold(const InstanceId& instance, double per_second);
+  void ApplyPeerLimit(const InstanceId& instance, double per_second);
 
   /** @return Requests per second of all entries together; nothing if the engine
    * has no limit. */
@@ -56,7 +56,7 @@
 
   /** @return Limits that engines have recently reported to this entry, to be
    * sent to its peers. */
-  [[nodiscard]] std::map<InstanceId, double> NamedLately() const;
+  [[nodiscard]] std::map<InstanceId, double> RecentlyReported() const;
 
   /** @return Number of engines that have a limit. */
   [[nodiscard]] int limited() const;
@@ -67,13 +67,13 @@
  private:
   struct Limit {
     /** Rate reported to this entry. */
-    std::optional<double> named;
-    core::SteadyTime named_at;
+    std::optional<double> reported_rate;
+    core::SteadyTime reported_at;
     /** When an answer without a limit ended the limit. */
     std::optional<core::SteadyTime> ended_at;
     /** Rate received from a peer. */
-    std::optional<double> told;
-    core::SteadyTime told_at;
+    std::optional<double> peer_rate;
+    core::SteadyTime peer_reported_at;
     core::SteadyTime throttled_until;
   };
 
--- a/src/fleet/engine_limits_test.cc
+++ b/src/fleet/engine_limits_test.cc
@@ -25,11 +25,11 @@
 
 /** Guards against a late answer to an earlier request that ends a newer limit.
  */
-BOOST_AUTO_TEST_CASE(AnswerThatWasOvertakenDoesNotEndALimit) {
+BOOST_AUTO_TEST_CASE(LateAnswerDoesNotEndANewerLimit) {
   Rig rig;
   const core::SteadyTime before = rig.clock.Now();
   rig.clock.Advance(milliseconds(100));
-  BOOST_TEST((rig.Answer({2.0}, before) == LimitChange::kNamed));
+  BOOST_TEST((rig.Answer({2.0}, before) == LimitChange::kReported));
   BOOST_TEST((rig.Answer({}, before) == LimitChange::kNone));
   BOOST_TEST(*rig.limits.RateOf(kEngine) == 2.0);
   BOOST_TEST((rig.Answer({}, rig.clock.Now()) == LimitChange::kEnded));
@@ -37,7 +37,7 @@
 }
 
 /** Guards against a limit that is lost when a later one can't be parsed. */
-BOOST_AUTO_TEST_CASE(UnreadableNoticeChangesNothing) {
+BOOST_AUTO_TEST_CASE(UnreadableNoticeKeepsTheLimit) {
   Rig rig;
   rig.Answer({2.0}, rig.clock.Now());
   BOOST_TEST((rig.Answer({std::nullopt, true}, rig.clock.Now()) ==
@@ -45,35 +45,35 @@
   BOOST_TEST(*rig.limits.RateOf(kEngine) == 2.0);
 }
 
-BOOST_AUTO_TEST_CASE(LowerLimitTakesThePlaceOfAHigherOne) {
+BOOST_AUTO_TEST_CASE(LowerLimitReplacesAHigherOne) {
   Rig rig;
   rig.Answer({2.0}, rig.clock.Now());
-  BOOST_TEST((rig.Answer({0.5}, rig.clock.Now()) == LimitChange::kNamed));
+  BOOST_TEST((rig.Answer({0.5}, rig.clock.Now()) == LimitChange::kReported));
   BOOST_TEST((rig.Answer({0.5}, rig.clock.Now()) == LimitChange::kNone));
   BOOST_TEST(*rig.limits.RateOf(kEngine) == 0.5);
 }
 
 /** Guards against peers that keep sending an ended limit to each other. */
-BOOST_AUTO_TEST_CASE(LimitThatAPeerToldEndsByItself) {
+BOOST_AUTO_TEST_CASE(LimitFromAPeerExpires) {
   Rig rig;
-  rig.limits.ApplyTold(kEngine, 3.0);
+  rig.limits.ApplyPeerLimit(kEngine, 3.0);
   BOOST_TEST(*rig.limits.RateOf(kEngine) == 3.0);
-  BOOST_TEST(rig.limits.NamedLately().empty());
+  BOOST_TEST(rig.limits.RecentlyReported().empty());
   rig.clock.Advance(milliseconds(10'000));
   BOOST_TEST(!rig.limits.RateOf(kEngine));
 }
 
 /** Guards against a peer that still sends a limit after its end. */
-BOOST_AUTO_TEST_CASE(OwnAnswerCountsMoreThanALateWordOfAPeer) {
+BOOST_AUTO_TEST_CASE(OwnAnswerOverridesALimitFromAPeer) {
   Rig rig;
   rig.Answer({2.0}, rig.clock.Now());
   rig.clock.Advance(milliseconds(10));
   rig.Answer({}, rig.clock.Now());
-  rig.limits.ApplyTold(kEngine, 2.0);
+  rig.limits.ApplyPeerLimit(kEngine, 2.0);
   BOOST_TEST(!rig.limits.RateOf(kEngine));
 }
 
-BOOST_AUTO_TEST_CASE(EngineIsThrottledForAWhileAndForgottenWhenItIsGone) {
+BOOST_AUTO_TEST_CASE(ThrottlingEndsAndGoneEnginesAreRemoved) {
   Rig rig;
   rig.limits.Throttle(kEngine, milliseconds(300));
   BOOST_TEST((rig.limits.ThrottledFor(kEngine) == milliseconds(300)));
--- a/src/fleet/engine_loads.cc
+++ b/src/fleet/engine_loads.cc
@@ -13,24 +13,24 @@
 
 /** Weight of the latest result in the failure rate: three failures in a row
  * make a rate of 0.66. */
-constexpr double kLatestWeight = 0.3;
+constexpr double kFailureRateWeight = 0.3;
 /** Half-life of the failure rate without new results, so that an engine that
  * got no requests because of its failures is tried again. */
-constexpr double kForgiveSeconds = 4;
+constexpr double kFailureHalfLifeSeconds = 4;
 /** An engine that accepted no connection is tried again after this time: a
  * crashed one restarts within seconds. */
-constexpr std::chrono::milliseconds kTryAgain{1000};
+constexpr std::chrono::milliseconds kReconnectDelay{1000};
 /** Maximum delay until an engine's entry shows a change: engines write their
  * entry about every second, and watchers of the store batch changes for as
  * long. */
-constexpr std::chrono::milliseconds kEntryLag{2500};
+constexpr std::chrono::milliseconds kMaxEntryLag{2500};
 /** Maximum number of prompt parts kept per engine, at about 100 bytes each. */
 constexpr std::size_t kMaxPrefixes = 512;
 
 /** @return The part, and for an adapter also its model, which is used too. */
-std::vector<UsedPart> PartsOf(const UsedPart& part) {
+std::vector<ModelOrAdapter> PartsOf(const ModelOrAdapter& part) {
   if (part.adapter.empty()) return {part};
-  return {part, UsedPart{part.model, core::AdapterId()}};
+  return {part, ModelOrAdapter{part.model, core::AdapterId()}};
 }
 
 std::uint64_t PrefixKey(const core::ModelId& model, std::uint64_t part) {
@@ -43,35 +43,35 @@
     : clock_(clock), limits_(clock) {}
 
 SendTicket EngineLoads::Begin(const InstanceId& instance,
-                              const UsedPart& part) {
-  Load& load = At(instance);
+                              const ModelOrAdapter& part) {
+  EngineLoad& load = LoadOf(instance);
   SendTicket ticket{instance, next_number_++};
   const core::SteadyTime now = clock_.Now();
-  load.sent[ticket.number] = Sent{part, now, false, now};
-  for (const UsedPart& it : PartsOf(part)) {
-    load.usage.NoteBegun(it);
+  load.sent[ticket.number] = SentRequest{part, now, false, now};
+  for (const ModelOrAdapter& it : PartsOf(part)) {
+    load.usage.RecordBegun(it);
     load.usage.AddRunning(it, 1);
   }
   return ticket;
 }
 
-void EngineLoads::NoteAnswer(const SendTicket& ticket) {
-  Load& load = At(ticket.instance);
+void EngineLoads::RecordFirstByte(const SendTicket& ticket) {
+  EngineLoad& load = LoadOf(ticket.instance);
   const auto it = load.sent.find(ticket.number);
   if (it != load.sent.end()) it->second.answered = true;
 }
 
-void EngineLoads::NoteHeard(const SendTicket& ticket) {
-  Load& load = At(ticket.instance);
+void EngineLoads::RecordAnswerPart(const SendTicket& ticket) {
+  EngineLoad& load = LoadOf(ticket.instance);
   const auto it = load.sent.find(ticket.number);
-  if (it != load.sent.end()) it->second.heard = clock_.Now();
+  if (it != load.sent.end()) it->second.last_received = clock_.Now();
 }
 
 void EngineLoads::End(const SendTicket& ticket, SendResult result) {
-  Load& load = At(ticket.instance);
+  EngineLoad& load = LoadOf(ticket.instance);
   const auto it = load.sent.find(ticket.number);
   if (it == load.sent.end()) return;
-  for (const UsedPart& part : PartsOf(it->second.part)) {
+  for (const ModelOrAdapter& part : PartsOf(it->second.part)) {
     load.usage.AddRunning(part, -1);
   }
   load.sent.erase(it);
@@ -79,8 +79,8 @@
     return;
   }
   const double failed = result == SendResult::kFailed ? 1.0 : 0.0;
-  load.failure_rate = (1 - kLatestWeight) * FailureRate(ticket.instance) +
-                      kLatestWeight * failed;
+  load.failure_rate = (1 - kFailureRateWeight) * FailureRate(ticket.instance) +
+                      kFailureRateWeight * failed;
   load.last_result = clock_.Now();
 }
 
@@ -94,75 +94,79 @@
   if (it == loads_.end()) return 0;
   const std::chrono::duration<double> age =
       clock_.Now() - it->second.last_result;
-  return it->second.failure_rate * std::exp2(-age.count() / kForgiveSeconds);
+  return it->second.failure_rate *
+         std::exp2(-age.count() / kFailureHalfLifeSeconds);
 }
 
-std::chrono::milliseconds EngineLoads::OldestSilence(
+std::chrono::milliseconds EngineLoads::LongestSilence(
     const InstanceId& instance) const {
   const auto it = loads_.find(instance);
   const core::SteadyTime now = clock_.Now();
   core::SteadyTime asked = now;
-  std::optional<core::SteadyTime> heard;
+  std::optional<core::SteadyTime> last_received;
   if (it == loads_.end()) return std::chrono::milliseconds(0);
   for (const auto& [number, sent] : it->second.sent) {
     if (sent.answered) {
-      heard = std::max(heard.value_or(sent.heard), sent.heard);
+      last_received = std::max(last_received.value_or(sent.last_received),
+                               sent.last_received);
     } else {
       asked = std::min(asked, sent.at);
     }
   }
-  const core::SteadyTime silent_since = std::min(asked, heard.value_or(now));
+  const core::SteadyTime silent_since =
+      std::min(asked, last_received.value_or(now));
   return std::chrono::duration_cast<std::chrono::milliseconds>(now -
                                                                silent_since);
 }
 
-void EngineLoads::NoteUnreachable(const InstanceId& instance) {
-  At(instance).unreachable = clock_.Now();
+void EngineLoads::MarkUnreachable(const InstanceId& instance) {
+  LoadOf(instance).unreachable_at = clock_.Now();
 }
 
-bool EngineLoads::Unreachable(const InstanceId& instance) const {
+bool EngineLoads::IsUnreachable(const InstanceId& instance) const {
   const auto it = loads_.find(instance);
-  if (it == loads_.end() || !it->second.unreachable) return false;
-  return clock_.Now() - *it->second.unreachable < kTryAgain;
+  if (it == loads_.end() || !it->second.unreachable_at) return false;
+  return clock_.Now() - *it->second.unreachable_at < kReconnectDelay;
 }
 
-void EngineLoads::NoteLacking(const InstanceId& instance,
-                              const UsedPart& part) {
-  Load& load = At(instance);
+void EngineLoads::MarkLacking(const InstanceId& instance,
+                              const ModelOrAdapter& part) {
+  EngineLoad& load = LoadOf(instance);
   load.lacking[part] = clock_.Now();
   load.loaded.erase(part);
 }
 
-void EngineLoads::NoteLoaded(const InstanceId& instance, const UsedPart& part) {
-  Load& load = At(instance);
-  for (const UsedPart& it : PartsOf(part)) {
+void EngineLoads::NoteLoaded(const InstanceId& instance,
+                             const ModelOrAdapter& part) {
+  EngineLoad& load = LoadOf(instance);
+  for (const ModelOrAdapter& it : PartsOf(part)) {
     load.loaded[it] = clock_.Now();
     load.lacking.erase(it);
   }
 }
 
 bool EngineLoads::HasLoaded(const InstanceId& instance,
-                            const UsedPart& part) const {
+                            const ModelOrAdapter& part) const {
   const auto it = loads_.find(instance);
   if (it == loads_.end()) return false;
   const auto loaded = it->second.loaded.find(part);
   if (loaded == it->second.loaded.end()) return false;
-  return clock_.Now() - loaded->second < kEntryLag;
+  return clock_.Now() - loaded->second < kMaxEntryLag;
 }
 
 bool EngineLoads::Lacks(const InstanceId& instance,
-                        const UsedPart& part) const {
+                        const ModelOrAdapter& part) const {
   const auto it = loads_.find(instance);
   if (it == loads_.end()) return false;
   const auto lacking = it->second.lacking.find(part);
   if (lacking == it->second.lacking.end()) return false;
-  return clock_.Now() - lacking->second < kEntryLag;
+  return clock_.Now() - lacking->second < kMaxEntryLag;
 }
 
 void EngineLoads::NotePrefix(const InstanceId& instance,
                              const core::ModelId& model,
                              const std::vector<std::uint64_t>& part_hashes) {
-  Load& load = At(instance);
+  EngineLoad& load = LoadOf(instance);
   for (const std::uint64_t part : part_hashes) {
     const std::uint64_t key = PrefixKey(model, part);
     if (!load.prefixes.contains(key)) load.prefix_order.push_back(key);
@@ -174,7 +178,7 @@
   }
 }
 
-std::size_t EngineLoads::KnownParts(
+std::size_t EngineLoads::KnownPrefixParts(
     const InstanceId& instance, const core::ModelId& model,
     const std::vector<std::uint64_t>& part_hashes) const {
   const auto it = loads_.find(instance);
@@ -186,23 +190,23 @@
   return static_cast<std::size_t>(unknown - part_hashes.begin());
 }
 
-Usage EngineLoads::UseOf(const InstanceId& instance,
-                         const UsedPart& part) const {
+Usage EngineLoads::UsageOf(const InstanceId& instance,
+                           const ModelOrAdapter& part) const {
   const auto it = loads_.find(instance);
   return it == loads_.end() ? Usage() : it->second.usage.Of(part);
 }
 
-std::map<InstanceId, UsageTable> EngineLoads::RecentUse(
+std::map<InstanceId, UsageByPart> EngineLoads::RecentUsage(
     std::chrono::milliseconds time) const {
-  std::map<InstanceId, UsageTable> uses;
+  std::map<InstanceId, UsageByPart> uses;
   for (const auto& [instance, load] : loads_) {
-    UsageTable table = load.usage.Recent(time);
+    UsageByPart table = load.usage.Recent(time);
     if (!table.empty()) uses.emplace(instance, std::move(table));
   }
   return uses;
 }
 
-EngineLoads::Load& EngineLoads::At(const InstanceId& instance) {
+EngineLoads::EngineLoad& EngineLoads::LoadOf(const InstanceId& instance) {
   return loads_.try_emplace(instance, clock_).first->second;
 }
 
--- a/src/fleet/engine_loads_base.h
+++ b/src/fleet/engine_loads_base.h
@@ -45,11 +45,11 @@
   [[nodiscard]] const EngineLimits& limits() const { return limits_; }
 
   /** Records that a request is sent. */
-  SendTicket Begin(const InstanceId& instance, const UsedPart& part);
+  SendTicket Begin(const InstanceId& instance, const ModelOrAdapter& part);
   /** Records that the first byte of the answer was received. */
-  void NoteAnswer(const SendTicket& ticket);
+  void RecordFirstByte(const SendTicket& ticket);
   /** Records that a part of the answer was received. */
-  void NoteHeard(const SendTicket& ticket);
+  void RecordAnswerPart(const SendTicket& ticket);
   void End(const SendTicket& ticket, SendResult result);
 
   /** @return Number of this entry's requests in progress at the engine. */
@@ -64,35 +64,35 @@
    *
    * Detects a frozen engine before new requests to it have timed out.
    */
-  [[nodiscard]] std::chrono::milliseconds OldestSilence(
+  [[nodiscard]] std::chrono::milliseconds LongestSilence(
       const InstanceId& instance) const;
 
   /** Records that no connection to the engine could be made. */
-  void NoteUnreachable(const InstanceId& instance);
+  void MarkUnreachable(const InstanceId& instance);
 
   /** @return True if a connection has just failed, so that it is too early to
    * retry. */
-  [[nodiscard]] bool Unreachable(const InstanceId& instance) const;
+  [[nodiscard]] bool IsUnreachable(const InstanceId& instance) const;
 
   /** @return This entry's own use of the model or adapter at the engine. */
-  [[nodiscard]] Usage UseOf(const InstanceId& instance,
-                            const UsedPart& part) const;
+  [[nodiscard]] Usage UsageOf(const InstanceId& instance,
+                              const ModelOrAdapter& part) const;
 
   /** Records that the engine has not loaded this. */
-  void NoteLacking(const InstanceId& instance, const UsedPart& part);
+  void MarkLacking(const InstanceId& instance, const ModelOrAdapter& part);
 
   /** Records that the engine has loaded this. */
-  void NoteLoaded(const InstanceId& instance, const UsedPart& part);
+  void NoteLoaded(const InstanceId& instance, const ModelOrAdapter& part);
 
   /** @return True if the engine loaded this so recently that its entry in the
    * store may not show it yet. */
   [[nodiscard]] bool HasLoaded(const InstanceId& instance,
-                               const UsedPart& part) const;
+                               const ModelOrAdapter& part) const;
 
   /** @return True if the engine was found not to have loaded this so recently
    * that its entry in the store may still name it. */
   [[nodiscard]] bool Lacks(const InstanceId& instance,
-                           const UsedPart& part) const;
+                           const ModelOrAdapter& part) const;
 
   /** Records the prompt parts that an engine has processed. */
   void NotePrefix(const InstanceId& instance, const core::ModelId& model,
@@ -100,12 +100,12 @@
 
   /** @return Number of leading prompt parts that the engine has recently
    * processed. */
-  [[nodiscard]] std::size_t KnownParts(
+  [[nodiscard]] std::size_t KnownPrefixParts(
       const InstanceId& instance, const core::ModelId& model,
       const std::vector<std::uint64_t>& part_hashes) const;
 
   /** @return Use by this entry that is in progress or began within `time`. */
-  [[nodiscard]] std::map<InstanceId, UsageTable> RecentUse(
+  [[nodiscard]] std::map<InstanceId, UsageByPart> RecentUsage(
       std::chrono::milliseconds time) const;
 
   /** Removes engines that are not in `alive` and have no requests in progress.
@@ -113,22 +113,22 @@
   void Forget(const std::set<InstanceId>& alive);
 
  private:
-  struct Sent {
-    UsedPart part;
+  struct SentRequest {
+    ModelOrAdapter part;
     core::SteadyTime at;
     bool answered = false;
     /** When the last part of the answer was received; until then, when the
      * request was sent. */
-    core::SteadyTime heard;
+    core::SteadyTime last_received;
   };
-  struct Load {
-    explicit Load(const core::Clock& clock) : usage(clock) {}
+  struct EngineLoad {
+    explicit EngineLoad(const core::Clock& clock) : usage(clock) {}
 
-    std::map<std::int64_t, Sent> sent;
+    std::map<std::int64_t, SentRequest> sent;
     ModelUsage usage;
-    std::optional<core::SteadyTime> unreachable;
-    std::map<UsedPart, core::SteadyTime> lacking;
-    std::map<UsedPart, core::SteadyTime> loaded;
+    std::optional<core::SteadyTime> unreachable_at;
+    std::map<ModelOrAdapter, core::SteadyTime> lacking;
+    std::map<ModelOrAdapter, core::SteadyTime> loaded;
     double failure_rate = 0;
     core::SteadyTime last_result;
     /** When each prompt part was last processed, by hash of model and part. */
@@ -136,11 +136,11 @@
     std::deque<std::uint64_t> prefix_order;
   };
 
-  Load& At(const InstanceId& instance);
+  EngineLoad& LoadOf(const InstanceId& instance);
 
   const core::Clock& clock_;
   EngineLimits limits_;
-  std::map<InstanceId, Load> loads_;
+  std::map<InstanceId, EngineLoad> loads_;
   std::int64_t next_number_ = 1;
 };
 
--- a/src/fleet/engine_loads_test.cc
+++ b/src/fleet/engine_loads_test.cc
@@ -13,7 +13,7 @@
 using std::chrono::milliseconds;
 
 const InstanceId kEngine("i-1");
-const UsedPart kModel{core::ModelId("m"), core::AdapterId()};
+const ModelOrAdapter kModel{core::ModelId("m"), core::AdapterId()};
 
 }  // namespace
 
@@ -23,37 +23,37 @@
  * byte is old yet, so the engine looked healthy. Requests sent to it can't be
  * cancelled before it resumes.
  */
-BOOST_AUTO_TEST_CASE(AnEngineWhoseStreamsAllPauseIsSilent) {
+BOOST_AUTO_TEST_CASE(SilenceIsMeasuredSinceTheLastPartOfAnyStream) {
   core::ManualClock clock;
   EngineLoads loads(clock);
   const SendTicket first = loads.Begin(kEngine, kModel);
   const SendTicket second = loads.Begin(kEngine, kModel);
   clock.Advance(milliseconds(50));
   for (const SendTicket& it : {first, second}) {
-    loads.NoteAnswer(it);
-    loads.NoteHeard(it);
+    loads.RecordFirstByte(it);
+    loads.RecordAnswerPart(it);
   }
   clock.Advance(milliseconds(700));
-  BOOST_TEST((loads.OldestSilence(kEngine) == milliseconds(700)));
+  BOOST_TEST((loads.LongestSilence(kEngine) == milliseconds(700)));
   // One stream sends data: the engine is alive, the other stream only waits.
-  loads.NoteHeard(second);
+  loads.RecordAnswerPart(second);
   clock.Advance(milliseconds(40));
-  BOOST_TEST((loads.OldestSilence(kEngine) == milliseconds(40)));
+  BOOST_TEST((loads.LongestSilence(kEngine) == milliseconds(40)));
   loads.End(first, SendResult::kServed);
   loads.End(second, SendResult::kServed);
   clock.Advance(milliseconds(700));
-  BOOST_TEST((loads.OldestSilence(kEngine) == milliseconds(0)));
+  BOOST_TEST((loads.LongestSilence(kEngine) == milliseconds(0)));
 }
 
-BOOST_AUTO_TEST_CASE(ARequestWithoutAFirstByteTellsToo) {
+BOOST_AUTO_TEST_CASE(RequestWithoutAFirstByteCountsAsSilence) {
   core::ManualClock clock;
   EngineLoads loads(clock);
   const SendTicket answered = loads.Begin(kEngine, kModel);
-  loads.NoteAnswer(answered);
+  loads.RecordFirstByte(answered);
   loads.Begin(kEngine, kModel);
   clock.Advance(milliseconds(800));
-  loads.NoteHeard(answered);
-  BOOST_TEST((loads.OldestSilence(kEngine) == milliseconds(800)));
+  loads.RecordAnswerPart(answered);
+  BOOST_TEST((loads.LongestSilence(kEngine) == milliseconds(800)));
 }
 
 }  // namespace sapphire::fleet
--- a/src/fleet/engine_registry.cc
+++ b/src/fleet/engine_registry.cc
@@ -16,13 +16,13 @@
                                const core::Logger& log)
     : options_(options), clock_(clock), log_(log) {}
 
-void EngineRegistry::NoteReplaced(const InstanceId& instance) {
+void EngineRegistry::MarkReplaced(const InstanceId& instance) {
   replaced_.insert_or_assign(instance, clock_.Now());
   Drop(instance, "replaced");
   // An entry deferred because of the replaced instance is valid now.
-  const auto doubted = doubted_.find(EngineOf(instance));
-  if (doubted == doubted_.end()) return;
-  EngineEntry entry = std::move(doubted->second.entry);
+  const auto deferred = deferred_.find(EngineOf(instance));
+  if (deferred == deferred_.end()) return;
+  EngineEntry entry = std::move(deferred->second.entry);
   Accept(std::move(entry));
 }
 
@@ -32,31 +32,31 @@
          clock_.Now() - it->second < options_.replaced_for;
 }
 
-InstanceId EngineRegistry::StartOf(const EngineId& engine) const {
-  const auto it = starts_.find(engine);
-  return it == starts_.end() ? InstanceId() : it->second;
+InstanceId EngineRegistry::KnownInstance(const EngineId& engine) const {
+  const auto it = known_instances_.find(engine);
+  return it == known_instances_.end() ? InstanceId() : it->second;
 }
 
 void EngineRegistry::Put(EngineEntry entry) {
   if (IsReplaced(entry.instance)) return;
   const EngineId engine = EngineOf(entry.instance);
-  const InstanceId known = StartOf(engine);
-  const auto known_born = BirthOf(known);
-  const auto born = BirthOf(entry.instance);
+  const InstanceId known = KnownInstance(engine);
+  const auto known_start_time = StartTimeOf(known);
+  const auto start_time = StartTimeOf(entry.instance);
   // An engine that reports its start time always does, so this entry was
   // written by something else.
-  if (known_born && !born) {
-    PutUnreadable(engine);
+  if (known_start_time && !start_time) {
+    MarkUnreadable(engine);
     return;
   }
-  if (known_born && *born < *known_born) {
-    Doubt(std::move(entry), known);
+  if (known_start_time && *start_time < *known_start_time) {
+    Defer(std::move(entry), known);
     return;
   }
   Accept(std::move(entry));
 }
 
-void EngineRegistry::Doubt(EngineEntry entry, const InstanceId& known) {
+void EngineRegistry::Defer(EngineEntry entry, const InstanceId& known) {
   log_.Event(LogLevel::kInfo, LogCategory::kReplica, "engine_doubted",
              {{"instance", entry.instance},
               {"known", known},
@@ -69,7 +69,7 @@
   }
   const EngineId engine = EngineOf(entry.instance);
   const auto [it, first] =
-      doubted_.try_emplace(engine, Doubted{entry, clock_.Now()});
+      deferred_.try_emplace(engine, DeferredEntry{entry, clock_.Now()});
   if (first) return;
   // Another entry of the deferred instance doesn't restart the wait, as the
   // known instance is still silent.
@@ -81,12 +81,12 @@
 
 void EngineRegistry::Accept(EngineEntry entry) {
   const EngineId engine = EngineOf(entry.instance);
-  doubted_.erase(engine);
-  const InstanceId known = StartOf(engine);
+  deferred_.erase(engine);
+  const InstanceId known = KnownInstance(engine);
   if (!known.empty() && known != entry.instance) Drop(known, "restarted");
   ++generation_;
   missing_.erase(entry.instance);
-  starts_.insert_or_assign(engine, entry.instance);
+  known_instances_.insert_or_assign(engine, entry.instance);
   const auto it = engines_.find(entry.instance);
   const bool is_known = it != engines_.end();
   if (!is_known || it->second.draining != entry.draining) {
@@ -100,24 +100,24 @@
   engines_.insert_or_assign(entry.instance, std::move(entry));
 }
 
-void EngineRegistry::PutUnreadable(const EngineId& engine) {
-  doubted_.erase(engine);
-  Drop(StartOf(engine), "entry_unreadable");
+void EngineRegistry::MarkUnreadable(const EngineId& engine) {
+  deferred_.erase(engine);
+  Drop(KnownInstance(engine), "entry_unreadable");
 }
 
 void EngineRegistry::Remove(const EngineId& engine,
                             std::optional<core::SteadyTime> lapse_end) {
-  doubted_.erase(engine);
-  const InstanceId instance = StartOf(engine);
+  deferred_.erase(engine);
+  const InstanceId instance = KnownInstance(engine);
   if (lapse_end && engines_.contains(instance)) {
-    Hold(instance, *lapse_end);
+    KeepUntil(instance, *lapse_end);
     return;
   }
   Drop(instance, "entry_removed");
 }
 
-void EngineRegistry::Replace(std::vector<EngineEntry> entries,
-                             std::optional<core::SteadyTime> lapse_end) {
+void EngineRegistry::ReplaceAll(std::vector<EngineEntry> entries,
+                                std::optional<core::SteadyTime> lapse_end) {
   std::set<EngineId> listed;
   for (EngineEntry& entry : entries) {
     listed.insert(EngineOf(entry.instance));
@@ -129,16 +129,16 @@
   }
   for (const InstanceId& instance : absent) {
     if (lapse_end) {
-      Hold(instance, *lapse_end);
+      KeepUntil(instance, *lapse_end);
     } else {
       Drop(instance, "not_listed");
     }
   }
 }
 
-void EngineRegistry::NoteHoldings(const InstanceId& instance,
-                                  std::vector<HeldModel> models,
-                                  NearCopies copies) {
+void EngineRegistry::UpdateModels(const InstanceId& instance,
+                                  std::vector<LoadedModel> models,
+                                  CachedCheckpoints copies) {
   const auto it = engines_.find(instance);
   if (it == engines_.end()) return;
   it->second.models = std::move(models);
@@ -153,13 +153,13 @@
     if (now >= gone_at) gone.push_back(instance);
   }
   for (const InstanceId& instance : gone) Drop(instance, "not_back_in_time");
-  std::vector<EngineEntry> believed;
-  for (const auto& [engine, doubted] : doubted_) {
-    if (now - doubted.since >= options_.doubt) {
-      believed.push_back(doubted.entry);
+  std::vector<EngineEntry> due;
+  for (const auto& [engine, deferred] : deferred_) {
+    if (now - deferred.since >= options_.defer_for) {
+      due.push_back(deferred.entry);
     }
   }
-  for (EngineEntry& entry : believed) Accept(std::move(entry));
+  for (EngineEntry& entry : due) Accept(std::move(entry));
   std::erase_if(replaced_, [&](const auto& it) {
     return now - it.second >= options_.replaced_for;
   });
@@ -170,8 +170,8 @@
   return it == engines_.end() ? nullptr : &it->second;
 }
 
-void EngineRegistry::Hold(const InstanceId& instance,
-                          core::SteadyTime gone_at) {
+void EngineRegistry::KeepUntil(const InstanceId& instance,
+                               core::SteadyTime gone_at) {
   if (!missing_.try_emplace(instance, gone_at).second) return;
   const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
       gone_at - clock_.Now());
@@ -182,7 +182,7 @@
 void EngineRegistry::Drop(const InstanceId& instance, std::string_view reason) {
   missing_.erase(instance);
   if (engines_.erase(instance) == 0) return;
-  starts_.erase(EngineOf(instance));
+  known_instances_.erase(EngineOf(instance));
   ++generation_;
   log_.Event(LogLevel::kInfo, LogCategory::kReplica, "engine_gone",
              {{"instance", instance}, {"reason", reason}});
--- a/src/fleet/engine_registry_base.h
+++ b/src/fleet/engine_registry_base.h
@@ -20,7 +20,7 @@
   /** An instance with an earlier start time than the known one is accepted
    * after this time without an entry of the known one: engines write their
    * entries about every second, and rewrite an entry that was overwritten. */
-  std::chrono::milliseconds doubt{2500};
+  std::chrono::milliseconds defer_for{2500};
   /** An instance at whose address another one has answered is ignored for this
    * time: the entry of a stopped engine remains for three heartbeats. */
   std::chrono::milliseconds replaced_for{5000};
@@ -39,15 +39,15 @@
    * time replaces the known instance of the same engine.
    *
    * An entry with an earlier start time is deferred until the known instance
-   * has been silent for `RegistryOptions::doubt`, as it may have arrived late.
-   * Dropping it would lock out an engine whose clock was set back.
+   * has been silent for `RegistryOptions::defer_for`, as it may have arrived
+   * late. Dropping it would lock out an engine whose clock was set back.
    */
   void Put(EngineEntry entry);
   /**
    * Removes an engine whose entry can't be parsed or was written by something
    * else, until a valid entry replaces it.
    */
-  void PutUnreadable(const EngineId& engine);
+  void MarkUnreadable(const EngineId& engine);
 
   /**
    * Removes an engine whose entry was removed from the store.
@@ -60,19 +60,19 @@
 
   /** Removes an instance after another one has answered at its address. Late
    * entries of the removed instance are ignored. */
-  void NoteReplaced(const InstanceId& instance);
+  void MarkReplaced(const InstanceId& instance);
 
   /** Sets the models that the engine itself reports, for use while its entry
    * can't be read. */
-  void NoteHoldings(const InstanceId& instance, std::vector<HeldModel> models,
-                    NearCopies copies);
+  void UpdateModels(const InstanceId& instance, std::vector<LoadedModel> models,
+                    CachedCheckpoints copies);
 
   /**
    * Applies a listing of all entries.
    * @param lapse_end As for Remove, for engines that are not in the listing.
    */
-  void Replace(std::vector<EngineEntry> entries,
-               std::optional<core::SteadyTime> lapse_end);
+  void ReplaceAll(std::vector<EngineEntry> entries,
+                  std::optional<core::SteadyTime> lapse_end);
 
   /** Removes engines that have not registered again in time and accepts
    * deferred entries that are due. Must be called regularly. */
@@ -94,20 +94,20 @@
 
  private:
   /** A deferred entry, with an earlier start time than the known instance. */
-  struct Doubted {
+  struct DeferredEntry {
     EngineEntry entry;
     core::SteadyTime since;
   };
 
   void Accept(EngineEntry entry);
   /** Defers an entry with an earlier start time than the `known` instance. */
-  void Doubt(EngineEntry entry, const InstanceId& known);
+  void Defer(EngineEntry entry, const InstanceId& known);
   /** Keeps an engine that is missing from the store in use until `gone_at`. */
-  void Hold(const InstanceId& instance, core::SteadyTime gone_at);
+  void KeepUntil(const InstanceId& instance, core::SteadyTime gone_at);
   void Drop(const InstanceId& instance, std::string_view reason);
   [[nodiscard]] bool IsReplaced(const InstanceId& instance) const;
   /** @return The known instance of the engine; empty if there is none. */
-  [[nodiscard]] InstanceId StartOf(const EngineId& engine) const;
+  [[nodiscard]] InstanceId KnownInstance(const EngineId& engine) const;
 
   const RegistryOptions options_;
   const core::Clock& clock_;
@@ -115,8 +115,8 @@
   std::map<InstanceId, EngineEntry> engines_;
   /** When each engine that is missing from the store is to be removed. */
   std::map<InstanceId, core::SteadyTime> missing_;
-  std::map<EngineId, InstanceId> starts_;
-  std::map<EngineId, Doubted> doubted_;
+  std::map<EngineId, InstanceId> known_instances_;
+  std::map<EngineId, DeferredEntry> deferred_;
   /** When another instance answered at the address of each of these. */
   std::map<InstanceId, core::SteadyTime> replaced_;
   std::int64_t generation_ = 0;
--- a/src/fleet/engine_registry_test.cc
+++ b/src/fleet/engine_registry_test.cc
@@ -19,8 +19,8 @@
 
 const EngineId kEngine("i-1");
 
-EngineBirth At(int seconds) {
-  return EngineBirth(std::chrono::seconds(seconds));
+EngineStartTime At(int seconds) {
+  return EngineStartTime(std::chrono::seconds(seconds));
 }
 
 InstanceId Start(int seconds) { return MakeInstance(kEngine, At(seconds)); }
@@ -30,7 +30,7 @@
   entry.instance = std::move(instance);
   entry.service = core::ServiceId("s");
   entry.address = "10.0.0.9:80";
-  HeldModel held;
+  LoadedModel held;
   held.model = core::ModelId(model);
   entry.models.push_back(held);
   return entry;
@@ -61,16 +61,16 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(AnInstanceNamesTheEngineAndItsStart) {
+BOOST_AUTO_TEST_CASE(InstanceIdContainsEngineAndStartTime) {
   const InstanceId instance = MakeInstance(kEngine, At(5));
   BOOST_TEST(instance.value() == "i-1@5000");
   const InstanceId read(instance.value());
   BOOST_TEST((read == instance));
   BOOST_TEST(EngineOf(read).value() == "i-1");
-  BOOST_TEST((BirthOf(read) == At(5)));
+  BOOST_TEST((StartTimeOf(read) == At(5)));
   const InstanceId silent = MakeInstance(kEngine, std::nullopt);
   BOOST_TEST(silent.value() == "i-1");
-  BOOST_TEST(!BirthOf(silent).has_value());
+  BOOST_TEST(!StartTimeOf(silent).has_value());
   BOOST_TEST(EngineOf(InstanceId("odd@name")).value() == "odd@name");
   BOOST_TEST(EngineOf(InstanceId("odd@")).value() == "odd@");
 }
@@ -80,7 +80,7 @@
  * and restarted without models: the models known of the old instance were taken
  * for those of the new one.
  */
-BOOST_AUTO_TEST_CASE(ALaterStartTakesThePlaceOfTheOneBefore) {
+BOOST_AUTO_TEST_CASE(LaterInstanceReplacesTheEarlierOne) {
   Rig rig;
   rig.registry.Put(EntryOf(Start(10)));
   rig.registry.Put(EntryOf(Start(20), "other"));
@@ -97,7 +97,7 @@
  * longer has it: the last entry of the old instance arrives after the first one
  * of the new instance and restores the old list of models.
  */
-BOOST_AUTO_TEST_CASE(AnEntryOfAnEarlierStartThatComesLastChangesNothing) {
+BOOST_AUTO_TEST_CASE(LateEntryOfAnEarlierInstanceIsIgnored) {
   Rig rig;
   rig.registry.Put(EntryOf(Start(20)));
   rig.registry.Put(EntryOf(Start(10)));
@@ -114,7 +114,7 @@
  * day: its clock was set back during the restart, so that the new instance has
  * an earlier start time than the old one.
  */
-BOOST_AUTO_TEST_CASE(AStartWithAClockSetBackIsBelievedInTheEnd) {
+BOOST_AUTO_TEST_CASE(InstanceWithAClockSetBackIsAcceptedAfterAWhile) {
   Rig rig;
   rig.registry.Put(EntryOf(Start(20)));
   rig.registry.Put(EntryOf(Start(10)));
@@ -125,11 +125,11 @@
 }
 
 /** The same, but a request has already shown that the old instance is gone. */
-BOOST_AUTO_TEST_CASE(AStartInDoubtIsBelievedOnceItsRivalIsGone) {
+BOOST_AUTO_TEST_CASE(DeferredInstanceIsAcceptedOnceTheKnownOneIsReplaced) {
   Rig rig;
   rig.registry.Put(EntryOf(Start(20)));
   rig.registry.Put(EntryOf(Start(10)));
-  rig.registry.NoteReplaced(Start(20));
+  rig.registry.MarkReplaced(Start(20));
   BOOST_TEST((rig.Used() == Start(10)));
 }
 
@@ -138,10 +138,10 @@
  * had found that the old instance was gone, and all later instances of the same
  * engine were ignored too.
  */
-BOOST_AUTO_TEST_CASE(OnlyTheStartThatWasReplacedIsPassedOver) {
+BOOST_AUTO_TEST_CASE(OnlyTheReplacedInstanceIsIgnored) {
   Rig rig;
   rig.registry.Put(EntryOf(Start(10)));
-  rig.registry.NoteReplaced(Start(10));
+  rig.registry.MarkReplaced(Start(10));
   rig.registry.Put(EntryOf(Start(10)));
   BOOST_TEST((rig.Used() == InstanceId()));
   rig.registry.Put(EntryOf(Start(20)));
@@ -150,11 +150,11 @@
 
 /** The same for an engine that doesn't report its start time: its stale entry
  * expires after three heartbeats, so a later entry is of a new instance. */
-BOOST_AUTO_TEST_CASE(AnEngineThatTellsNoStartComesBackAfterItsStaleEntry) {
+BOOST_AUTO_TEST_CASE(EngineWithoutStartTimeReturnsAfterItsStaleEntryExpired) {
   Rig rig;
   const InstanceId silent = MakeInstance(kEngine, std::nullopt);
   rig.registry.Put(EntryOf(silent));
-  rig.registry.NoteReplaced(silent);
+  rig.registry.MarkReplaced(silent);
   rig.Pass(milliseconds(1200));
   rig.registry.Put(EntryOf(silent));
   BOOST_TEST((rig.Used() == InstanceId()));
@@ -168,7 +168,7 @@
  * back during a restart, so that its entries have an earlier start time and are
  * deferred for 2.5 s, longer than a draining engine may still be used.
  */
-BOOST_AUTO_TEST_CASE(ANoticeToLeaveIsNotHeldBack) {
+BOOST_AUTO_TEST_CASE(DrainingNoticeIsNotDeferred) {
   Rig rig;
   rig.registry.Put(EntryOf(Start(20)));
   EngineEntry leaving = EntryOf(Start(10));
@@ -182,7 +182,7 @@
 
 /** Guards against a deferred instance that is never accepted, because each of
  * its further entries restarted the wait. */
-BOOST_AUTO_TEST_CASE(AStartInDoubtThatWritesOnIsBelievedInTheEnd) {
+BOOST_AUTO_TEST_CASE(FurtherEntriesDoNotProlongTheDeferral) {
   Rig rig;
   rig.registry.Put(EntryOf(Start(20)));
   for (int i = 0; i < 3; ++i) {
@@ -197,12 +197,12 @@
  * into an engine's entry. The engine is not used until it writes its own entry
  * again; other engines are not affected.
  */
-BOOST_AUTO_TEST_CASE(AnUnreadableEntryNamesNoEngine) {
+BOOST_AUTO_TEST_CASE(UnreadableEntryRemovesTheEngine) {
   Rig rig;
   const InstanceId other = MakeInstance(EngineId("i-2"), At(3));
   rig.registry.Put(EntryOf(Start(10)));
   rig.registry.Put(EntryOf(other));
-  rig.registry.PutUnreadable(kEngine);
+  rig.registry.MarkUnreadable(kEngine);
   BOOST_TEST((rig.Used() == other));
   rig.registry.Put(EntryOf(Start(10)));
   BOOST_TEST(rig.registry.engines().size() == 2U);
@@ -216,7 +216,7 @@
  * Its entry expired in a store outage, and it restarted meanwhile: the entry of
  * the new instance ends the wait for the old one.
  */
-BOOST_AUTO_TEST_CASE(ARestartWhileTheStoreWasAwayIsNoLoss) {
+BOOST_AUTO_TEST_CASE(RestartDuringAStoreOutageKeepsTheEngine) {
   Rig rig;
   rig.registry.Put(EntryOf(Start(10)));
   rig.registry.Remove(kEngine, rig.clock.Now() + milliseconds(2000));
@@ -226,13 +226,13 @@
   BOOST_TEST((rig.Used() == Start(20)));
   // An engine missing from the listing after an outage is removed at the end of
   // its grace period.
-  rig.registry.Replace({}, rig.clock.Now() + milliseconds(2000));
+  rig.registry.ReplaceAll({}, rig.clock.Now() + milliseconds(2000));
   BOOST_TEST((rig.Used() == Start(20)));
   rig.Pass(milliseconds(2000));
   BOOST_TEST((rig.Used() == InstanceId()));
 }
 
-BOOST_AUTO_TEST_CASE(ARemovedEntryEndsWhicheverStartIsKnown) {
+BOOST_AUTO_TEST_CASE(RemovedEntryRemovesTheKnownInstance) {
   Rig rig;
   rig.registry.Put(EntryOf(Start(10)));
   rig.registry.Put(EntryOf(Start(20)));
--- a/src/fleet/engine_type.h
+++ b/src/fleet/engine_type.h
@@ -16,7 +16,7 @@
 namespace sapphire::fleet {
 
 /** A model that is loaded in an engine's accelerators. */
-struct HeldModel {
+struct LoadedModel {
   core::ModelId model;
   std::int64_t version = 0;
   std::set<core::AdapterId> adapters;
@@ -24,7 +24,7 @@
 
 /** Models that an engine has not loaded, but whose checkpoints are cached on
  * its VM. */
-struct NearCopies {
+struct CachedCheckpoints {
   std::set<core::ModelId> in_memory;
   std::set<core::ModelId> on_disk;
 };
@@ -42,8 +42,8 @@
   bool draining = false;
   /** Remaining time for which it is slow after its start. */
   std::chrono::milliseconds warm_up_left{0};
-  std::vector<HeldModel> models;
-  NearCopies copies;
+  std::vector<LoadedModel> models;
+  CachedCheckpoints copies;
 };
 
 }  // namespace sapphire::fleet
--- a/src/fleet/entry_message.cc
+++ b/src/fleet/entry_message.cc
@@ -90,34 +90,34 @@
   return datagram;
 }
 
-gen::ResidentUse TellUse(const UsedPart& part, const Usage& usage,
-                         core::SteadyTime now) {
-  gen::ResidentUse told;
-  told.model = part.model.value();
-  told.adapter = part.adapter.value();
-  told.running = usage.running;
-  told.demand_per_1000_s =
+gen::ResidentUse MakeResidentUse(const ModelOrAdapter& part, const Usage& usage,
+                                 core::SteadyTime now) {
+  gen::ResidentUse use;
+  use.model = part.model.value();
+  use.adapter = part.adapter.value();
+  use.running = usage.running;
+  use.demand_per_1000_s =
       static_cast<std::int64_t>(usage.demand * kPerThousandSeconds);
-  told.idle_ms = kNeverUsed;
+  use.idle_ms = kNeverUsed;
   if (usage.last_begun) {
     const auto idle =
         std::chrono::duration_cast<milliseconds>(now - *usage.last_begun);
-    told.idle_ms = idle.count();
+    use.idle_ms = idle.count();
   }
-  return told;
+  return use;
 }
 
-Usage ReadUse(const gen::ResidentUse& told, core::SteadyTime now) {
+Usage ParseResidentUse(const gen::ResidentUse& use, core::SteadyTime now) {
   Usage usage;
-  usage.running = std::max(told.running, 0);
+  usage.running = std::max(use.running, 0);
   usage.demand =
-      static_cast<double>(told.demand_per_1000_s) / kPerThousandSeconds;
-  if (told.idle_ms >= 0) usage.last_begun = now - milliseconds(told.idle_ms);
+      static_cast<double>(use.demand_per_1000_s) / kPerThousandSeconds;
+  if (use.idle_ms >= 0) usage.last_begun = now - milliseconds(use.idle_ms);
   return usage;
 }
 
-UsedPart PartOf(const gen::ResidentUse& told) {
-  return {core::ModelId(told.model), core::AdapterId(told.adapter)};
+ModelOrAdapter PartOf(const gen::ResidentUse& use) {
+  return {core::ModelId(use.model), core::AdapterId(use.adapter)};
 }
 
 }  // namespace sapphire::fleet
--- a/src/fleet/entry_message_func.h
+++ b/src/fleet/entry_message_func.h
@@ -31,14 +31,14 @@
 
 /** @return The use as sent to other entries, with the time since the last
  * request instead of its time. */
-gen::ResidentUse TellUse(const UsedPart& part, const Usage& usage,
-                         core::SteadyTime now);
+gen::ResidentUse MakeResidentUse(const ModelOrAdapter& part, const Usage& usage,
+                                 core::SteadyTime now);
 
 /** @return The use in a message that was received at `now`. */
-Usage ReadUse(const gen::ResidentUse& told, core::SteadyTime now);
+Usage ParseResidentUse(const gen::ResidentUse& use, core::SteadyTime now);
 
 /** @return The model or adapter that the use is of. */
-UsedPart PartOf(const gen::ResidentUse& told);
+ModelOrAdapter PartOf(const gen::ResidentUse& use);
 
 }  // namespace sapphire::fleet
 
--- a/src/fleet/instance.cc
+++ b/src/fleet/instance.cc
@@ -9,12 +9,12 @@
 
 namespace {
 
-constexpr char kMark = '@';
+constexpr char kSeparator = '@';
 
 /** @return Position of the separator before the start time; npos if the text
  * has no start time. */
-std::size_t MarkOf(std::string_view text) {
-  const std::size_t mark = text.rfind(kMark);
+std::size_t SeparatorPos(std::string_view text) {
+  const std::size_t mark = text.rfind(kSeparator);
   if (mark == std::string_view::npos || mark + 1 == text.size()) {
     return std::string_view::npos;
   }
@@ -26,24 +26,24 @@
 }  // namespace
 
 InstanceId MakeInstance(const EngineId& engine,
-                        std::optional<EngineBirth> born) {
-  if (!born) return InstanceId(engine.value());
-  const auto millis = born->time_since_epoch().count();
-  return InstanceId(engine.value() + kMark + std::to_string(millis));
+                        std::optional<EngineStartTime> start_time) {
+  if (!start_time) return InstanceId(engine.value());
+  const auto millis = start_time->time_since_epoch().count();
+  return InstanceId(engine.value() + kSeparator + std::to_string(millis));
 }
 
 EngineId EngineOf(const InstanceId& instance) {
-  return EngineId(instance.value().substr(0, MarkOf(instance.value())));
+  return EngineId(instance.value().substr(0, SeparatorPos(instance.value())));
 }
 
-std::optional<EngineBirth> BirthOf(const InstanceId& instance) {
+std::optional<EngineStartTime> StartTimeOf(const InstanceId& instance) {
   const std::string& text = instance.value();
-  const std::size_t mark = MarkOf(text);
+  const std::size_t mark = SeparatorPos(text);
   if (mark == std::string::npos) return std::nullopt;
   std::chrono::milliseconds::rep millis = 0;
   const char* end = text.data() + text.size();
   std::from_chars(text.data() + mark + 1, end, millis);
-  return EngineBirth(std::chrono::milliseconds(millis));
+  return EngineStartTime(std::chrono::milliseconds(millis));
 }
 
 }  // namespace sapphire::fleet
--- a/src/fleet/instance_func.h
+++ b/src/fleet/instance_func.h
@@ -9,16 +9,16 @@
 
 namespace sapphire::fleet {
 
-/** @param born Nothing if the engine doesn't report its start time. */
+/** @param start_time Nothing if the engine doesn't report its start time. */
 InstanceId MakeInstance(const EngineId& engine,
-                        std::optional<EngineBirth> born);
+                        std::optional<EngineStartTime> start_time);
 
 /** @return The name of the instance's engine. */
 EngineId EngineOf(const InstanceId& instance);
 
 /** @return When the instance started; nothing if the engine doesn't report it.
  */
-std::optional<EngineBirth> BirthOf(const InstanceId& instance);
+std::optional<EngineStartTime> StartTimeOf(const InstanceId& instance);
 
 }  // namespace sapphire::fleet
 
--- a/src/fleet/instance_type.h
+++ b/src/fleet/instance_type.h
@@ -14,8 +14,8 @@
 
 /** When an engine started, by its own clock. Distinguishes the instances of one
  * engine; never compared with times of other machines. */
-using EngineBirth = std::chrono::time_point<std::chrono::system_clock,
-                                            std::chrono::milliseconds>;
+using EngineStartTime = std::chrono::time_point<std::chrono::system_clock,
+                                                std::chrono::milliseconds>;
 
 /**
  * One run of an engine process, identified by the engine's name and start time.
--- a/src/fleet/model_usage.cc
+++ b/src/fleet/model_usage.cc
@@ -19,34 +19,35 @@
   return demand * std::exp(-age.count() / kAverageSeconds);
 }
 
-void ModelUsage::NoteBegun(const UsedPart& part) {
+void ModelUsage::RecordBegun(const ModelOrAdapter& part) {
   AddDemand(part, 1 / kAverageSeconds);
-  NoteLastBegun(part, clock_.Now());
+  UpdateLastBegun(part, clock_.Now());
 }
 
-void ModelUsage::AddRunning(const UsedPart& part, int change) {
+void ModelUsage::AddRunning(const ModelOrAdapter& part, int change) {
   parts_[part].running += change;
   if (part.adapter.empty()) running_ += change;
 }
 
-void ModelUsage::AddDemand(const UsedPart& part, double change) {
+void ModelUsage::AddDemand(const ModelOrAdapter& part, double change) {
   Counts& counts = parts_[part];
   counts.demand = std::max(Decayed(counts) + change, 0.0);
   counts.demand_at = clock_.Now();
 }
 
-void ModelUsage::NoteLastBegun(const UsedPart& part, core::SteadyTime time) {
+void ModelUsage::UpdateLastBegun(const ModelOrAdapter& part,
+                                 core::SteadyTime time) {
   Counts& counts = parts_[part];
   counts.last_begun = std::max(counts.last_begun, std::optional(time));
 }
 
-Usage ModelUsage::Of(const UsedPart& part) const {
+Usage ModelUsage::Of(const ModelOrAdapter& part) const {
   const auto it = parts_.find(part);
   return it == parts_.end() ? Usage() : UsageOf(it->second);
 }
 
-UsageTable ModelUsage::Recent(std::chrono::milliseconds time) const {
-  UsageTable table;
+UsageByPart ModelUsage::Recent(std::chrono::milliseconds time) const {
+  UsageByPart table;
   const core::SteadyTime now = clock_.Now();
   for (const auto& [part, counts] : parts_) {
     const bool began = counts.last_begun && now - *counts.last_begun < time;
--- a/src/fleet/model_usage_base.h
+++ b/src/fleet/model_usage_base.h
@@ -17,22 +17,22 @@
   explicit ModelUsage(const core::Clock& clock) : clock_(clock) {}
 
   /** Records that a request has begun now. */
-  void NoteBegun(const UsedPart& part);
+  void RecordBegun(const ModelOrAdapter& part);
 
   /** Changes the number of requests in progress. */
-  void AddRunning(const UsedPart& part, int change);
+  void AddRunning(const ModelOrAdapter& part, int change);
 
   /** Changes the demand, in requests per second. */
-  void AddDemand(const UsedPart& part, double change);
+  void AddDemand(const ModelOrAdapter& part, double change);
 
   /** Records that a request began at `time`. */
-  void NoteLastBegun(const UsedPart& part, core::SteadyTime time);
+  void UpdateLastBegun(const ModelOrAdapter& part, core::SteadyTime time);
 
-  [[nodiscard]] Usage Of(const UsedPart& part) const;
+  [[nodiscard]] Usage Of(const ModelOrAdapter& part) const;
 
   /** @return Use of all models and adapters with requests that are in progress
    * or began within `time`. */
-  [[nodiscard]] UsageTable Recent(std::chrono::milliseconds time) const;
+  [[nodiscard]] UsageByPart Recent(std::chrono::milliseconds time) const;
 
   /** @return Number of requests in progress. Requests for an adapter are
    * counted once, with its model. */
@@ -51,7 +51,7 @@
   [[nodiscard]] Usage UsageOf(const Counts& counts) const;
 
   const core::Clock& clock_;
-  std::map<UsedPart, Counts> parts_;
+  std::map<ModelOrAdapter, Counts> parts_;
   int running_ = 0;
 };
 
--- a/src/fleet/order_calls.cc
+++ b/src/fleet/order_calls.cc
@@ -27,40 +27,44 @@
 
 }  // namespace
 
-OrderCalls::OrderCalls(OrderCallOptions options, EnsureHere ensure_here,
-                       link::LinkNode& links, const EngineRegistry& registry,
-                       const EngineHolders& holders, const core::Clock& clock,
-                       const core::Logger& log)
+ControllerClient::ControllerClient(ControllerClientOptions options,
+                                   EnsureLocal ensure_local,
+                                   link::LinkNode& links,
+                                   const EngineRegistry& registry,
+                                   const EngineHolders& holders,
+                                   const core::Clock& clock,
+                                   const core::Logger& log)
     : options_(std::move(options)),
-      ensure_here_(std::move(ensure_here)),
+      ensure_local_(std::move(ensure_local)),
       links_(links),
       registry_(registry),
       holders_(holders),
       clock_(clock),
       log_(log) {}
 
-core::Task<> OrderCalls::Ensure(InstanceId instance,
-                                gen::EnsureModel load_request,
-                                milliseconds timeout) {
+core::Task<> ControllerClient::RequestLoad(InstanceId instance,
+                                           gen::EnsureModel load_request,
+                                           milliseconds timeout) {
   const Target target = TargetOf(instance);
   std::optional<Error> failure;
   try {
-    co_await Ask(target, std::move(load_request), timeout);
+    co_await SendRequest(target, std::move(load_request), timeout);
   } catch (const Error& e) {
     failure = e;
   }
   if (failure && IsUnreachable(failure->code())) {
-    NoteUnreachable(target, failure->what());
+    RecordUnreachable(target, failure->what());
   } else {
-    failures_.erase(target.engine);
+    backoffs_.erase(target.engine);
   }
   if (failure) throw Error(*failure);
 }
 
-core::Task<> OrderCalls::Ask(Target target, gen::EnsureModel load_request,
-                             milliseconds timeout) {
+core::Task<> ControllerClient::SendRequest(Target target,
+                                           gen::EnsureModel load_request,
+                                           milliseconds timeout) {
   if (target.address == options_.self) {
-    co_await ensure_here_(std::move(load_request));
+    co_await ensure_local_(std::move(load_request));
     co_return;
   }
   gen::Message first;
@@ -72,7 +76,8 @@
 
 /** @return The holder of the engine's lease; if none is known, the endpoint
  * process on the engine's VM. */
-OrderCalls::Target OrderCalls::TargetOf(const InstanceId& instance) const {
+ControllerClient::Target ControllerClient::TargetOf(
+    const InstanceId& instance) const {
   const EngineEntry* engine = registry_.Find(instance);
   if (engine == nullptr) {
     throw Error(ErrorCode::kNoEndpoint, "the engine is gone");
@@ -88,48 +93,50 @@
           0};
 }
 
-void OrderCalls::NoteUnreachable(const Target& target,
-                                 const std::string& error) {
+void ControllerClient::RecordUnreachable(const Target& target,
+                                         const std::string& error) {
   const core::SteadyTime now = clock_.Now();
-  Failures& failures = failures_[target.engine];
+  Backoff& backoff = backoffs_[target.engine];
   const bool again =
-      failures.fence == target.fence && failures.pause > milliseconds(0);
+      backoff.fence == target.fence && backoff.duration > milliseconds(0);
   // Sent at the same time as a request whose failure was already recorded.
-  if (again && now < failures.until) return;
-  failures.fence = target.fence;
-  failures.pause = again ? std::min(2 * failures.pause, options_.last_pause)
-                         : options_.first_pause;
-  failures.until = now + failures.pause;
+  if (again && now < backoff.until) return;
+  backoff.fence = target.fence;
+  backoff.duration = again
+                         ? std::min(2 * backoff.duration, options_.max_backoff)
+                         : options_.initial_backoff;
+  backoff.until = now + backoff.duration;
   log_.Event(core::LogLevel::kInfo, core::LogCategory::kReplica,
              "controller_unreachable",
              {{"engine", target.engine},
               {"address", target.address},
               {"fence", target.fence},
-              {"pause_ms", failures.pause},
+              {"pause_ms", backoff.duration},
               {"error", error}});
 }
 
-milliseconds OrderCalls::UnreachableFor(const InstanceId& instance) const {
-  if (failures_.empty()) return milliseconds(0);
+milliseconds ControllerClient::UnreachableFor(
+    const InstanceId& instance) const {
+  if (backoffs_.empty()) return milliseconds(0);
   const EngineEntry* engine = registry_.Find(instance);
   if (engine == nullptr) return milliseconds(0);
-  const auto it = failures_.find(engine->address);
-  if (it == failures_.end()) return milliseconds(0);
+  const auto it = backoffs_.find(engine->address);
+  if (it == backoffs_.end()) return milliseconds(0);
   const EngineHolder* holder = holders_.Find(engine->address);
   const std::int64_t fence = holder == nullptr ? 0 : holder->revision;
-  // The failures were those of another holder.
+  // The backoff was for another holder.
   if (fence != it->second.fence) return milliseconds(0);
   const auto left =
       std::chrono::ceil<milliseconds>(it->second.until - clock_.Now());
   return std::max(left, milliseconds(0));
 }
 
-void OrderCalls::Forget() {
+void ControllerClient::Forget() {
   std::set<std::string> engines;
   for (const auto& [instance, engine] : registry_.engines()) {
     engines.insert(engine.address);
   }
-  std::erase_if(failures_, [&engines](const auto& it) {
+  std::erase_if(backoffs_, [&engines](const auto& it) {
     return !engines.contains(it.first);
   });
 }
--- a/src/fleet/order_calls_base.h
+++ b/src/fleet/order_calls_base.h
@@ -18,51 +18,51 @@
 
 namespace sapphire::fleet {
 
-struct OrderCallOptions {
+struct ControllerClientOptions {
   /** "ip:port" at which this process accepts links. */
   std::string self;
   /** Port on which endpoint processes listen for links, on the engine's VM. */
   std::uint16_t endpoint_port = 0;
   /** Initial and longest time for which an unreachable process is not contacted
    * again; doubled after each further failure. */
-  std::chrono::milliseconds first_pause{1000};
-  std::chrono::milliseconds last_pause{8000};
+  std::chrono::milliseconds initial_backoff{1000};
+  std::chrono::milliseconds max_backoff{8000};
 };
 
 /** Requests model loads, and backs off from processes that can't be reached. A
  * link is open only during a request. Not thread-safe. */
-class OrderCalls {
+class ControllerClient {
  public:
   /** Loads a model at an engine that this process controls itself. */
-  using EnsureHere = std::function<core::Task<>(gen::EnsureModel)>;
+  using EnsureLocal = std::function<core::Task<>(gen::EnsureModel)>;
 
   /** @pre All references outlive this object. */
-  OrderCalls(OrderCallOptions options, EnsureHere ensure_here,
-             link::LinkNode& links, const EngineRegistry& registry,
-             const EngineHolders& holders, const core::Clock& clock,
-             const core::Logger& log);
+  ControllerClient(ControllerClientOptions options, EnsureLocal ensure_local,
+                   link::LinkNode& links, const EngineRegistry& registry,
+                   const EngineHolders& holders, const core::Clock& clock,
+                   const core::Logger& log);
 
   /**
    * Requests that a model be loaded; returns once the engine has loaded it.
    * @throws core::Error if the request fails.
    */
-  core::Task<> Ensure(InstanceId instance, gen::EnsureModel load_request,
-                      std::chrono::milliseconds timeout);
+  core::Task<> RequestLoad(InstanceId instance, gen::EnsureModel load_request,
+                           std::chrono::milliseconds timeout);
 
   /** @return Remaining time for which the process that controls the engine is
    * not contacted, as it was unreachable; 0 if it may be contacted now. */
   [[nodiscard]] std::chrono::milliseconds UnreachableFor(
       const InstanceId& instance) const;
 
-  /** Removes the failures of engines that are gone. */
+  /** Removes the backoffs for engines that are gone. */
   void Forget();
 
  private:
-  /** Failures to reach the process that controls an engine. */
-  struct Failures {
+  /** Backoff to reach the process that controls an engine. */
+  struct Backoff {
     /** Revision of the holder's lease; 0 if no holder was known. */
     std::int64_t fence = 0;
-    std::chrono::milliseconds pause{0};
+    std::chrono::milliseconds duration{0};
     core::SteadyTime until;
   };
   /** The process that controls an engine. */
@@ -73,19 +73,19 @@
   };
 
   [[nodiscard]] Target TargetOf(const InstanceId& instance) const;
-  core::Task<> Ask(Target target, gen::EnsureModel load_request,
-                   std::chrono::milliseconds timeout);
-  void NoteUnreachable(const Target& target, const std::string& error);
+  core::Task<> SendRequest(Target target, gen::EnsureModel load_request,
+                           std::chrono::milliseconds timeout);
+  void RecordUnreachable(const Target& target, const std::string& error);
 
-  const OrderCallOptions options_;
-  const EnsureHere ensure_here_;
+  const ControllerClientOptions options_;
+  const EnsureLocal ensure_local_;
   link::LinkNode& links_;
   const EngineRegistry& registry_;
   const EngineHolders& holders_;
   const core::Clock& clock_;
   const core::Logger& log_;
   /** By the engine's address. */
-  std::map<std::string, Failures> failures_;
+  std::map<std::string, Backoff> backoffs_;
 };
 
 }  // namespace sapphire::fleet
--- a/src/fleet/peer_table.cc
+++ b/src/fleet/peer_table.cc
@@ -19,29 +19,29 @@
 
 /** Number of entries that are assumed to share a limit until all are known:
  * more than a small site has, so that the limit holds meanwhile. */
-constexpr int kAssumedEntries = 8;
+constexpr int kMinAssumedEntries = 8;
 /** Time after the start until all entries are expected to be known. */
-constexpr std::chrono::seconds kAllHeardOf{5};
+constexpr std::chrono::seconds kDiscoveryTime{5};
 /** An entry whose presence was removed is still counted among those that share
  * a limit for this time: leases expire in a store outage, but entries keep
  * running. */
-constexpr std::chrono::seconds kCountedOn{15};
+constexpr std::chrono::seconds kGoneEntryRetention{15};
 /** The requests in progress of an entry are dropped if it has been silent for
  * this time: streams last seconds, and in the largest fleets an entry's records
  * arrive every few seconds. */
-constexpr std::chrono::seconds kSilent{15};
+constexpr std::chrono::seconds kSilenceTimeout{15};
 /** A load is ignored if it is overdue by this time. */
-constexpr milliseconds kOverdue{1000};
+constexpr milliseconds kMaxLoadOverdue{1000};
 /** Time for which a peer's last load time from the weight store is used as an
  * estimate. */
-constexpr std::chrono::seconds kStoreLoadFresh{15};
+constexpr std::chrono::seconds kStoreLoadTimeLifetime{15};
 /** Demand in requests per second below which it counts as 0. */
-constexpr double kNoDemand = 0.001;
+constexpr double kNegligibleDemand = 0.001;
 /** An entry without a presence remains a peer for this time, plus the interval
  * between its datagrams, after its last datagram. */
-constexpr std::chrono::seconds kHeardOn{3};
+constexpr std::chrono::seconds kUnlistedPeerTimeout{3};
 /** Bound on the number of unknown senders that are remembered. */
-constexpr std::size_t kMostStrangers = 4096;
+constexpr std::size_t kMaxUnknownSenders = 4096;
 
 /** Collects peers, only the most recent one per VM, as an older one has been
  * replaced. */
@@ -51,7 +51,7 @@
     const auto [it, is_new] = by_vm_.try_emplace(peer.vm, peers_.size());
     if (is_new || peer.vm.empty()) {
       peers_.push_back(std::move(peer));
-    } else if (AgeOf(peers_[it->second]) < AgeOf(peer)) {
+    } else if (RecencyOf(peers_[it->second]) < RecencyOf(peer)) {
       peers_[it->second] = std::move(peer);
     }
   }
@@ -64,8 +64,9 @@
   }
 
  private:
-  static std::pair<core::SteadyTime, core::SteadyTime> AgeOf(const Peer& peer) {
-    return {peer.heard.value_or(core::SteadyTime()), peer.known_since};
+  static std::pair<core::SteadyTime, core::SteadyTime> RecencyOf(
+      const Peer& peer) {
+    return {peer.last_received.value_or(core::SteadyTime()), peer.known_since};
   }
 
   std::vector<Peer> peers_;
@@ -99,8 +100,10 @@
   it->second.presence = presence;
   if (!is_new) return;
   it->second.known_since = clock_.Now();
-  const auto stranger = strangers_.extract(entry);
-  if (!stranger.empty()) it->second.heard = stranger.mapped();
+  const auto unknown_sender = unknown_senders_.extract(entry);
+  if (!unknown_sender.empty()) {
+    it->second.last_received = unknown_sender.mapped();
+  }
   ++generation_;
   gone_.erase(entry);
   log_.Event(LogLevel::kInfo, LogCategory::kLink, "entry_known",
@@ -121,27 +124,27 @@
              {{"entry", entry}, {"entries", entries()}});
 }
 
-void PeerTable::Take(const gen::EntryRecord& record) {
-  NoteHeard(record.entry);
+void PeerTable::ApplyRecord(const gen::EntryRecord& record) {
+  RecordDatagram(record.entry);
   const auto it = entries_.find(record.entry);
   if (it == entries_.end() || record.number <= it->second.number) return;
   EntryState& state = it->second;
   state.number = record.number;
   state.store_load = milliseconds(record.store_load_ms);
-  TakeShares(record, state);
-  TakeLoads(record);
+  ApplyUses(record, state);
+  ApplyLoads(record);
 }
 
-void PeerTable::NoteHeard(const std::string& entry) {
+void PeerTable::RecordDatagram(const std::string& entry) {
   const core::SteadyTime now = clock_.Now();
-  last_heard_ = now;
+  last_received_ = now;
   const auto it = entries_.find(entry);
-  if (it != entries_.end()) it->second.heard = now;
+  if (it != entries_.end()) it->second.last_received = now;
   const auto gone = gone_.find(entry);
-  if (gone != gone_.end()) gone->second.peer.heard = now;
-  const bool is_stranger = it == entries_.end() && gone == gone_.end();
-  if (is_stranger && strangers_.size() < kMostStrangers) {
-    strangers_[entry] = now;
+  if (gone != gone_.end()) gone->second.peer.last_received = now;
+  const bool is_unknown = it == entries_.end() && gone == gone_.end();
+  if (is_unknown && unknown_senders_.size() < kMaxUnknownSenders) {
+    unknown_senders_[entry] = now;
   }
 }
 
@@ -151,13 +154,13 @@
     peers.Add(PeerOf(entry, state));
   }
   for (const auto& [entry, gone] : gone_) {
-    if (peers.HasVm(gone.peer.vm) || !IsStillHeard(gone)) continue;
+    if (peers.HasVm(gone.peer.vm) || !IsStillActive(gone)) continue;
     peers.Add(gone.peer);
   }
   return peers.TakeSorted();
 }
 
-int PeerTable::VmsLately() const {
+int PeerTable::RecentVmCount() const {
   std::set<std::string> vms;
   const auto add = [&vms](const std::string& entry, const std::string& vm) {
     vms.insert(vm.empty() ? entry : vm);
@@ -165,68 +168,70 @@
   for (const auto& [entry, state] : entries_) add(entry, state.presence.vm);
   const core::SteadyTime now = clock_.Now();
   for (const auto& [entry, gone] : gone_) {
-    if (now - gone.at < kCountedOn) add(entry, gone.peer.vm);
+    if (now - gone.at < kGoneEntryRetention) add(entry, gone.peer.vm);
   }
   return 1 + static_cast<int>(vms.size());
 }
 
-std::optional<core::SteadyTime> PeerTable::HeardAt(
+std::optional<core::SteadyTime> PeerTable::LastReceivedFrom(
     const std::string& entry) const {
   const auto it = entries_.find(entry);
-  if (it != entries_.end()) return it->second.heard;
+  if (it != entries_.end()) return it->second.last_received;
   const auto gone = gone_.find(entry);
-  return gone == gone_.end() ? std::nullopt : gone->second.peer.heard;
+  return gone == gone_.end() ? std::nullopt : gone->second.peer.last_received;
 }
 
-bool PeerTable::IsStillHeard(const GoneEntry& gone) const {
-  const core::SteadyTime last = gone.peer.heard.value_or(gone.at);
-  return clock_.Now() - last < kHeardOn + Age();
+bool PeerTable::IsStillActive(const GoneEntry& gone) const {
+  const core::SteadyTime last = gone.peer.last_received.value_or(gone.at);
+  return clock_.Now() - last < kUnlistedPeerTimeout + Age();
 }
 
 Peer PeerTable::PeerOf(const std::string& entry, const EntryState& state) {
   return {entry, state.presence.vm, state.presence.address, state.known_since,
-          state.heard};
+          state.last_received};
 }
 
 /** Applies the use in a record. Whatever the record doesn't name is no longer
  * in progress, and its demand decays. */
-void PeerTable::TakeShares(const gen::EntryRecord& record, EntryState& state) {
+void PeerTable::ApplyUses(const gen::EntryRecord& record, EntryState& state) {
   ClearRunning(state);
   const core::SteadyTime now = clock_.Now();
   for (const gen::EngineUse& use : record.uses) {
     for (const gen::ResidentUse& it : use.parts) {
-      SetShare(state, {InstanceId(use.engine_instance), PartOf(it)},
-               ReadUse(it, now));
+      SetContribution(state, {InstanceId(use.engine_instance), PartOf(it)},
+                      ParseResidentUse(it, now));
     }
   }
-  std::erase_if(state.shares, [now](const auto& it) {
-    const Share& share = it.second;
-    return share.running == 0 &&
-           DecayedDemand(share.demand, now - share.at) < kNoDemand;
+  std::erase_if(state.contributions, [now](const auto& it) {
+    const Contribution& contribution = it.second;
+    return contribution.running == 0 &&
+           DecayedDemand(contribution.demand, now - contribution.at) <
+               kNegligibleDemand;
   });
 }
 
-void PeerTable::SetShare(EntryState& state, const EnginePart& part,
-                         const Usage& usage) {
+void PeerTable::SetContribution(EntryState& state, const EnginePart& part,
+                                const Usage& usage) {
   const core::SteadyTime now = clock_.Now();
-  Share& share = state.shares[part];
+  Contribution& contribution = state.contributions[part];
   ModelUsage& sum = UsageAt(part.first);
-  sum.AddRunning(part.second, usage.running - share.running);
-  sum.AddDemand(part.second,
-                usage.demand - DecayedDemand(share.demand, now - share.at));
-  if (usage.last_begun) sum.NoteLastBegun(part.second, *usage.last_begun);
-  share = Share{usage.running, usage.demand, now};
+  sum.AddRunning(part.second, usage.running - contribution.running);
+  sum.AddDemand(
+      part.second,
+      usage.demand - DecayedDemand(contribution.demand, now - contribution.at));
+  if (usage.last_begun) sum.UpdateLastBegun(part.second, *usage.last_begun);
+  contribution = Contribution{usage.running, usage.demand, now};
 }
 
 void PeerTable::ClearRunning(EntryState& state) {
-  for (auto& [part, share] : state.shares) {
-    if (share.running == 0) continue;
-    UsageAt(part.first).AddRunning(part.second, -share.running);
-    share.running = 0;
+  for (auto& [part, contribution] : state.contributions) {
+    if (contribution.running == 0) continue;
+    UsageAt(part.first).AddRunning(part.second, -contribution.running);
+    contribution.running = 0;
   }
 }
 
-void PeerTable::TakeLoads(const gen::EntryRecord& record) {
+void PeerTable::ApplyLoads(const gen::EntryRecord& record) {
   EraseLoads(record.entry);
   const core::SteadyTime now = clock_.Now();
   for (const gen::ComingLoad& it : record.loads) {
@@ -253,28 +258,33 @@
 void PeerTable::Forget(const std::set<InstanceId>& alive) {
   const core::SteadyTime now = clock_.Now();
   for (auto& [entry, state] : entries_) {
-    if (state.heard && now - *state.heard < kSilent) continue;
+    if (state.last_received && now - *state.last_received < kSilenceTimeout) {
+      continue;
+    }
     ClearRunning(state);
     EraseLoads(entry);
   }
   std::erase_if(engines_, [&alive](const auto& it) {
     return !alive.contains(it.first) && it.second.running() == 0;
   });
-  std::erase_if(strangers_, [now](const auto& it) {
-    return now - it.second >= kCountedOn;
+  std::erase_if(unknown_senders_, [now](const auto& it) {
+    return now - it.second >= kGoneEntryRetention;
   });
   std::erase_if(gone_, [this, now](const auto& it) {
-    return now - it.second.at >= kCountedOn && !IsStillHeard(it.second);
+    return now - it.second.at >= kGoneEntryRetention &&
+           !IsStillActive(it.second);
   });
 }
 
 int PeerTable::entries() const {
   const core::SteadyTime now = clock_.Now();
-  const auto just_gone = std::ranges::count_if(
-      gone_, [now](const auto& it) { return now - it.second.at < kCountedOn; });
+  const auto just_gone = std::ranges::count_if(gone_, [now](const auto& it) {
+    return now - it.second.at < kGoneEntryRetention;
+  });
   const int known =
       1 + static_cast<int>(entries_.size()) + static_cast<int>(just_gone);
-  return now - began_ < kAllHeardOf ? std::max(known, kAssumedEntries) : known;
+  return now - began_ < kDiscoveryTime ? std::max(known, kMinAssumedEntries)
+                                       : known;
 }
 
 std::vector<std::string> PeerTable::Addresses() const {
@@ -289,8 +299,9 @@
   return others + loads_.Running(instance);
 }
 
-Usage PeerTable::UseOf(const InstanceId& instance, const UsedPart& part) const {
-  Usage usage = loads_.UseOf(instance, part);
+Usage PeerTable::UsageOf(const InstanceId& instance,
+                         const ModelOrAdapter& part) const {
+  Usage usage = loads_.UsageOf(instance, part);
   const auto it = engines_.find(instance);
   if (it == engines_.end()) return usage;
   const Usage others = it->second.Of(part);
@@ -300,33 +311,34 @@
   return usage;
 }
 
-std::vector<ComingLoad> PeerTable::ComingAt(const InstanceId& instance) const {
+std::vector<ComingLoad> PeerTable::LoadsAt(const InstanceId& instance) const {
   std::vector<ComingLoad> coming;
   const auto loads = loads_at_.find(instance);
   if (loads == loads_at_.end()) return coming;
   const core::SteadyTime now = clock_.Now();
   for (const auto& [entry, of_entry] : loads->second) {
-    std::ranges::copy_if(
-        of_entry, std::back_inserter(coming),
-        [now](const ComingLoad& it) { return now < it.ready + kOverdue; });
+    std::ranges::copy_if(of_entry, std::back_inserter(coming),
+                         [now](const ComingLoad& it) {
+                           return now < it.ready + kMaxLoadOverdue;
+                         });
   }
   return coming;
 }
 
-std::vector<ComingLoad> PeerTable::ComingOf(const core::ModelId& model) const {
+std::vector<ComingLoad> PeerTable::LoadsOf(const core::ModelId& model) const {
   std::vector<ComingLoad> coming;
   for (const auto& [instance, loads] : loads_at_) {
     std::ranges::copy_if(
-        ComingAt(instance), std::back_inserter(coming),
+        LoadsAt(instance), std::back_inserter(coming),
         [&model](const ComingLoad& it) { return it.model == model; });
   }
   return coming;
 }
 
-milliseconds PeerTable::OrderLeft(const InstanceId& instance) const {
+milliseconds PeerTable::RemainingLoadTime(const InstanceId& instance) const {
   const core::SteadyTime now = clock_.Now();
   core::SteadyTime free = now;
-  for (const ComingLoad& it : ComingAt(instance)) {
+  for (const ComingLoad& it : LoadsAt(instance)) {
     free = std::max(free, it.ready);
   }
   return std::chrono::duration_cast<milliseconds>(free - now);
@@ -336,7 +348,10 @@
   milliseconds longest{0};
   const core::SteadyTime now = clock_.Now();
   for (const auto& [entry, state] : entries_) {
-    if (!state.heard || now - *state.heard > kStoreLoadFresh) continue;
+    if (!state.last_received ||
+        now - *state.last_received > kStoreLoadTimeLifetime) {
+      continue;
+    }
     longest = std::max(longest, state.store_load);
   }
   return longest;
--- a/src/fleet/peer_table_base.h
+++ b/src/fleet/peer_table_base.h
@@ -22,7 +22,7 @@
 namespace sapphire::fleet {
 
 /** Interval at which an entry sends its record to the next of its peers. */
-inline constexpr std::chrono::milliseconds kTellPause{50};
+inline constexpr std::chrono::milliseconds kRecordInterval{50};
 
 /** A load in progress, as reported by the entry that requested it. */
 struct ComingLoad {
@@ -41,7 +41,7 @@
   std::string address;
   core::SteadyTime known_since;
   /** When a datagram was last received from it. */
-  std::optional<core::SteadyTime> heard;
+  std::optional<core::SteadyTime> last_received;
 };
 
 /**
@@ -63,13 +63,13 @@
   void SetEntries(const std::map<std::string, gen::EntryPresence>& entries);
   void PutEntry(const std::string& entry, const gen::EntryPresence& presence);
   /** Records that a datagram was received from the entry. */
-  void NoteHeard(const std::string& entry);
+  void RecordDatagram(const std::string& entry);
   /** Removes an entry, its requests in progress and its loads. */
   void RemoveEntry(const std::string& entry);
 
   /** Applies a record from a known entry; ignores a record that is older than
    * the last one, or whose sender is unknown. */
-  void Take(const gen::EntryRecord& record);
+  void ApplyRecord(const gen::EntryRecord& record);
 
   /** Replaces the loads that this entry has requested and still waits for. */
   void SetOwnLoads(std::vector<ComingLoad> loads);
@@ -85,7 +85,7 @@
   /** @return Greatest expected age of another entry's record, which is the
    * interval at which each of them sends one here. */
   [[nodiscard]] std::chrono::milliseconds Age() const {
-    return static_cast<int>(entries_.size()) * kTellPause;
+    return static_cast<int>(entries_.size()) * kRecordInterval;
   }
 
   /**
@@ -100,17 +100,17 @@
 
   /** @return Number of VMs, including this one, with an entry that is running
    * or was recently removed. */
-  [[nodiscard]] int VmsLately() const;
+  [[nodiscard]] int RecentVmCount() const;
 
   /** @return When a datagram was last received from the entry; nothing if
    * never. */
-  [[nodiscard]] std::optional<core::SteadyTime> HeardAt(
+  [[nodiscard]] std::optional<core::SteadyTime> LastReceivedFrom(
       const std::string& entry) const;
 
   /** @return When a datagram was last received from any entry; nothing if
    * never. */
-  [[nodiscard]] std::optional<core::SteadyTime> last_heard() const {
-    return last_heard_;
+  [[nodiscard]] std::optional<core::SteadyTime> last_received() const {
+    return last_received_;
   }
 
   /** @return Datagram addresses of the other entries, in a fixed order. */
@@ -119,20 +119,20 @@
   /** @return Number of requests in progress at the engine, of all entries. */
   [[nodiscard]] int Running(const InstanceId& instance) const;
 
-  [[nodiscard]] Usage UseOf(const InstanceId& instance,
-                            const UsedPart& part) const;
+  [[nodiscard]] Usage UsageOf(const InstanceId& instance,
+                              const ModelOrAdapter& part) const;
 
   /** @return Expected time until the loads in progress at the engine end, so
    * that it accepts the next order. */
-  [[nodiscard]] std::chrono::milliseconds OrderLeft(
+  [[nodiscard]] std::chrono::milliseconds RemainingLoadTime(
       const InstanceId& instance) const;
 
   /** @return Loads in progress at this engine, of all entries. */
-  [[nodiscard]] std::vector<ComingLoad> ComingAt(
+  [[nodiscard]] std::vector<ComingLoad> LoadsAt(
       const InstanceId& instance) const;
 
   /** @return Loads in progress of the model at all engines, of all entries. */
-  [[nodiscard]] std::vector<ComingLoad> ComingOf(
+  [[nodiscard]] std::vector<ComingLoad> LoadsOf(
       const core::ModelId& model) const;
 
   /** @return Counter of changes of this entry's own loads. */
@@ -145,9 +145,9 @@
   [[nodiscard]] std::chrono::milliseconds StoreLoadTime() const;
 
  private:
-  using EnginePart = std::pair<InstanceId, UsedPart>;
+  using EnginePart = std::pair<InstanceId, ModelOrAdapter>;
   /** Contribution of one entry to the use of a model or adapter. */
-  struct Share {
+  struct Contribution {
     int running = 0;
     double demand = 0;
     core::SteadyTime at;
@@ -155,11 +155,11 @@
   struct EntryState {
     gen::EntryPresence presence;
     std::int64_t number = 0;
-    std::map<EnginePart, Share> shares;
+    std::map<EnginePart, Contribution> contributions;
     std::chrono::milliseconds store_load{0};
     core::SteadyTime known_since;
     /** When a datagram was last received from it. */
-    std::optional<core::SteadyTime> heard;
+    std::optional<core::SteadyTime> last_received;
   };
   /** An entry whose presence was removed. */
   struct GoneEntry {
@@ -167,12 +167,13 @@
     Peer peer;
   };
 
-  void TakeShares(const gen::EntryRecord& record, EntryState& state);
-  void TakeLoads(const gen::EntryRecord& record);
-  void SetShare(EntryState& state, const EnginePart& part, const Usage& usage);
+  void ApplyUses(const gen::EntryRecord& record, EntryState& state);
+  void ApplyLoads(const gen::EntryRecord& record);
+  void SetContribution(EntryState& state, const EnginePart& part,
+                       const Usage& usage);
   void ClearRunning(EntryState& state);
   void EraseLoads(const std::string& entry);
-  [[nodiscard]] bool IsStillHeard(const GoneEntry& gone) const;
+  [[nodiscard]] bool IsStillActive(const GoneEntry& gone) const;
   static Peer PeerOf(const std::string& entry, const EntryState& state);
   ModelUsage& UsageAt(const InstanceId& instance);
 
@@ -183,10 +184,10 @@
   const core::SteadyTime began_;
   std::map<std::string, EntryState> entries_;
   std::map<std::string, GoneEntry> gone_;
-  std::optional<core::SteadyTime> last_heard_;
+  std::optional<core::SteadyTime> last_received_;
   /** When datagrams were last received from senders that are not known from the
    * store yet. */
-  std::map<std::string, core::SteadyTime> strangers_;
+  std::map<std::string, core::SteadyTime> unknown_senders_;
   std::int64_t generation_ = 0;
   /** Use by other entries. */
   std::map<InstanceId, ModelUsage> engines_;
--- a/src/fleet/peer_table_test.cc
+++ b/src/fleet/peer_table_test.cc
@@ -15,8 +15,8 @@
 using std::chrono::milliseconds;
 
 const InstanceId kEngine("i-1");
-const UsedPart kModel{core::ModelId("m"), core::AdapterId()};
-const UsedPart kAdapter{core::ModelId("m"), core::AdapterId("a1")};
+const ModelOrAdapter kModel{core::ModelId("m"), core::AdapterId()};
+const ModelOrAdapter kAdapter{core::ModelId("m"), core::AdapterId("a1")};
 
 /** A peer table that receives records of simulated entries. */
 struct Rig {
@@ -26,35 +26,35 @@
         loads(clock),
         peer_table("self", loads, clock, log) {}
 
-  void Know(const std::string& entry) {
+  void AddEntry(const std::string& entry) {
     gen::EntryPresence presence;
     presence.address = entry + ":1";
     peer_table.PutEntry(entry, presence);
   }
 
   /** Passes a record of an entry that uses the model at the engine. */
-  void Tell(const std::string& entry, std::int64_t number, int running,
-            double demand) {
+  void SendRecord(const std::string& entry, std::int64_t number, int running,
+                  double demand) {
     Usage usage;
     usage.running = running;
     usage.demand = demand;
     usage.last_begun = clock.Now();
     gen::EngineUse use;
     use.engine_instance = kEngine.value();
-    use.parts.push_back(TellUse(kModel, usage, clock.Now()));
+    use.parts.push_back(MakeResidentUse(kModel, usage, clock.Now()));
     gen::EntryRecord record;
     record.entry = entry;
     record.number = number;
     record.uses.push_back(use);
-    peer_table.Take(record);
+    peer_table.ApplyRecord(record);
   }
 
   /** Passes a record of an entry that uses no engine. */
-  void TellNothing(const std::string& entry, std::int64_t number) {
+  void SendEmptyRecord(const std::string& entry, std::int64_t number) {
     gen::EntryRecord record;
     record.entry = entry;
     record.number = number;
-    peer_table.Take(record);
+    peer_table.ApplyRecord(record);
   }
 
   core::ManualClock clock;
@@ -67,17 +67,17 @@
 
 BOOST_AUTO_TEST_CASE(UseOfAllEntriesAddsUp) {
   Rig rig;
-  rig.Know("b");
-  rig.Know("c");
-  rig.Tell("b", 1, 2, 0.5);
-  rig.Tell("c", 1, 3, 1.0);
+  rig.AddEntry("b");
+  rig.AddEntry("c");
+  rig.SendRecord("b", 1, 2, 0.5);
+  rig.SendRecord("c", 1, 3, 1.0);
   rig.loads.Begin(kEngine, kAdapter);
   BOOST_TEST(rig.peer_table.Running(kEngine) == 6);
-  const Usage usage = rig.peer_table.UseOf(kEngine, kModel);
+  const Usage usage = rig.peer_table.UsageOf(kEngine, kModel);
   // A request for an adapter uses its model too.
   BOOST_TEST(usage.running == 6);
   BOOST_TEST(usage.demand > 1.5);
-  BOOST_TEST(rig.peer_table.UseOf(kEngine, kAdapter).running == 1);
+  BOOST_TEST(rig.peer_table.UsageOf(kEngine, kAdapter).running == 1);
 }
 
 /**
@@ -85,33 +85,33 @@
  * record contains all that its entry has in progress: a later one replaces it,
  * duplicate and reordered records are ignored.
  */
-BOOST_AUTO_TEST_CASE(ARecordReplacesTheOneBefore) {
+BOOST_AUTO_TEST_CASE(RecordReplacesTheEarlierOne) {
   Rig rig;
-  rig.Know("b");
-  rig.Tell("b", 1, 2, 0.5);
-  rig.Tell("b", 3, 1, 0.4);
-  rig.Tell("b", 3, 1, 0.4);
-  rig.Tell("b", 2, 9, 9.0);
+  rig.AddEntry("b");
+  rig.SendRecord("b", 1, 2, 0.5);
+  rig.SendRecord("b", 3, 1, 0.4);
+  rig.SendRecord("b", 3, 1, 0.4);
+  rig.SendRecord("b", 2, 9, 9.0);
   BOOST_TEST(rig.peer_table.Running(kEngine) == 1);
-  BOOST_TEST(rig.peer_table.UseOf(kEngine, kModel).demand < 0.41);
-  rig.TellNothing("b", 4);
+  BOOST_TEST(rig.peer_table.UsageOf(kEngine, kModel).demand < 0.41);
+  rig.SendEmptyRecord("b", 4);
   BOOST_TEST(rig.peer_table.Running(kEngine) == 0);
   // Demand doesn't need requests in progress, so it only decays.
-  BOOST_TEST(rig.peer_table.UseOf(kEngine, kModel).demand > 0.39);
+  BOOST_TEST(rig.peer_table.UsageOf(kEngine, kModel).demand > 0.39);
   rig.clock.Advance(std::chrono::seconds(60));
-  BOOST_TEST(rig.peer_table.UseOf(kEngine, kModel).demand < 0.01);
+  BOOST_TEST(rig.peer_table.UsageOf(kEngine, kModel).demand < 0.01);
 }
 
 /**
  * Guards against an idle engine that seems busy forever, after an entry with
  * streams in progress there was killed or became unreachable.
  */
-BOOST_AUTO_TEST_CASE(WhatAnEntryThatIsGoneHadInProgressIsOver) {
+BOOST_AUTO_TEST_CASE(RequestsOfGoneEntriesAreDropped) {
   Rig rig;
-  rig.Know("b");
-  rig.Know("c");
-  rig.Tell("b", 1, 2, 0.5);
-  rig.Tell("c", 1, 4, 0.5);
+  rig.AddEntry("b");
+  rig.AddEntry("c");
+  rig.SendRecord("b", 1, 2, 0.5);
+  rig.SendRecord("c", 1, 4, 0.5);
   rig.peer_table.RemoveEntry("b");
   BOOST_TEST(rig.peer_table.Running(kEngine) == 4);
   rig.clock.Advance(std::chrono::seconds(16));
@@ -121,9 +121,9 @@
 
 /** A sender that is not listed in the store may belong to another deployment.
  */
-BOOST_AUTO_TEST_CASE(ARecordOfAStrangerCountsNothing) {
+BOOST_AUTO_TEST_CASE(RecordOfAnUnknownSenderIsIgnored) {
   Rig rig;
-  rig.Tell("stranger", 1, 5, 1.0);
+  rig.SendRecord("stranger", 1, 5, 1.0);
   BOOST_TEST(rig.peer_table.Running(kEngine) == 0);
 }
 
@@ -132,10 +132,10 @@
  * store outage: all leases had expired, so that each entry saw no other one and
  * used the full limit.
  */
-BOOST_AUTO_TEST_CASE(EntriesThatLapsedWithTheStoreShareTheLimitOn) {
+BOOST_AUTO_TEST_CASE(EntriesExpiredInAStoreOutageStillShareTheLimit) {
   Rig rig;
   rig.clock.Advance(std::chrono::seconds(10));
-  for (int i = 0; i < 9; ++i) rig.Know("e" + std::to_string(i));
+  for (int i = 0; i < 9; ++i) rig.AddEntry("e" + std::to_string(i));
   BOOST_TEST(rig.peer_table.entries() == 10);
   rig.peer_table.SetEntries({});
   BOOST_TEST(rig.peer_table.entries() == 10);
@@ -144,14 +144,14 @@
 }
 
 /** Right after a start no other entries are known, so a few are assumed. */
-BOOST_AUTO_TEST_CASE(AnEntryThatHasJustStartedIsNotAlone) {
+BOOST_AUTO_TEST_CASE(OtherEntriesAreAssumedRightAfterAStart) {
   Rig rig;
   BOOST_TEST(rig.peer_table.entries() > 4);
 }
 
-BOOST_AUTO_TEST_CASE(LoadsOfOtherEntriesAreCountedUntilTheyAreOverdue) {
+BOOST_AUTO_TEST_CASE(LoadsOfOtherEntriesExpireWhenOverdue) {
   Rig rig;
-  rig.Know("b");
+  rig.AddEntry("b");
   gen::ComingLoad load;
   load.engine_instance = kEngine.value();
   load.model = "m";
@@ -160,15 +160,15 @@
   record.entry = "b";
   record.number = 1;
   record.loads.push_back(load);
-  rig.peer_table.Take(record);
-  BOOST_TEST(rig.peer_table.ComingAt(kEngine).size() == 1);
+  rig.peer_table.ApplyRecord(record);
+  BOOST_TEST(rig.peer_table.LoadsAt(kEngine).size() == 1);
   rig.clock.Advance(milliseconds(3500));
-  BOOST_TEST(rig.peer_table.ComingAt(kEngine).empty());
+  BOOST_TEST(rig.peer_table.LoadsAt(kEngine).empty());
 }
 
 /** Datagrams may come from any sender, so malformed ones must not end the
  * process. */
-BOOST_AUTO_TEST_CASE(BytesThatAreNoRecordAreRefused) {
+BOOST_AUTO_TEST_CASE(MalformedDatagramIsRejected) {
   gen::EntryRecord record;
   record.entry = "entries/vm@1";
   record.number = 7;
@@ -180,7 +180,7 @@
 }
 
 /** Guards against datagrams being sent to an invalid address. */
-BOOST_AUTO_TEST_CASE(APresenceWithoutAnAddressIsRefused) {
+BOOST_AUTO_TEST_CASE(PresenceWithoutAValidAddressIsRejected) {
   gen::EntryPresence presence;
   presence.address = "10.0.0.1:7380";
   BOOST_TEST(DecodePresence(Encode(presence)).address == "10.0.0.1:7380");
@@ -190,23 +190,23 @@
 
 /** Guards against entries that are taken to be silent after all have started:
  * their datagrams arrive before the store lists them. */
-BOOST_AUTO_TEST_CASE(WhoIsHeardOfBeforeItIsKnownCountsAsHeard) {
+BOOST_AUTO_TEST_CASE(DatagramBeforeThePresenceIsRemembered) {
   Rig rig;
-  rig.TellNothing("b", 1);
-  rig.Know("b");
+  rig.SendEmptyRecord("b", 1);
+  rig.AddEntry("b");
   BOOST_REQUIRE(rig.peer_table.Peers().size() == 1);
-  BOOST_TEST(rig.peer_table.Peers().front().heard.has_value());
+  BOOST_TEST(rig.peer_table.Peers().front().last_received.has_value());
 }
 
 /** Guards against peers that are dropped in a store outage although they still
  * send datagrams. */
-BOOST_AUTO_TEST_CASE(APeerWhoseLeaseLapsedStaysWhileItIsHeard) {
+BOOST_AUTO_TEST_CASE(PeerWithAnExpiredLeaseStaysWhileItSendsDatagrams) {
   Rig rig;
-  rig.Know("b");
+  rig.AddEntry("b");
   rig.peer_table.SetEntries({});
   BOOST_TEST(rig.peer_table.Peers().size() == 1);
   rig.clock.Advance(milliseconds(2500));
-  rig.TellNothing("b", 1);
+  rig.SendEmptyRecord("b", 1);
   rig.clock.Advance(milliseconds(2500));
   BOOST_TEST(rig.peer_table.Peers().size() == 1);
   rig.clock.Advance(milliseconds(2500));
@@ -215,7 +215,7 @@
 
 /** Guards against requests to a dead process, whose key remains in the store
  * for a while. */
-BOOST_AUTO_TEST_CASE(OfTwoEntriesOnOneVmTheLaterOneIsThePeer) {
+BOOST_AUTO_TEST_CASE(LaterOfTwoEntriesOnOneVmIsThePeer) {
   Rig rig;
   gen::EntryPresence presence;
   presence.vm = "vm-1";
@@ -229,7 +229,7 @@
 
 /** Guards against quota requests about engines' limits that are rejected by the
  * decoder. */
-BOOST_AUTO_TEST_CASE(EachKindOfDatagramIsRead) {
+BOOST_AUTO_TEST_CASE(EachKindOfDatagramIsDecoded) {
   gen::QuotaAsk ask;
   ask.entry = "a";
   ask.number = 7;
--- a/src/fleet/usage_type.h
+++ b/src/fleet/usage_type.h
@@ -13,11 +13,11 @@
 namespace sapphire::fleet {
 
 /** A model, or an adapter of it; both empty for a service without models. */
-struct UsedPart {
+struct ModelOrAdapter {
   core::ModelId model;
   core::AdapterId adapter;
 
-  friend bool operator<(const UsedPart& a, const UsedPart& b) {
+  friend bool operator<(const ModelOrAdapter& a, const ModelOrAdapter& b) {
     return std::tie(a.model, a.adapter) < std::tie(b.model, b.adapter);
   }
 };
@@ -33,7 +33,7 @@
 };
 
 /** Use of an engine's models and adapters; missing ones are not in use. */
-using UsageTable = std::map<UsedPart, Usage>;
+using UsageByPart = std::map<ModelOrAdapter, Usage>;
 
 }  // namespace sapphire::fleet
 
--- a/src/orders/controller_pool.cc
+++ b/src/orders/controller_pool.cc
@@ -103,7 +103,7 @@
   const auto vacant = holders_.VacantSince(engine);
   if (!vacant) return false;
   const core::SteadyTime since = std::max(*vacant, seen_.at(engine).first);
-  const auto wait = holders_.WasOrderedByEntry(engine)
+  const auto wait = holders_.WasHeldRemotely(engine)
                         ? options_.claim_after_entry
                         : options_.claim_after;
   return clock_.Now() - since >= wait && IsFirst(engine);
--- a/src/orders/engine_controller_base.h
+++ b/src/orders/engine_controller_base.h
@@ -46,7 +46,7 @@
   /** What the asking entry would drop for it. */
   std::vector<core::ModelId> evict;
   /** What it knows of the use of all that the engine holds. */
-  fleet::UsageTable use;
+  fleet::UsageByPart use;
   core::SteadyTime deadline;
 };
 
@@ -93,7 +93,7 @@
   };
   /** The engine as it was last seen while orders could be given from here. */
   struct OwnCount {
-    std::optional<fleet::EngineBirth> born;
+    std::optional<fleet::EngineStartTime> born;
     std::int64_t order_count = 0;
   };
 
@@ -134,9 +134,9 @@
   const core::Clock& clock_;
   const core::Logger& log_;
   /** As the latest load request told it. */
-  fleet::UsageTable use_;
+  fleet::UsageByPart use_;
   /** When something was last loaded for somebody. */
-  std::map<fleet::UsedPart, core::SteadyTime> wanted_;
+  std::map<fleet::ModelOrAdapter, core::SteadyTime> wanted_;
   OrderLane model_lane_;
   OrderLane adapter_lane_;
   EngineReport report_;
--- a/src/orders/engine_controller_state.cc
+++ b/src/orders/engine_controller_state.cc
@@ -63,7 +63,7 @@
 
 bool EngineController::Holds(const core::ModelId& model,
                              const core::AdapterId& adapter) const {
-  return std::ranges::any_of(report_.models, [&](const fleet::HeldModel& it) {
+  return std::ranges::any_of(report_.models, [&](const fleet::LoadedModel& it) {
     return it.model == model &&
            (adapter.empty() || it.adapters.contains(adapter));
   });
@@ -123,7 +123,7 @@
 
 /** @return True if the engine tells that it is another start than this. */
 bool EngineController::IsOtherStart(const fleet::InstanceId& instance) const {
-  const auto born = fleet::BirthOf(instance);
+  const auto born = fleet::StartTimeOf(instance);
   return born && report_.born && *born != *report_.born;
 }
 
--- a/src/orders/engine_controller_test.cc
+++ b/src/orders/engine_controller_test.cc
@@ -170,8 +170,8 @@
 
 constexpr milliseconds kEnough{3000};
 
-fleet::EngineBirth At(int seconds) {
-  return fleet::EngineBirth(std::chrono::seconds(seconds));
+fleet::EngineStartTime At(int seconds) {
+  return fleet::EngineStartTime(std::chrono::seconds(seconds));
 }
 
 }  // namespace
--- a/src/orders/engine_port_base.h
+++ b/src/orders/engine_port_base.h
@@ -25,13 +25,13 @@
 /** What the engine says of itself now. */
 struct EngineReport {
   /** When it started; nothing if it does not tell. */
-  std::optional<fleet::EngineBirth> born;
+  std::optional<fleet::EngineStartTime> born;
   bool order_in_progress = false;
   /** Orders accepted since the engine's start. */
   std::int64_t order_count = 0;
-  std::vector<fleet::HeldModel> models;
+  std::vector<fleet::LoadedModel> models;
   std::vector<ComingAdapter> coming;
-  fleet::NearCopies copies;
+  fleet::CachedCheckpoints copies;
   int running = 0;
   int waiting = 0;
   std::int64_t kv_used = 0;
--- a/src/orders/memory_plan.cc
+++ b/src/orders/memory_plan.cc
@@ -11,7 +11,8 @@
 /** An adapter that was loaded for somebody this lately is about to be used. */
 constexpr std::chrono::milliseconds kJustUsed{700};
 
-fleet::Usage UseOf(const MemoryState& state, const fleet::UsedPart& part) {
+fleet::Usage UseOf(const MemoryState& state,
+                   const fleet::ModelOrAdapter& part) {
   const auto it = state.use.find(part);
   return it == state.use.end() ? fleet::Usage() : it->second;
 }
@@ -30,7 +31,7 @@
 
 /** @return True if the report already counts this load. */
 bool Holds(const EngineReport& report, const EngineOrder& order) {
-  return std::ranges::any_of(report.models, [&](const fleet::HeldModel& it) {
+  return std::ranges::any_of(report.models, [&](const fleet::LoadedModel& it) {
     return it.model == order.model &&
            (order.adapter.empty() || it.adapters.contains(order.adapter));
   });
@@ -44,7 +45,7 @@
 
 int AdaptersTaken(const MemoryState& state) {
   auto taken = state.report->coming.size();
-  for (const fleet::HeldModel& it : state.report->models) {
+  for (const fleet::LoadedModel& it : state.report->models) {
     taken += it.adapters.size();
   }
   taken += static_cast<std::size_t>(
@@ -70,7 +71,7 @@
 std::int64_t BytesTaken(const MemoryState& state) {
   std::int64_t taken = 0;
   for (const EngineOrder& it : state.open_loads) taken += OpenBytes(state, it);
-  for (const fleet::HeldModel& it : state.report->models) {
+  for (const fleet::LoadedModel& it : state.report->models) {
     taken += BytesOf(*state.spec, it.model);
     taken += static_cast<std::int64_t>(it.adapters.size()) *
              AdapterBytes(*state.spec, it.model);
@@ -89,9 +90,9 @@
 std::optional<core::ModelId> ChooseUnload(
     const MemoryState& state, const std::vector<core::ModelId>& preferred,
     const core::ModelId& keep) {
-  const fleet::HeldModel* best = nullptr;
+  const fleet::LoadedModel* best = nullptr;
   double best_demand = 0;
-  for (const fleet::HeldModel& it : state.report->models) {
+  for (const fleet::LoadedModel& it : state.report->models) {
     const fleet::Usage usage = UseOf(state, {it.model, core::AdapterId()});
     if (it.model == keep) continue;
     if (UsedWithin(usage, state.now, policy::kKeptAfterUse)) continue;
@@ -116,7 +117,7 @@
 std::optional<ComingAdapter> ChooseAdapterUnload(const MemoryState& state) {
   std::optional<ComingAdapter> best;
   core::SteadyTime best_used;
-  for (const fleet::HeldModel& held : state.report->models) {
+  for (const fleet::LoadedModel& held : state.report->models) {
     for (const core::AdapterId& adapter : held.adapters) {
       const fleet::Usage usage = UseOf(state, {held.model, adapter});
       if (UsedWithin(usage, state.now, kJustUsed)) continue;
--- a/src/orders/memory_plan_func.h
+++ b/src/orders/memory_plan_func.h
@@ -18,7 +18,7 @@
   const routing::EngineSpec* spec = nullptr;
   const EngineReport* report = nullptr;
   /** As far as the asking entry knows; what is missing is not used. */
-  fleet::UsageTable use;
+  fleet::UsageByPart use;
   /** Loads that the report does not show yet: on their way, in progress, or of
    * unknown outcome. Each may still take its memory. */
   std::vector<EngineOrder> open_loads;
--- a/src/orders/order_service.cc
+++ b/src/orders/order_service.cc
@@ -19,7 +19,7 @@
   load_request.instance = fleet::InstanceId(told.engine_instance);
   for (const std::string& it : told.evict) load_request.evict.emplace_back(it);
   for (const gen::ResidentUse& it : told.resident_use) {
-    load_request.use[fleet::PartOf(it)] = fleet::ReadUse(it, now);
+    load_request.use[fleet::PartOf(it)] = fleet::ParseResidentUse(it, now);
   }
   load_request.deadline = now + milliseconds(told.remaining_ms);
   return load_request;
--- a/src/orders/testing_engine.h
+++ b/src/orders/testing_engine.h
@@ -51,7 +51,7 @@
   bool over_memory = false;
 
   void Hold(const std::string& model) {
-    fleet::HeldModel held;
+    fleet::LoadedModel held;
     held.model = core::ModelId(model);
     report_.models.push_back(held);
   }
@@ -64,11 +64,11 @@
   }
 
   /** Tells from now on that it started then. */
-  void TellBirth(fleet::EngineBirth born) { report_.born = born; }
+  void TellBirth(fleet::EngineStartTime born) { report_.born = born; }
 
   /** Crashes and is back at once under its name, empty and counting anew. What
    * is late on its way still arrives. */
-  void RestartAt(fleet::EngineBirth born) {
+  void RestartAt(fleet::EngineStartTime born) {
     report_ = EngineReport();
     report_.born = born;
     loading_.reset();
@@ -120,15 +120,15 @@
     return OrderAnswer::kAccepted;
   }
 
-  fleet::HeldModel* HeldOf(const core::ModelId& model) {
+  fleet::LoadedModel* HeldOf(const core::ModelId& model) {
     const auto it =
-        std::ranges::find(report_.models, model, &fleet::HeldModel::model);
+        std::ranges::find(report_.models, model, &fleet::LoadedModel::model);
     return it == report_.models.end() ? nullptr : &*it;
   }
 
   void AdvanceAdapters() {
     for (const Late& it : std::exchange(adapters_, {})) {
-      fleet::HeldModel* held = HeldOf(it.order.model);
+      fleet::LoadedModel* held = HeldOf(it.order.model);
       if (Now() < it.at) {
         adapters_.push_back(it);
       } else if (held != nullptr) {
--- a/src/quota/quota_client.cc
+++ b/src/quota/quota_client.cc
@@ -297,8 +297,10 @@
 void QuotaClient::RecordUnanswered(const PendingRequest& pending) {
   const auto [it, is_new] =
       unanswered_since_.try_emplace(pending.entry, pending.sent);
-  const auto heard = peer_table_.HeardAt(pending.entry);
-  if (!is_new && heard && *heard >= it->second) it->second = pending.sent;
+  const auto last_received = peer_table_.LastReceivedFrom(pending.entry);
+  if (!is_new && last_received && *last_received >= it->second) {
+    it->second = pending.sent;
+  }
   log_.Event(LogLevel::kWarning, LogCategory::kLink, "quota_unanswered",
              {{"entry", pending.entry},
               {"quota", pending.id},
@@ -319,8 +321,8 @@
   std::erase_if(denials_,
                 [now](const auto& it) { return it.second.until <= now; });
   std::erase_if(unanswered_since_, [this, now](const auto& it) {
-    const auto heard = peer_table_.HeardAt(it.first);
-    return (heard && *heard >= it.second) ||
+    const auto last_received = peer_table_.LastReceivedFrom(it.first);
+    return (last_received && *last_received >= it.second) ||
            now - it.second >= kSuspicionTimeout;
   });
 }
--- a/src/quota/quota_client_test.cc
+++ b/src/quota/quota_client_test.cc
@@ -238,8 +238,8 @@
   for (const auto& it : rig.entries) it->peer_table.SetEntries({});
   rig.At(first).frozen = false;
   const std::size_t bridge = first == 0 ? 1 : 0;
-  rig.At(bridge).peer_table.NoteHeard(rig.At(first).entry);
-  rig.At(first).peer_table.NoteHeard(rig.At(bridge).entry);
+  rig.At(bridge).peer_table.RecordDatagram(rig.At(first).entry);
+  rig.At(first).peer_table.RecordDatagram(rig.At(bridge).entry);
   SendRequests(rig, limit, 130'000, seconds(8), 5);
   int coordinators = 0;
   for (const auto& it : rig.entries) {
--- a/src/quota/quota_client_usage.cc
+++ b/src/quota/quota_client_usage.cc
@@ -75,8 +75,9 @@
   const auto role = coordinated_.find(id);
   const core::SteadyTime now = clock_.Now();
   if (role == coordinated_.end() ||
-      now - role->second.reported_at < kReportInterval)
+      now - role->second.reported_at < kReportInterval) {
     return;
+  }
   if (coordinator_.UsedFraction(id) < kMinReportedFraction) return;
   role->second.reported_at = now;
   std::vector<const fleet::Peer*> peers = RankedPeers(id, false);
--- a/src/quota/quota_client_view.cc
+++ b/src/quota/quota_client_view.cc
@@ -27,8 +27,8 @@
   const auto it = unanswered_since_.find(entry);
   if (it == unanswered_since_.end()) return false;
   if (clock_.Now() - it->second < options_.suspect_after) return false;
-  const auto heard = peer_table_.HeardAt(entry);
-  return !heard || *heard < it->second;
+  const auto last_received = peer_table_.LastReceivedFrom(entry);
+  return !last_received || *last_received < it->second;
 }
 
 int QuotaClient::suspected() const {
@@ -71,7 +71,7 @@
     view.vm_hashes.push_back(core::HashOf(it.vm.empty() ? it.entry : it.vm));
   }
   view.entries = std::max(static_cast<int>(view.peers.size()) + 1,
-                          peer_table_.VmsLately());
+                          peer_table_.RecentVmCount());
   view.reachable_fraction = ReachableFraction(view);
   std::vector<std::string> candidates;
   for (const fleet::Peer& it : view.peers) {
@@ -98,18 +98,18 @@
   // Peers that have just become known count as reachable, except if this entry
   // is new itself: entries that don't know it yet have another coordinator.
   const bool is_new = now - running_since_ < within + kMinReachableWindow;
-  const auto is_heard = [&](const fleet::Peer& it) {
+  const auto is_reachable = [&](const fleet::Peer& it) {
     if (IsSuspected(it.entry)) return false;
-    if (it.heard && now - *it.heard < within) return true;
+    if (it.last_received && now - *it.last_received < within) return true;
     return !is_new && now - it.known_since < within;
   };
-  const auto heard = std::ranges::count_if(view.peers, is_heard);
-  return static_cast<double>(heard + 1) / static_cast<double>(view.entries);
+  const auto reachable = std::ranges::count_if(view.peers, is_reachable);
+  return static_cast<double>(reachable + 1) / static_cast<double>(view.entries);
 }
 
 bool QuotaClient::IsIsolated() {
   const core::SteadyTime last = std::max(
-      peer_table_.last_heard().value_or(running_since_), running_since_);
+      peer_table_.last_received().value_or(running_since_), running_since_);
   const milliseconds limit =
       kIsolationTimeout + peer_table_.Age() / kReachableRounds;
   return CurrentView().entries > 1 && clock_.Now() - last >= limit;
--- a/src/quota/quota_rig_test.h
+++ b/src/quota/quota_rig_test.h
@@ -227,13 +227,13 @@
       if (from == nullptr || to == nullptr || to->frozen) continue;
       if (is_cut(from->vm, to->vm)) continue;
       const gen::EntryDatagram& datagram = it.content;
-      if (datagram.__isset.record) to->peer_table.Take(datagram.record);
+      if (datagram.__isset.record) to->peer_table.ApplyRecord(datagram.record);
       if (datagram.__isset.quota_ask) {
-        to->peer_table.NoteHeard(datagram.quota_ask.entry);
+        to->peer_table.RecordDatagram(datagram.quota_ask.entry);
         to->client.OnAsk(datagram.quota_ask, it.from);
       }
       if (datagram.__isset.quota_answer) {
-        to->peer_table.NoteHeard(datagram.quota_answer.entry);
+        to->peer_table.RecordDatagram(datagram.quota_answer.entry);
         to->client.OnAnswer(datagram.quota_answer);
       }
     }
--- a/src/quota/usage_table.cc
+++ b/src/quota/usage_table.cc
@@ -42,8 +42,9 @@
                        const std::vector<gen::QuotaUsage>& usages) {
   const core::SteadyTime now = clock_.Now();
   for (const gen::QuotaUsage& update : usages) {
-    if (update.entry == self_ || update.steps.size() > kStepsPerWindow + 1)
+    if (update.entry == self_ || update.steps.size() > kStepsPerWindow + 1) {
       continue;
+    }
     Usage& known = quotas_[id][update.entry];
     if (update.number <= known.number) continue;
     known.number = update.number;
--- a/src/serving/caller_type.h
+++ b/src/serving/caller_type.h
@@ -90,8 +90,8 @@
   int waiting = 0;
   std::int64_t kv_tokens_used = 0;
   std::int64_t kv_tokens_total = 0;
-  std::vector<fleet::HeldModel> models;
-  fleet::NearCopies copies;
+  std::vector<fleet::LoadedModel> models;
+  fleet::CachedCheckpoints copies;
 };
 
 /** Translates what callers send and get. */
--- a/src/serving/crash_watch.cc
+++ b/src/serving/crash_watch.cc
@@ -100,7 +100,7 @@
     NoteEnd(send, false);
     co_return;
   }
-  loads_.NoteUnreachable(send.instance);
+  loads_.MarkUnreachable(send.instance);
   NoteCrash(send);
 }
 
--- a/src/serving/dispatcher.cc
+++ b/src/serving/dispatcher.cc
@@ -283,7 +283,7 @@
   const fleet::EngineEntry* engine = parts_.registry.Find(work.engine);
   if (engine == nullptr) co_return false;
   const std::shared_ptr<http::Client> client = parts_.clients.Of(*engine);
-  const fleet::UsedPart part{work.request.model, work.request.adapter};
+  const fleet::ModelOrAdapter part{work.request.model, work.request.adapter};
   const fleet::SendTicket ticket = parts_.loads.Begin(work.engine, part);
   WatchedSend watched;
   watched.fingerprint = work.fingerprint;
@@ -310,11 +310,11 @@
     parts_.rate_limiter.Apply(instance, answer.limit, sent);
   };
   hooks.first_byte = [this, &work, ticket] {
-    parts_.loads.NoteAnswer(ticket);
+    parts_.loads.RecordFirstByte(ticket);
     NotePrefix(work);
     if (!work.first_byte) work.first_byte = parts_.clock.Now();
   };
-  hooks.heard = [this, ticket] { parts_.loads.NoteHeard(ticket); };
+  hooks.heard = [this, ticket] { parts_.loads.RecordAnswerPart(ticket); };
   hooks.give_up = [this, &work] { return GiveUp(work); };
   const SendState state{work.route, work.deadline,
                         TimeLeft(work, parts_.clock.Now()), work.runs};
@@ -324,9 +324,9 @@
       work.caller, parts_.clock, std::move(hooks));
   parts_.loads.End(ticket, ResultOf(result));
   parts_.crash_watch.End(watched, result, work.first_byte);
-  if (result.unreachable) parts_.loads.NoteUnreachable(work.engine);
-  if (result.replaced) parts_.registry.NoteReplaced(work.engine);
-  if (result.lacks_model) parts_.loads.NoteLacking(work.engine, part);
+  if (result.unreachable) parts_.loads.MarkUnreachable(work.engine);
+  if (result.replaced) parts_.registry.MarkReplaced(work.engine);
+  if (result.lacks_model) parts_.loads.MarkLacking(work.engine, part);
   work.caller.abort = nullptr;
   work.outcome = NameOf(result.end);
   work.reason = result.reason;
--- a/src/serving/dispatcher_rig_test.h
+++ b/src/serving/dispatcher_rig_test.h
@@ -283,7 +283,7 @@
     entry.address = engines.back()->server.address();
     entry.zone = core::ZoneId(engines.size() == 1 ? "z" : "other");
     entry.max_running = 8;
-    fleet::HeldModel held;
+    fleet::LoadedModel held;
     held.model = core::ModelId("m");
     entry.models.push_back(held);
     registry.Put(std::move(entry));
@@ -330,7 +330,7 @@
   link::LinkNode links;
   fleet::PeerTable peer_table;
   fleet::EngineHolders holders;
-  fleet::OrderCalls calls;
+  fleet::ControllerClient calls;
   EngineClients clients;
   TestEngineWire engine_wire;
   LoadGauges gauges;
--- a/src/serving/dispatcher_test.cc
+++ b/src/serving/dispatcher_test.cc
@@ -53,7 +53,7 @@
     fleet::EngineEntry entry = rig.registry.engines().begin()->second;
     entry.instance =
         fleet::MakeInstance(fleet::EngineOf(entry.instance),
-                            fleet::EngineBirth(std::chrono::seconds(20)));
+                            fleet::EngineStartTime(std::chrono::seconds(20)));
     rig.registry.Put(std::move(entry));
     return first(request, writer);
   };
@@ -205,7 +205,7 @@
     BOOST_TEST(caller.status == kOk);
   }
   BOOST_TEST(other.requests.size() == 20);
-  BOOST_TEST(rig.loads.Unreachable(fleet::InstanceId("i-1")));
+  BOOST_TEST(rig.loads.IsUnreachable(fleet::InstanceId("i-1")));
 }
 
 /**
@@ -322,7 +322,7 @@
   record.entry = "other";
   record.number = 1;
   record.loads.push_back(load);
-  rig.peer_table.Take(record);
+  rig.peer_table.ApplyRecord(record);
   const core::SteadyTime began = rig.clock.Now();
   rig.dispatcher.EndAt(began + milliseconds(6000));
   RecordingWriter caller;
--- a/src/serving/engine_follower.cc
+++ b/src/serving/engine_follower.cc
@@ -55,7 +55,7 @@
       NoteUnreadable(it.key, e.what());
     }
   }
-  registry_.Replace(std::move(engines), lapse_end);
+  registry_.ReplaceAll(std::move(engines), lapse_end);
 }
 
 void EngineFollower::TakeChange(const external::KvEvent& event,
@@ -72,7 +72,7 @@
     registry_.Put(layout_.read_engine(key, value));
   } catch (const std::exception& e) {
     NoteUnreadable(key, e.what());
-    registry_.PutUnreadable(layout_.engine_of(key));
+    registry_.MarkUnreadable(layout_.engine_of(key));
   }
 }
 
--- a/src/serving/engine_rate_limiter.cc
+++ b/src/serving/engine_rate_limiter.cc
@@ -95,7 +95,7 @@
   }
   const fleet::LimitChange change = limits_.Apply(instance, notice, sent);
   if (change == fleet::LimitChange::kNone) return;
-  const bool named = change == fleet::LimitChange::kNamed;
+  const bool named = change == fleet::LimitChange::kReported;
   log_.Event(
       LogLevel::kInfo, LogCategory::kReplica,
       named ? "engine_limit_named" : "engine_limit_ended",
--- a/src/serving/front.cc
+++ b/src/serving/front.cc
@@ -70,8 +70,8 @@
   return parts;
 }
 
-fleet::OrderCallOptions OrderCallOptionsOf(const FrontOptions& options) {
-  fleet::OrderCallOptions calls;
+fleet::ControllerClientOptions OrderCallOptionsOf(const FrontOptions& options) {
+  fleet::ControllerClientOptions calls;
   calls.self = options.link_listen;
   calls.endpoint_port = options.endpoint_link_port;
   return calls;
@@ -395,26 +395,26 @@
 void Front::OnDatagram(const gen::EntryDatagram& datagram,
                        const std::string& address) {
   if (datagram.__isset.record) {
-    peer_table_.Take(datagram.record);
+    peer_table_.ApplyRecord(datagram.record);
     for (const gen::EngineLimit& it : datagram.record.limits) {
-      loads_.limits().ApplyTold(fleet::InstanceId(it.engine_instance),
-                                it.per_second);
+      loads_.limits().ApplyPeerLimit(fleet::InstanceId(it.engine_instance),
+                                     it.per_second);
     }
   }
   if (datagram.__isset.engine_ask) {
-    peer_table_.NoteHeard(datagram.engine_ask.entry);
+    peer_table_.RecordDatagram(datagram.engine_ask.entry);
     engine_quota_client_.OnAsk(datagram.engine_ask, address);
   }
   if (datagram.__isset.engine_answer) {
-    peer_table_.NoteHeard(datagram.engine_answer.entry);
+    peer_table_.RecordDatagram(datagram.engine_answer.entry);
     engine_quota_client_.OnAnswer(datagram.engine_answer);
   }
   if (datagram.__isset.quota_ask) {
-    peer_table_.NoteHeard(datagram.quota_ask.entry);
+    peer_table_.RecordDatagram(datagram.quota_ask.entry);
     quota_client_.OnAsk(datagram.quota_ask, address);
   }
   if (datagram.__isset.quota_answer) {
-    peer_table_.NoteHeard(datagram.quota_answer.entry);
+    peer_table_.RecordDatagram(datagram.quota_answer.entry);
     quota_client_.OnAnswer(datagram.quota_answer);
   }
 }
--- a/src/serving/front_base.h
+++ b/src/serving/front_base.h
@@ -124,7 +124,7 @@
   orders::ControllerPool pool_;
   orders::OrderService order_service_;
   link::LinkNode links_;
-  fleet::OrderCalls calls_;
+  fleet::ControllerClient calls_;
   EngineClients clients_;
   LoadGauges gauges_;
   ReplicaFinder finder_;
--- a/src/serving/load_broadcaster.cc
+++ b/src/serving/load_broadcaster.cc
@@ -90,11 +90,11 @@
   gen::EntryRecord record;
   record.entry = options_.entry;
   record.number = number_;
-  for (const auto& [instance, table] : loads_.RecentUse(kToldFor)) {
+  for (const auto& [instance, table] : loads_.RecentUsage(kToldFor)) {
     gen::EngineUse use;
     use.engine_instance = instance.value();
     for (const auto& [part, usage] : table) {
-      use.parts.push_back(fleet::TellUse(part, usage, now));
+      use.parts.push_back(fleet::MakeResidentUse(part, usage, now));
     }
     record.uses.push_back(std::move(use));
   }
@@ -107,7 +107,8 @@
     load.from_weight_store = it.from_weight_store;
     record.loads.push_back(std::move(load));
   }
-  for (const auto& [instance, per_second] : loads_.limits().NamedLately()) {
+  for (const auto& [instance, per_second] :
+       loads_.limits().RecentlyReported()) {
     gen::EngineLimit limit;
     limit.engine_instance = instance.value();
     limit.per_second = per_second;
--- a/src/serving/load_broadcaster_base.h
+++ b/src/serving/load_broadcaster_base.h
@@ -23,7 +23,7 @@
   std::string entry;
   /** One datagram to one other entry each time: what an entry sends and gets
    * does not grow with their number, only the age of what it knows does. */
-  std::chrono::milliseconds pause{fleet::kTellPause};
+  std::chrono::milliseconds pause{fleet::kRecordInterval};
 };
 
 /** Broadcasts this entry's load to one peer at a time. Records are complete
--- a/src/serving/load_gauges.cc
+++ b/src/serving/load_gauges.cc
@@ -103,7 +103,7 @@
   const bool answered =
       it != gauges_.end() && clock_.Now() - it->second.at < kAskAgain;
   if (!answered) co_return;
-  registry_.NoteHoldings(instance, it->second.state.models,
+  registry_.UpdateModels(instance, it->second.state.models,
                          it->second.state.copies);
 }
 
--- a/src/serving/load_gauges_test.cc
+++ b/src/serving/load_gauges_test.cc
@@ -54,7 +54,7 @@
       at.parts.push_back(use);
       record.uses.push_back(at);
     }
-    peer_table.Take(record);
+    peer_table.ApplyRecord(record);
   }
 
   static int Drafts(const TestEngine& engine) {
--- a/src/serving/loader_rig_test.h
+++ b/src/serving/loader_rig_test.h
@@ -187,7 +187,7 @@
   void Hear(gen::EntryRecord record) {
     record.entry = kOther;
     record.number = ++heard_;
-    peer_table.Take(record);
+    peer_table.ApplyRecord(record);
   }
 
   /** The other entry has a model loaded from the weight store. */
@@ -228,7 +228,7 @@
   link::LinkNode links;
   TestEndpoint endpoint;
   fleet::EngineHolders holders;
-  fleet::OrderCalls calls;
+  fleet::ControllerClient calls;
   EngineClients clients;
   MuteEngineWire engine_wire;
   LoadGauges gauges;
--- a/src/serving/model_loader.cc
+++ b/src/serving/model_loader.cc
@@ -59,7 +59,8 @@
 
 }  // namespace
 
-ModelLoader::ModelLoader(const ReplicaFinder& finder, fleet::OrderCalls& calls,
+ModelLoader::ModelLoader(const ReplicaFinder& finder,
+                         fleet::ControllerClient& calls,
                          fleet::PeerTable& peer_table,
                          fleet::EngineRegistry& registry,
                          fleet::EngineLoads& loads, FrontMetrics& metrics,
@@ -315,15 +316,15 @@
   std::string failure;
   std::string_view outcome = "ok";
   try {
-    co_await calls_.Ensure(instance, std::move(load_request), limit);
+    co_await calls_.RequestLoad(instance, std::move(load_request), limit);
   } catch (const core::Error& e) {
     failure = e.what();
     outcome = core::InfoOf(e.code()).name;
     if (e.code() == core::ErrorCode::kEngineReplaced) {
-      registry_.NoteReplaced(instance);
+      registry_.MarkReplaced(instance);
     }
     if (e.code() == core::ErrorCode::kEngineUnavailable) {
-      loads_.NoteUnreachable(instance);
+      loads_.MarkUnreachable(instance);
     }
   }
   const auto took =
@@ -360,7 +361,8 @@
   }
   const core::SteadyTime now = clock_.Now();
   for (const auto& [part, usage] : finder_.UseAt(asked.instance)) {
-    load_request.resident_use.push_back(fleet::TellUse(part, usage, now));
+    load_request.resident_use.push_back(
+        fleet::MakeResidentUse(part, usage, now));
   }
   return load_request;
 }
@@ -372,7 +374,7 @@
   const LoadTarget& target = asked.target;
   loads_.NoteLoaded(asked.instance, {target.model, target.adapter});
   for (const core::ModelId& it : evict) {
-    loads_.NoteLacking(asked.instance, {it, core::AdapterId()});
+    loads_.MarkLacking(asked.instance, {it, core::AdapterId()});
   }
   if (pending.tier == policy::Tier::kRemote) {
     store_load_ = StoreLoad{took, clock_.Now()};
--- a/src/serving/model_loader_base.h
+++ b/src/serving/model_loader_base.h
@@ -44,7 +44,7 @@
 class ModelLoader {
  public:
   /** @pre All references outlive the loader. */
-  ModelLoader(const ReplicaFinder& finder, fleet::OrderCalls& calls,
+  ModelLoader(const ReplicaFinder& finder, fleet::ControllerClient& calls,
               fleet::PeerTable& peer_table, fleet::EngineRegistry& registry,
               fleet::EngineLoads& loads, FrontMetrics& metrics,
               const core::Executor& executor, const core::Clock& clock,
@@ -52,7 +52,7 @@
 
   /** A caller has asked for the model, whether it is loaded or not. */
   void NoteAsked(const core::ModelId& model) {
-    asked_.NoteBegun({model, core::AdapterId()});
+    asked_.RecordBegun({model, core::AdapterId()});
   }
 
   /**
@@ -152,7 +152,7 @@
                   const std::vector<core::ModelId>& evict, milliseconds took);
 
   const ReplicaFinder& finder_;
-  fleet::OrderCalls& calls_;
+  fleet::ControllerClient& calls_;
   fleet::PeerTable& peer_table_;
   fleet::EngineRegistry& registry_;
   fleet::EngineLoads& loads_;
--- a/src/serving/model_loader_test.cc
+++ b/src/serving/model_loader_test.cc
@@ -362,7 +362,7 @@
   });
   rig.loader.Wake(rig.service, kModel, kRequest);
   rig.Settle();
-  BOOST_TEST(!rig.loads.Unreachable(fleet::InstanceId("i-1")));
+  BOOST_TEST(!rig.loads.IsUnreachable(fleet::InstanceId("i-1")));
 }
 
 /** Guards against callers that wait out the pause of a holder which is gone: a
--- a/src/serving/replica_finder.cc
+++ b/src/serving/replica_finder.cc
@@ -9,10 +9,10 @@
 
 namespace {
 
-const fleet::HeldModel* FindHeld(const fleet::EngineEntry& engine,
-                                 const core::ModelId& model) {
+const fleet::LoadedModel* FindHeld(const fleet::EngineEntry& engine,
+                                   const core::ModelId& model) {
   const auto it =
-      std::ranges::find(engine.models, model, &fleet::HeldModel::model);
+      std::ranges::find(engine.models, model, &fleet::LoadedModel::model);
   return it == engine.models.end() ? nullptr : &*it;
 }
 
@@ -52,13 +52,13 @@
                            const CallerRequest& request,
                            const std::set<fleet::InstanceId>& avoid) const {
   if (engine.service != service || engine.draining) return false;
-  const fleet::UsedPart model{request.model, core::AdapterId()};
+  const fleet::ModelOrAdapter model{request.model, core::AdapterId()};
   // Of hundreds of engines few hold the model: asked first.
   const bool holds = request.model.empty() ||
                      FindHeld(engine, request.model) != nullptr ||
                      loads_.HasLoaded(engine.instance, model);
   return holds && !avoid.contains(engine.instance) &&
-         !loads_.Unreachable(engine.instance) &&
+         !loads_.IsUnreachable(engine.instance) &&
          !loads_.Lacks(engine.instance, model);
 }
 
@@ -66,7 +66,7 @@
     const core::ServiceId& service, const CallerRequest& request,
     const std::set<fleet::InstanceId>& avoid) const {
   std::vector<FoundReplica> found;
-  const fleet::UsedPart part{request.model, request.adapter};
+  const fleet::ModelOrAdapter part{request.model, request.adapter};
   for (const auto& [instance, engine] : registry_.engines()) {
     if (!Serves(engine, service, request, avoid)) continue;
     if (loads_.limits().ThrottledFor(instance) > milliseconds(0)) continue;
@@ -74,8 +74,8 @@
     replica.instance = instance;
     replica.view = View(engine, request);
     if (!request.model.empty()) {
-      const fleet::HeldModel* held = FindHeld(engine, request.model);
-      replica.order_left = peer_table_.OrderLeft(instance);
+      const fleet::LoadedModel* held = FindHeld(engine, request.model);
+      replica.order_left = peer_table_.RemainingLoadTime(instance);
       const bool listed =
           held != nullptr && held->adapters.contains(request.adapter);
       const bool has = (listed && !loads_.Lacks(instance, part)) ||
@@ -116,14 +116,14 @@
     view.kv_total = gauge->state.kv_tokens_total;
   }
   view.failure_rate = loads_.FailureRate(engine.instance);
-  view.oldest_silence = loads_.OldestSilence(engine.instance);
+  view.oldest_silence = loads_.LongestSilence(engine.instance);
   view.warming_up = engine.warm_up_left.count() > 0;
   std::vector<std::uint64_t> hashes;
   for (const PromptPart& part : request.prompt_parts) {
     hashes.push_back(part.hash);
   }
   const std::size_t known =
-      loads_.KnownParts(engine.instance, request.model, hashes);
+      loads_.KnownPrefixParts(engine.instance, request.model, hashes);
   for (std::size_t i = 0; i < known; ++i) {
     view.known_tokens += request.prompt_parts[i].tokens;
   }
@@ -143,17 +143,17 @@
     return resident;
   };
   const core::SteadyTime now = clock_.Now();
-  for (const fleet::HeldModel& it : engine.models) {
+  for (const fleet::LoadedModel& it : engine.models) {
     policy::ResidentModel resident = resident_of(it.model);
     const fleet::Usage usage =
-        peer_table_.UseOf(engine.instance, {it.model, core::AdapterId()});
+        peer_table_.UsageOf(engine.instance, {it.model, core::AdapterId()});
     resident.running = usage.running;
     resident.just_used =
         usage.last_begun && now - *usage.last_begun < policy::kKeptAfterUse;
     resident.demand = usage.demand;
     residents.push_back(std::move(resident));
   }
-  for (const fleet::ComingLoad& it : peer_table_.ComingAt(engine.instance)) {
+  for (const fleet::ComingLoad& it : peer_table_.LoadsAt(engine.instance)) {
     if (FindHeld(engine, it.model) != nullptr) continue;
     // One on its way is wanted by somebody: as good as in use.
     policy::ResidentModel resident = resident_of(it.model);
@@ -171,12 +171,12 @@
         it.view.residents, [&model](const policy::ResidentModel& resident) {
           return resident.model == model;
         });
-    if (holds || loads_.Unreachable(it.instance)) continue;
+    if (holds || loads_.IsUnreachable(it.instance)) continue;
     const fleet::EngineEntry* engine = registry_.Find(it.instance);
     if (engine == nullptr || engine->draining) continue;
     FoundLoader loader = it;
     loader.view.tier = TierOf(*engine, model);
-    loader.view.order_left = peer_table_.OrderLeft(it.instance);
+    loader.view.order_left = peer_table_.RemainingLoadTime(it.instance);
     found.push_back(std::move(loader));
   }
   return found;
@@ -226,7 +226,7 @@
 std::vector<ComingModel> ReplicaFinder::FindComing(
     const core::ServiceId& service, const core::ModelId& model) const {
   std::vector<ComingModel> coming;
-  for (const fleet::ComingLoad& it : peer_table_.ComingOf(model)) {
+  for (const fleet::ComingLoad& it : peer_table_.LoadsOf(model)) {
     const fleet::EngineEntry* engine = registry_.Find(it.instance);
     const bool counts =
         engine != nullptr && engine->service == service && !engine->draining;
@@ -242,8 +242,7 @@
   int loads = 0;
   for (const auto& [instance, engine] : registry_.engines()) {
     if (engine.service != service) continue;
-    const std::vector<fleet::ComingLoad> coming =
-        peer_table_.ComingAt(instance);
+    const std::vector<fleet::ComingLoad> coming = peer_table_.LoadsAt(instance);
     const bool from_store = std::ranges::any_of(
         coming, [](const auto& it) { return it.from_weight_store; });
     if (from_store) ++loads;
@@ -257,22 +256,22 @@
   for (const auto& [instance, engine] : registry_.engines()) {
     if (engine.service != service) continue;
     if (FindHeld(engine, model) == nullptr) continue;
-    demand += peer_table_.UseOf(instance, {model, core::AdapterId()}).demand;
+    demand += peer_table_.UsageOf(instance, {model, core::AdapterId()}).demand;
   }
   return demand;
 }
 
-fleet::UsageTable ReplicaFinder::UseAt(
+fleet::UsageByPart ReplicaFinder::UseAt(
     const fleet::InstanceId& instance) const {
-  fleet::UsageTable table;
+  fleet::UsageByPart table;
   const fleet::EngineEntry* engine = registry_.Find(instance);
   if (engine == nullptr) return table;
-  for (const fleet::HeldModel& held : engine->models) {
-    const fleet::UsedPart model{held.model, core::AdapterId()};
-    table[model] = peer_table_.UseOf(instance, model);
+  for (const fleet::LoadedModel& held : engine->models) {
+    const fleet::ModelOrAdapter model{held.model, core::AdapterId()};
+    table[model] = peer_table_.UsageOf(instance, model);
     for (const core::AdapterId& adapter : held.adapters) {
-      const fleet::UsedPart part{held.model, adapter};
-      table[part] = peer_table_.UseOf(instance, part);
+      const fleet::ModelOrAdapter part{held.model, adapter};
+      table[part] = peer_table_.UsageOf(instance, part);
     }
   }
   return table;
--- a/src/serving/replica_finder_base.h
+++ b/src/serving/replica_finder_base.h
@@ -77,7 +77,7 @@
   [[nodiscard]] int StoreLoads(const core::ServiceId& service) const;
 
   /** @return Use of all that the engine holds, of all entries. */
-  [[nodiscard]] fleet::UsageTable UseAt(
+  [[nodiscard]] fleet::UsageByPart UseAt(
       const fleet::InstanceId& instance) const;
 
   /** @return Requests a second for a model, over all entries. */
