--- a/src/fleet/engine_holders.cc
+++ b/src/fleet/engine_holders.cc
@@ -72,7 +72,7 @@
   return it == holders_.end() ? nullptr : &it->second;
 }
 
-std::optional<core::SteadyTime> EngineHolders::VacantSince(
+std::optional<core::SteadyTime> EngineHolders::UnheldSince(
     const std::string& engine) const {
   if (Find(engine) != nullptr) return std::nullopt;
   const auto it = ended_.find(engine);
--- a/src/fleet/engine_holders_base.h
+++ b/src/fleet/engine_holders_base.h
@@ -43,7 +43,7 @@
 
   /** @return When the engine was first known to have no holder; nothing if it
    * has one, or if the store has not been read yet. */
-  [[nodiscard]] std::optional<core::SteadyTime> VacantSince(
+  [[nodiscard]] std::optional<core::SteadyTime> UnheldSince(
       const std::string& engine) const;
 
  private:
--- a/src/orders/controller_pool.cc
+++ b/src/orders/controller_pool.cc
@@ -100,7 +100,7 @@
     // The process before this one on the VM held it.
     return holder->address == options_.address;
   }
-  const auto vacant = holders_.VacantSince(engine);
+  const auto vacant = holders_.UnheldSince(engine);
   if (!vacant) return false;
   const core::SteadyTime since = std::max(*vacant, seen_.at(engine).first);
   const auto wait = holders_.WasHeldRemotely(engine)
--- a/src/quota/quota_client.cc
+++ b/src/quota/quota_client.cc
@@ -50,14 +50,14 @@
   pending.id = id;
   pending.limit = limit;
   pending.cost = cost;
-  pending.began = now;
+  pending.started = now;
   pending.done = std::move(done);
   Dispatch(std::move(pending));
 }
 
 void QuotaClient::Dispatch(PendingRequest pending) {
   const bool waited_out =
-      clock_.Now() - pending.began >= options_.failover_limit;
+      clock_.Now() - pending.started >= options_.failover_timeout;
   if (waited_out || IsIsolated()) {
     TakeFromShare(pending);
     return;
@@ -110,12 +110,12 @@
   decision.source = QuotaSource::kShare;
   decision.granted = TryTake(share.bucket, pending.cost);
   if (decision.granted) usage_.RecordGrant(pending.id, pending.cost);
-  if (!decision.granted) decision.delay = options_.failover_limit;
+  if (!decision.granted) decision.delay = options_.failover_timeout;
   pending.done(decision);
 }
 
 void QuotaClient::StartRequest(PendingRequest pending) {
-  pending.sent = clock_.Now();
+  pending.sent_at = clock_.Now();
   const std::int64_t number = ++last_number_;
   SendRequest(number, pending);
   pending_.emplace(number, std::move(pending));
@@ -154,7 +154,8 @@
   SendRequest(++last_number_, pending);
 }
 
-void QuotaClient::OnAsk(const gen::QuotaAsk& ask, const std::string& address) {
+void QuotaClient::OnRequest(const gen::QuotaAsk& ask,
+                            const std::string& address) {
   DetectFreeze();
   if (!ask.quota.empty()) usage_.Merge(QuotaId(ask.quota), ask.usage);
   if (ask.units < 0) {
@@ -260,7 +261,7 @@
 /** Keeps the request until Tick looks for a coordinator again, as the entries
  * don't agree on one yet. */
 void QuotaClient::Defer(PendingRequest pending) {
-  pending.sent = clock_.Now();
+  pending.sent_at = clock_.Now();
   pending.entry.clear();
   pending_.emplace(++last_number_, std::move(pending));
 }
@@ -273,10 +274,10 @@
   for (auto& [number, it] : pending_) {
     const bool parked = it.entry.empty();
     const milliseconds limit =
-        parked ? options_.resend_after : options_.answer_limit;
-    if (now - it.sent >= limit) {
+        parked ? options_.resend_after : options_.answer_timeout;
+    if (now - it.sent_at >= limit) {
       due.push_back(number);
-    } else if (!parked && now - it.sent >= options_.resend_after &&
+    } else if (!parked && now - it.sent_at >= options_.resend_after &&
                !it.resent) {
       it.resent = true;
       SendRequest(number, it);
@@ -296,10 +297,10 @@
 
 void QuotaClient::RecordUnanswered(const PendingRequest& pending) {
   const auto [it, is_new] =
-      unanswered_since_.try_emplace(pending.entry, pending.sent);
+      unanswered_since_.try_emplace(pending.entry, pending.sent_at);
   const auto last_received = peer_table_.LastReceivedFrom(pending.entry);
   if (!is_new && last_received && *last_received >= it->second) {
-    it->second = pending.sent;
+    it->second = pending.sent_at;
   }
   log_.Event(LogLevel::kWarning, LogCategory::kLink, "quota_unanswered",
              {{"entry", pending.entry},
--- a/src/quota/quota_client_base.h
+++ b/src/quota/quota_client_base.h
@@ -34,13 +34,13 @@
   milliseconds resend_after{40};
   /** After this time without an answer, the request is sent again, to the
    * coordinator as it is determined then. */
-  milliseconds answer_limit{150};
+  milliseconds answer_timeout{150};
   /** A coordinator is suspected to be down, and skipped, if it has left a
    * request unanswered and sent nothing else for this time. */
   milliseconds suspect_after{250};
   /** A request without an answer for this time is decided by this entry's even
    * share of the limit. */
-  milliseconds failover_limit{800};
+  milliseconds failover_timeout{800};
 };
 
 /**
@@ -75,14 +75,16 @@
 
   /** Handles another entry's quota request.
    * @param address Address to which the answer is sent. */
-  void OnAsk(const gen::QuotaAsk& ask, const std::string& address);
+  void OnRequest(const gen::QuotaAsk& ask, const std::string& address);
   void OnAnswer(const gen::QuotaAnswer& answer);
 
   /** Resends requests that are due and handles timeouts. */
   void Tick();
 
   /** @return Interval at which to call Tick while requests are pending. */
-  [[nodiscard]] milliseconds TickPause() const { return options_.resend_after; }
+  [[nodiscard]] milliseconds TickInterval() const {
+    return options_.resend_after;
+  }
 
   /** Removes expired answers, denials, buckets and use. */
   void Forget();
@@ -94,7 +96,7 @@
   }
 
   /** @return Number of entries that are suspected to be down and skipped. */
-  [[nodiscard]] int suspected() const;
+  [[nodiscard]] int suspected_count() const;
 
  private:
   /** A request that awaits a decision, or a probe if `done` is empty. */
@@ -102,12 +104,12 @@
     QuotaId id;
     SharedLimit limit;
     double cost = 0;
-    core::SteadyTime began;
+    core::SteadyTime started;
     /** The entry that was asked; empty while the request waits for the entries
      * to agree on a coordinator. */
     std::string entry;
     std::string address;
-    core::SteadyTime sent;
+    core::SteadyTime sent_at;
     bool resent = false;
     bool redirected = false;
     DecisionCallback done;
@@ -148,7 +150,7 @@
   };
   /** State of a quota that this entry coordinates. */
   struct CoordinatorState {
-    core::SteadyTime began;
+    core::SteadyTime started;
     /** Generation of the view when the candidates were last queried. */
     std::int64_t generation = 0;
     /** Peers whose answers, with the use granted before, are awaited. */
--- a/src/quota/quota_client_test.cc
+++ b/src/quota/quota_client_test.cc
@@ -323,9 +323,9 @@
   ask.version = 1;
   ask.units_per_second = 1500;
   ask.burst = 0;
-  coordinator.OnAsk(ask, "at nobody");
+  coordinator.OnRequest(ask, "at nobody");
   const double level = coordinator.LevelOf(kOrganisation);
-  coordinator.OnAsk(ask, "at nobody");
+  coordinator.OnRequest(ask, "at nobody");
   BOOST_TEST(coordinator.LevelOf(kOrganisation) == level);
 }
 
--- a/src/quota/quota_client_usage.cc
+++ b/src/quota/quota_client_usage.cc
@@ -51,12 +51,12 @@
   const auto [it, begins] = coordinated_.try_emplace(id);
   CoordinatorState& role = it->second;
   const std::int64_t generation = CurrentView().generation;
-  if (begins) role.began = now;
+  if (begins) role.started = now;
   if (begins || role.generation != generation) {
     role.generation = generation;
     QueryCandidates(id, begins);
   }
-  if (now - role.began >= kQueryTimeout) role.awaited_peers.clear();
+  if (now - role.started >= kQueryTimeout) role.awaited_peers.clear();
   return role.awaited_peers.empty();
 }
 
--- a/src/quota/quota_client_view.cc
+++ b/src/quota/quota_client_view.cc
@@ -31,7 +31,7 @@
   return !last_received || *last_received < it->second;
 }
 
-int QuotaClient::suspected() const {
+int QuotaClient::suspected_count() const {
   return static_cast<int>(std::ranges::count_if(
       unanswered_since_,
       [this](const auto& it) { return IsSuspected(it.first); }));
--- a/src/quota/quota_rig_test.h
+++ b/src/quota/quota_rig_test.h
@@ -230,7 +230,7 @@
       if (datagram.__isset.record) to->peer_table.ApplyRecord(datagram.record);
       if (datagram.__isset.quota_ask) {
         to->peer_table.RecordDatagram(datagram.quota_ask.entry);
-        to->client.OnAsk(datagram.quota_ask, it.from);
+        to->client.OnRequest(datagram.quota_ask, it.from);
       }
       if (datagram.__isset.quota_answer) {
         to->peer_table.RecordDatagram(datagram.quota_answer.entry);
--- a/src/serving/engine_rate_limiter.cc
+++ b/src/serving/engine_rate_limiter.cc
@@ -50,8 +50,8 @@
 quota::QuotaClientOptions EngineQuotaOptions() {
   quota::QuotaClientOptions options;
   options.rules.window = kWindow;
-  options.answer_limit = kAnswerLimit;
-  options.failover_limit = kFailoverLimit;
+  options.answer_timeout = kAnswerLimit;
+  options.failover_timeout = kFailoverLimit;
   return options;
 }
 
--- a/src/serving/front.cc
+++ b/src/serving/front.cc
@@ -320,7 +320,7 @@
   levels.engines_held = registry_.held();
   levels.engines_limited = loads_.limits().limited();
   levels.entries = peer_table_.entries();
-  levels.coordinators_suspected = quota_client_.suspected();
+  levels.coordinators_suspected = quota_client_.suspected_count();
   levels.ready = Ready();
   levels.store_age = age(store_follower_.last_answer());
   levels.view_age = age(store_follower_.current_as_of());
@@ -403,7 +403,7 @@
   }
   if (datagram.__isset.engine_ask) {
     peer_table_.RecordDatagram(datagram.engine_ask.entry);
-    engine_quota_client_.OnAsk(datagram.engine_ask, address);
+    engine_quota_client_.OnRequest(datagram.engine_ask, address);
   }
   if (datagram.__isset.engine_answer) {
     peer_table_.RecordDatagram(datagram.engine_answer.entry);
@@ -411,7 +411,7 @@
   }
   if (datagram.__isset.quota_ask) {
     peer_table_.RecordDatagram(datagram.quota_ask.entry);
-    quota_client_.OnAsk(datagram.quota_ask, address);
+    quota_client_.OnRequest(datagram.quota_ask, address);
   }
   if (datagram.__isset.quota_answer) {
     peer_table_.RecordDatagram(datagram.quota_answer.entry);
--- a/src/serving/quota_gate.cc
+++ b/src/serving/quota_gate.cc
@@ -41,7 +41,7 @@
   });
   while (!awaited->decision) {
     const std::uint64_t seen = awaited->changed.epoch();
-    if (co_await awaited->changed.Wait(seen, client.TickPause())) continue;
+    if (co_await awaited->changed.Wait(seen, client.TickInterval())) continue;
     client.Tick();
   }
   co_return *awaited->decision;
