--- a/src/fleet/order_calls.cc
+++ b/src/fleet/controller_client.cc
@@ -1,4 +1,4 @@
-/** @file order_calls.cc Requests model loads from the processes that
+/** @file controller_client.cc Requests model loads from the processes that
  * control the engines. */
 #include <fmt/format.h>
 
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "core/error_type.h"
-#include "fleet/order_calls_base.h"
+#include "fleet/controller_client_base.h"
 
 namespace sapphire::fleet {
 
--- a/src/fleet/order_calls_base.h
+++ b/src/fleet/controller_client_base.h
@@ -1,7 +1,7 @@
-/** @file order_calls_base.h Requests model loads from the processes that
+/** @file controller_client_base.h Requests model loads from the processes that
  * control the engines. */
-#ifndef SAPPHIRE_FLEET_ORDER_CALLS_BASE_H_
-#define SAPPHIRE_FLEET_ORDER_CALLS_BASE_H_
+#ifndef SAPPHIRE_FLEET_CONTROLLER_CLIENT_BASE_H_
+#define SAPPHIRE_FLEET_CONTROLLER_CLIENT_BASE_H_
 
 #include <chrono>
 #include <cstdint>
@@ -90,4 +90,4 @@
 
 }  // namespace sapphire::fleet
 
-#endif  // SAPPHIRE_FLEET_ORDER_CALLS_BASE_H_
+#endif  // SAPPHIRE_FLEET_CONTROLLER_CLIENT_BASE_H_
