--- a/src/fleet/controller_client.cc
+++ b/src/fleet/controller_client.cc
@@ -124,7 +124,7 @@
   if (it == backoffs_.end()) return milliseconds(0);
   const EngineHolder* holder = holders_.Find(engine->address);
   const std::int64_t fence = holder == nullptr ? 0 : holder->revision;
-  // The backoff was for another holder.
+  // The backoff was for another holder, so the present one may be contacted.
   if (fence != it->second.fence) return milliseconds(0);
   const auto left =
       std::chrono::ceil<milliseconds>(it->second.until - clock_.Now());
--- a/src/fleet/controller_client_base.h
+++ b/src/fleet/controller_client_base.h
@@ -58,7 +58,7 @@
   void Forget();
 
  private:
-  /** Backoff to reach the process that controls an engine. */
+  /** Backoff after failures to reach the process that controls an engine. */
   struct Backoff {
     /** Revision of the holder's lease; 0 if no holder was known. */
     std::int64_t fence = 0;
--- a/src/quota/quota_client_test.cc
+++ b/src/quota/quota_client_test.cc
@@ -406,7 +406,7 @@
           .granted);
 }
 
-/** Every request gets a decision within the failover limit, even if all
+/** Every request gets a decision within the failover timeout, even if all
  * datagrams are lost. */
 BOOST_AUTO_TEST_CASE(EveryRequestIsDecidedWithinTheFailoverTimeout) {
   QuotaRig rig(22);
