--- a/src/fleet/engine_limits_test.cc
+++ b/src/fleet/engine_limits_test.cc
@@ -1,4 +1,4 @@
-/** @file engine_limits_test.cc Tests of the limits that engines name. */
+/** @file engine_limits_test.cc Tests of the rate limits that engines report. */
 #define BOOST_TEST_MODULE engine_limits
 #include <boost/test/unit_test.hpp>
 
@@ -23,20 +23,21 @@
 
 }  // namespace
 
-/** Guards against an old answer that ends a limit which came after it. */
-BOOST_AUTO_TEST_CASE(AnswerThatWasOvertakenDoesNotEndALimit) {
+/** Guards against a late answer to an earlier request that ends a newer limit.
+ */
+BOOST_AUTO_TEST_CASE(LateAnswerDoesNotEndANewerLimit) {
   Rig rig;
   const core::SteadyTime before = rig.clock.Now();
   rig.clock.Advance(milliseconds(100));
-  BOOST_TEST((rig.Answer({2.0}, before) == LimitChange::kNamed));
+  BOOST_TEST((rig.Answer({2.0}, before) == LimitChange::kReported));
   BOOST_TEST((rig.Answer({}, before) == LimitChange::kNone));
   BOOST_TEST(*rig.limits.RateOf(kEngine) == 2.0);
   BOOST_TEST((rig.Answer({}, rig.clock.Now()) == LimitChange::kEnded));
   BOOST_TEST(!rig.limits.RateOf(kEngine));
 }
 
-/** Guards against a limit that is lost when its next notice can't be read. */
-BOOST_AUTO_TEST_CASE(UnreadableNoticeChangesNothing) {
+/** Guards against a limit that is lost when a later one can't be parsed. */
+BOOST_AUTO_TEST_CASE(UnreadableNoticeKeepsTheLimit) {
   Rig rig;
   rig.Answer({2.0}, rig.clock.Now());
   BOOST_TEST((rig.Answer({std::nullopt, true}, rig.clock.Now()) ==
@@ -44,35 +45,35 @@
   BOOST_TEST(*rig.limits.RateOf(kEngine) == 2.0);
 }
 
-BOOST_AUTO_TEST_CASE(LowerLimitTakesThePlaceOfAHigherOne) {
+BOOST_AUTO_TEST_CASE(LowerLimitReplacesAHigherOne) {
   Rig rig;
   rig.Answer({2.0}, rig.clock.Now());
-  BOOST_TEST((rig.Answer({0.5}, rig.clock.Now()) == LimitChange::kNamed));
+  BOOST_TEST((rig.Answer({0.5}, rig.clock.Now()) == LimitChange::kReported));
   BOOST_TEST((rig.Answer({0.5}, rig.clock.Now()) == LimitChange::kNone));
   BOOST_TEST(*rig.limits.RateOf(kEngine) == 0.5);
 }
 
-/** Guards against peers that keep a limit up among themselves after its end. */
-BOOST_AUTO_TEST_CASE(LimitThatAPeerToldEndsByItself) {
+/** Guards against peers that keep sending an ended limit to each other. */
+BOOST_AUTO_TEST_CASE(LimitFromAPeerExpires) {
   Rig rig;
-  rig.limits.ApplyTold(kEngine, 3.0);
+  rig.limits.ApplyPeerLimit(kEngine, 3.0);
   BOOST_TEST(*rig.limits.RateOf(kEngine) == 3.0);
-  BOOST_TEST(rig.limits.NamedLately().empty());
+  BOOST_TEST(rig.limits.RecentlyReported().empty());
   rig.clock.Advance(milliseconds(10'000));
   BOOST_TEST(!rig.limits.RateOf(kEngine));
 }
 
-/** Guards against a peer that has not yet heard of a limit's end. */
-BOOST_AUTO_TEST_CASE(OwnAnswerCountsMoreThanALateWordOfAPeer) {
+/** Guards against a peer that still sends a limit after its end. */
+BOOST_AUTO_TEST_CASE(OwnAnswerOverridesALimitFromAPeer) {
   Rig rig;
   rig.Answer({2.0}, rig.clock.Now());
   rig.clock.Advance(milliseconds(10));
   rig.Answer({}, rig.clock.Now());
-  rig.limits.ApplyTold(kEngine, 2.0);
+  rig.limits.ApplyPeerLimit(kEngine, 2.0);
   BOOST_TEST(!rig.limits.RateOf(kEngine));
 }
 
-BOOST_AUTO_TEST_CASE(EngineIsThrottledForAWhileAndForgottenWhenItIsGone) {
+BOOST_AUTO_TEST_CASE(ThrottlingEndsAndGoneEnginesAreRemoved) {
   Rig rig;
   rig.limits.Throttle(kEngine, milliseconds(300));
   BOOST_TEST((rig.limits.ThrottledFor(kEngine) == milliseconds(300)));
--- a/src/fleet/entry_message.cc
+++ b/src/fleet/entry_message.cc
@@ -1,4 +1,5 @@
-/** @file entry_message.cc What entries tell each other, as bytes. */
+/** @file entry_message.cc Encodes and decodes the messages between entries
+ * and their values in the store. */
 #include <thrift/protocol/TCompactProtocol.h>
 #include <thrift/transport/TBufferTransports.h>
 
@@ -19,7 +20,7 @@
 namespace {
 
 constexpr double kPerThousandSeconds = 1000;
-/** Told of a part of which no use is known. */
+/** Idle time that is sent for a part without any known use. */
 constexpr std::int64_t kNeverUsed = -1;
 
 template <typename T>
@@ -42,7 +43,7 @@
     message.read(&protocol);
   } catch (const apache::thrift::TException& e) {
     throw core::Error(core::ErrorCode::kMalformedRequest,
-                      std::string("message of an entry: ") + e.what());
+                      std::string("malformed entry message: ") + e.what());
   }
   return message;
 }
@@ -75,7 +76,7 @@
 
 gen::EntryDatagram DecodeDatagram(std::string_view bytes) {
   gen::EntryDatagram datagram = DecodeAny<gen::EntryDatagram>(bytes);
-  // Foreign bytes may decode as a message without any field.
+  // Bytes from an unrelated sender may decode as a message without fields.
   const bool has_sender =
       (datagram.__isset.record && !datagram.record.entry.empty()) ||
       (datagram.__isset.quota_ask && !datagram.quota_ask.entry.empty()) ||
@@ -84,39 +85,39 @@
       (datagram.__isset.engine_answer && !datagram.engine_answer.entry.empty());
   if (!has_sender) {
     throw core::Error(core::ErrorCode::kMalformedRequest,
-                      "message of an entry: names no entry");
+                      "malformed entry message: no sender");
   }
   return datagram;
 }
 
-gen::ResidentUse TellUse(const UsedPart& part, const Usage& usage,
-                         core::SteadyTime now) {
-  gen::ResidentUse told;
-  told.model = part.model.value();
-  told.adapter = part.adapter.value();
-  told.running = usage.running;
-  told.demand_per_1000_s =
+gen::ResidentUse MakeResidentUse(const ModelOrAdapter& part, const Usage& usage,
+                                 core::SteadyTime now) {
+  gen::ResidentUse use;
+  use.model = part.model.value();
+  use.adapter = part.adapter.value();
+  use.running = usage.running;
+  use.demand_per_1000_s =
       static_cast<std::int64_t>(usage.demand * kPerThousandSeconds);
-  told.idle_ms = kNeverUsed;
+  use.idle_ms = kNeverUsed;
   if (usage.last_begun) {
     const auto idle =
         std::chrono::duration_cast<milliseconds>(now - *usage.last_begun);
-    told.idle_ms = idle.count();
+    use.idle_ms = idle.count();
   }
-  return told;
+  return use;
 }
 
-Usage ReadUse(const gen::ResidentUse& told, core::SteadyTime now) {
+Usage ParseResidentUse(const gen::ResidentUse& use, core::SteadyTime now) {
   Usage usage;
-  usage.running = std::max(told.running, 0);
+  usage.running = std::max(use.running, 0);
   usage.demand =
-      static_cast<double>(told.demand_per_1000_s) / kPerThousandSeconds;
-  if (told.idle_ms >= 0) usage.last_begun = now - milliseconds(told.idle_ms);
+      static_cast<double>(use.demand_per_1000_s) / kPerThousandSeconds;
+  if (use.idle_ms >= 0) usage.last_begun = now - milliseconds(use.idle_ms);
   return usage;
 }
 
-UsedPart PartOf(const gen::ResidentUse& told) {
-  return {core::ModelId(told.model), core::AdapterId(told.adapter)};
+ModelOrAdapter PartOf(const gen::ResidentUse& use) {
+  return {core::ModelId(use.model), core::AdapterId(use.adapter)};
 }
 
 }  // namespace sapphire::fleet
--- a/src/fleet/peer_table_test.cc
+++ b/src/fleet/peer_table_test.cc
@@ -1,4 +1,4 @@
-/** @file peer_table_test.cc Tests of what entries tell each other. */
+/** @file peer_table_test.cc Tests of the records that entries exchange. */
 #define BOOST_TEST_MODULE peer_table
 #include <boost/test/unit_test.hpp>
 #include <chrono>
@@ -15,10 +15,10 @@
 using std::chrono::milliseconds;
 
 const InstanceId kEngine("i-1");
-const UsedPart kModel{core::ModelId("m"), core::AdapterId()};
-const UsedPart kAdapter{core::ModelId("m"), core::AdapterId("a1")};
+const ModelOrAdapter kModel{core::ModelId("m"), core::AdapterId()};
+const ModelOrAdapter kAdapter{core::ModelId("m"), core::AdapterId("a1")};
 
-/** A peer table, and other entries that tell it. */
+/** A peer table that receives records of simulated entries. */
 struct Rig {
   Rig()
       : log({"entry", core::VmId("vm"), core::ZoneId("z")},
@@ -26,35 +26,35 @@
         loads(clock),
         peer_table("self", loads, clock, log) {}
 
-  void Know(const std::string& entry) {
+  void AddEntry(const std::string& entry) {
     gen::EntryPresence presence;
     presence.address = entry + ":1";
     peer_table.PutEntry(entry, presence);
   }
 
-  /** An entry tells of its use of the model at the engine. */
-  void Tell(const std::string& entry, std::int64_t number, int running,
-            double demand) {
+  /** Passes a record of an entry that uses the model at the engine. */
+  void SendRecord(const std::string& entry, std::int64_t number, int running,
+                  double demand) {
     Usage usage;
     usage.running = running;
     usage.demand = demand;
     usage.last_begun = clock.Now();
     gen::EngineUse use;
     use.engine_instance = kEngine.value();
-    use.parts.push_back(TellUse(kModel, usage, clock.Now()));
+    use.parts.push_back(MakeResidentUse(kModel, usage, clock.Now()));
     gen::EntryRecord record;
     record.entry = entry;
     record.number = number;
     record.uses.push_back(use);
-    peer_table.Take(record);
+    peer_table.ApplyRecord(record);
   }
 
-  /** An entry tells that it uses nothing. */
-  void TellNothing(const std::string& entry, std::int64_t number) {
+  /** Passes a record of an entry that uses no engine. */
+  void SendEmptyRecord(const std::string& entry, std::int64_t number) {
     gen::EntryRecord record;
     record.entry = entry;
     record.number = number;
-    peer_table.Take(record);
+    peer_table.ApplyRecord(record);
   }
 
   core::ManualClock clock;
@@ -67,51 +67,51 @@
 
 BOOST_AUTO_TEST_CASE(UseOfAllEntriesAddsUp) {
   Rig rig;
-  rig.Know("b");
-  rig.Know("c");
-  rig.Tell("b", 1, 2, 0.5);
-  rig.Tell("c", 1, 3, 1.0);
+  rig.AddEntry("b");
+  rig.AddEntry("c");
+  rig.SendRecord("b", 1, 2, 0.5);
+  rig.SendRecord("c", 1, 3, 1.0);
   rig.loads.Begin(kEngine, kAdapter);
   BOOST_TEST(rig.peer_table.Running(kEngine) == 6);
-  const Usage usage = rig.peer_table.UseOf(kEngine, kModel);
+  const Usage usage = rig.peer_table.UsageOf(kEngine, kModel);
   // A request for an adapter uses its model too.
   BOOST_TEST(usage.running == 6);
   BOOST_TEST(usage.demand > 1.5);
-  BOOST_TEST(rig.peer_table.UseOf(kEngine, kAdapter).running == 1);
+  BOOST_TEST(rig.peer_table.UsageOf(kEngine, kAdapter).running == 1);
 }
 
 /**
- * An engine looks busier with each second, and nobody is sent there any more.
- * Each record says all that its entry has in progress: a later one replaces it,
- * one that comes twice or out of turn counts nothing.
+ * Guards against an engine that seems ever busier and gets no more requests. A
+ * record contains all that its entry has in progress: a later one replaces it,
+ * duplicate and reordered records are ignored.
  */
-BOOST_AUTO_TEST_CASE(ARecordReplacesTheOneBefore) {
+BOOST_AUTO_TEST_CASE(RecordReplacesTheEarlierOne) {
   Rig rig;
-  rig.Know("b");
-  rig.Tell("b", 1, 2, 0.5);
-  rig.Tell("b", 3, 1, 0.4);
-  rig.Tell("b", 3, 1, 0.4);
-  rig.Tell("b", 2, 9, 9.0);
+  rig.AddEntry("b");
+  rig.SendRecord("b", 1, 2, 0.5);
+  rig.SendRecord("b", 3, 1, 0.4);
+  rig.SendRecord("b", 3, 1, 0.4);
+  rig.SendRecord("b", 2, 9, 9.0);
   BOOST_TEST(rig.peer_table.Running(kEngine) == 1);
-  BOOST_TEST(rig.peer_table.UseOf(kEngine, kModel).demand < 0.41);
-  rig.TellNothing("b", 4);
+  BOOST_TEST(rig.peer_table.UsageOf(kEngine, kModel).demand < 0.41);
+  rig.SendEmptyRecord("b", 4);
   BOOST_TEST(rig.peer_table.Running(kEngine) == 0);
-  // Demand fades, as no request has to be in progress for it.
-  BOOST_TEST(rig.peer_table.UseOf(kEngine, kModel).demand > 0.39);
+  // Demand doesn't need requests in progress, so it only decays.
+  BOOST_TEST(rig.peer_table.UsageOf(kEngine, kModel).demand > 0.39);
   rig.clock.Advance(std::chrono::seconds(60));
-  BOOST_TEST(rig.peer_table.UseOf(kEngine, kModel).demand < 0.01);
+  BOOST_TEST(rig.peer_table.UsageOf(kEngine, kModel).demand < 0.01);
 }
 
 /**
- * An engine looks busy for good though it is idle.
- * An entry was killed, or is cut off, with streams in progress there.
+ * Guards against an idle engine that seems busy forever, after an entry with
+ * streams in progress there was killed or became unreachable.
  */
-BOOST_AUTO_TEST_CASE(WhatAnEntryThatIsGoneHadInProgressIsOver) {
+BOOST_AUTO_TEST_CASE(RequestsOfGoneEntriesAreDropped) {
   Rig rig;
-  rig.Know("b");
-  rig.Know("c");
-  rig.Tell("b", 1, 2, 0.5);
-  rig.Tell("c", 1, 4, 0.5);
+  rig.AddEntry("b");
+  rig.AddEntry("c");
+  rig.SendRecord("b", 1, 2, 0.5);
+  rig.SendRecord("c", 1, 4, 0.5);
   rig.peer_table.RemoveEntry("b");
   BOOST_TEST(rig.peer_table.Running(kEngine) == 4);
   rig.clock.Advance(std::chrono::seconds(16));
@@ -119,22 +119,23 @@
   BOOST_TEST(rig.peer_table.Running(kEngine) == 0);
 }
 
-/** Whoever is not in the store's list may be of another deployment. */
-BOOST_AUTO_TEST_CASE(ARecordOfAStrangerCountsNothing) {
+/** A sender that is not listed in the store may belong to another deployment.
+ */
+BOOST_AUTO_TEST_CASE(RecordOfAnUnknownSenderIsIgnored) {
   Rig rig;
-  rig.Tell("stranger", 1, 5, 1.0);
+  rig.SendRecord("stranger", 1, 5, 1.0);
   BOOST_TEST(rig.peer_table.Running(kEngine) == 0);
 }
 
 /**
- * A service gets more repeats than operators allow, right after the store is
- * back. All leases lapsed with it, so each entry saw itself alone and took the
- * whole limit.
+ * Guards against more retries of a service's requests than configured after a
+ * store outage: all leases had expired, so that each entry saw no other one and
+ * used the full limit.
  */
-BOOST_AUTO_TEST_CASE(EntriesThatLapsedWithTheStoreShareTheLimitOn) {
+BOOST_AUTO_TEST_CASE(EntriesExpiredInAStoreOutageStillShareTheLimit) {
   Rig rig;
   rig.clock.Advance(std::chrono::seconds(10));
-  for (int i = 0; i < 9; ++i) rig.Know("e" + std::to_string(i));
+  for (int i = 0; i < 9; ++i) rig.AddEntry("e" + std::to_string(i));
   BOOST_TEST(rig.peer_table.entries() == 10);
   rig.peer_table.SetEntries({});
   BOOST_TEST(rig.peer_table.entries() == 10);
@@ -142,15 +143,15 @@
   BOOST_TEST(rig.peer_table.entries() == 1);
 }
 
-/** Right after a start nobody has been heard of: a few are assumed. */
-BOOST_AUTO_TEST_CASE(AnEntryThatHasJustStartedIsNotAlone) {
+/** Right after a start no other entries are known, so a few are assumed. */
+BOOST_AUTO_TEST_CASE(OtherEntriesAreAssumedRightAfterAStart) {
   Rig rig;
   BOOST_TEST(rig.peer_table.entries() > 4);
 }
 
-BOOST_AUTO_TEST_CASE(LoadsOfOtherEntriesAreCountedUntilTheyAreOverdue) {
+BOOST_AUTO_TEST_CASE(LoadsOfOtherEntriesExpireWhenOverdue) {
   Rig rig;
-  rig.Know("b");
+  rig.AddEntry("b");
   gen::ComingLoad load;
   load.engine_instance = kEngine.value();
   load.model = "m";
@@ -159,14 +160,15 @@
   record.entry = "b";
   record.number = 1;
   record.loads.push_back(load);
-  rig.peer_table.Take(record);
-  BOOST_TEST(rig.peer_table.ComingAt(kEngine).size() == 1);
+  rig.peer_table.ApplyRecord(record);
+  BOOST_TEST(rig.peer_table.LoadsAt(kEngine).size() == 1);
   rig.clock.Advance(milliseconds(3500));
-  BOOST_TEST(rig.peer_table.ComingAt(kEngine).empty());
+  BOOST_TEST(rig.peer_table.LoadsAt(kEngine).empty());
 }
 
-/** Datagrams come from anybody: what is no record ends no process. */
-BOOST_AUTO_TEST_CASE(BytesThatAreNoRecordAreRefused) {
+/** Datagrams may come from any sender, so malformed ones must not end the
+ * process. */
+BOOST_AUTO_TEST_CASE(MalformedDatagramIsRejected) {
   gen::EntryRecord record;
   record.entry = "entries/vm@1";
   record.number = 7;
@@ -177,8 +179,8 @@
   BOOST_CHECK_THROW(DecodeDatagram(""), core::Error);
 }
 
-/** Nothing is sent to an address that can't be one. */
-BOOST_AUTO_TEST_CASE(APresenceWithoutAnAddressIsRefused) {
+/** Guards against datagrams being sent to an invalid address. */
+BOOST_AUTO_TEST_CASE(PresenceWithoutAValidAddressIsRejected) {
   gen::EntryPresence presence;
   presence.address = "10.0.0.1:7380";
   BOOST_TEST(DecodePresence(Encode(presence)).address == "10.0.0.1:7380");
@@ -186,32 +188,34 @@
   BOOST_CHECK_THROW(DecodePresence(Encode(presence)), core::Error);
 }
 
-/** Guards against entries that count as silent after all have started: they are
- * heard of before the store names them. */
-BOOST_AUTO_TEST_CASE(WhoIsHeardOfBeforeItIsKnownCountsAsHeard) {
+/** Guards against entries that are taken to be silent after all have started:
+ * their datagrams arrive before the store lists them. */
+BOOST_AUTO_TEST_CASE(DatagramBeforeThePresenceIsRemembered) {
   Rig rig;
-  rig.TellNothing("b", 1);
-  rig.Know("b");
+  rig.SendEmptyRecord("b", 1);
+  rig.AddEntry("b");
   BOOST_REQUIRE(rig.peer_table.Peers().size() == 1);
-  BOOST_TEST(rig.peer_table.Peers().front().heard.has_value());
+  BOOST_TEST(rig.peer_table.Peers().front().last_received.has_value());
 }
 
-/** Guards against peers that vanish with the store, though they still talk. */
-BOOST_AUTO_TEST_CASE(APeerWhoseLeaseLapsedStaysWhileItIsHeard) {
+/** Guards against peers that are dropped in a store outage although they still
+ * send datagrams. */
+BOOST_AUTO_TEST_CASE(PeerWithAnExpiredLeaseStaysWhileItSendsDatagrams) {
   Rig rig;
-  rig.Know("b");
+  rig.AddEntry("b");
   rig.peer_table.SetEntries({});
   BOOST_TEST(rig.peer_table.Peers().size() == 1);
   rig.clock.Advance(milliseconds(2500));
-  rig.TellNothing("b", 1);
+  rig.SendEmptyRecord("b", 1);
   rig.clock.Advance(milliseconds(2500));
   BOOST_TEST(rig.peer_table.Peers().size() == 1);
   rig.clock.Advance(milliseconds(2500));
   BOOST_TEST(rig.peer_table.Peers().empty());
 }
 
-/** Guards against a dead process that is asked, as its key outlives it. */
-BOOST_AUTO_TEST_CASE(OfTwoEntriesOnOneVmTheLaterOneIsThePeer) {
+/** Guards against requests to a dead process, whose key remains in the store
+ * for a while. */
+BOOST_AUTO_TEST_CASE(LaterOfTwoEntriesOnOneVmIsThePeer) {
   Rig rig;
   gen::EntryPresence presence;
   presence.vm = "vm-1";
@@ -223,9 +227,9 @@
   BOOST_TEST(rig.peer_table.Peers().front().entry == "entries/vm-1@a");
 }
 
-/** Guards against asks on engines' limits that no entry ever takes: each kind
- * of datagram is read. */
-BOOST_AUTO_TEST_CASE(EachKindOfDatagramIsRead) {
+/** Guards against quota requests about engines' limits that are rejected by the
+ * decoder. */
+BOOST_AUTO_TEST_CASE(EachKindOfDatagramIsDecoded) {
   gen::QuotaAsk ask;
   ask.entry = "a";
   ask.number = 7;
--- a/src/fleet/usage_type.h
+++ b/src/fleet/usage_type.h
@@ -1,4 +1,5 @@
-/** @file usage_type.h Use of what engines hold. */
+/** @file usage_type.h Use of the models and adapters that engines have
+ * loaded. */
 #ifndef SAPPHIRE_FLEET_USAGE_TYPE_H_
 #define SAPPHIRE_FLEET_USAGE_TYPE_H_
 
@@ -11,12 +12,12 @@
 
 namespace sapphire::fleet {
 
-/** A model, or an adapter of it; both empty for a plain service. */
-struct UsedPart {
+/** A model, or an adapter of it; both empty for a service without models. */
+struct ModelOrAdapter {
   core::ModelId model;
   core::AdapterId adapter;
 
-  friend bool operator<(const UsedPart& a, const UsedPart& b) {
+  friend bool operator<(const ModelOrAdapter& a, const ModelOrAdapter& b) {
     return std::tie(a.model, a.adapter) < std::tie(b.model, b.adapter);
   }
 };
@@ -25,14 +26,14 @@
 struct Usage {
   /** Requests in progress. */
   int running = 0;
-  /** Requests begun a second, over the last quarter of a minute or so. */
+  /** Requests begun per second, averaged over about the last 15 s. */
   double demand = 0;
   /** When the last request began; nothing if none is known. */
   std::optional<core::SteadyTime> last_begun;
 };
 
-/** Use of all that one engine holds; what is missing is not used. */
-using UsageTable = std::map<UsedPart, Usage>;
+/** Use of an engine's models and adapters; missing ones are not in use. */
+using UsageByPart = std::map<ModelOrAdapter, Usage>;
 
 }  // namespace sapphire::fleet
 
--- a/src/orders/controller_pool.cc
+++ b/src/orders/controller_pool.cc
@@ -101,10 +101,10 @@
     // The previous process on this VM held the lease.
     return holder->address == options_.address;
   }
-  const auto vacant = holders_.VacantSince(engine);
+  const auto vacant = holders_.UnheldSince(engine);
   if (!vacant) return false;
   const core::SteadyTime since = std::max(*vacant, seen_.at(engine).first);
-  const auto wait = holders_.WasOrderedByEntry(engine)
+  const auto wait = holders_.WasHeldRemotely(engine)
                         ? options_.claim_delay_after_entry
                         : options_.claim_delay;
   return clock_.Now() - since >= wait && IsPreferredEntry(engine);
--- a/src/orders/engine_controller_base.h
+++ b/src/orders/engine_controller_base.h
@@ -48,7 +48,7 @@
   /** Models that the requesting entry would unload for it. */
   std::vector<core::ModelId> evict;
   /** Usage of all that the engine holds, as far as the entry knows it. */
-  fleet::UsageTable usage;
+  fleet::UsageByPart usage;
   core::SteadyTime deadline;
 };
 
@@ -101,7 +101,7 @@
    * to give it orders.
    */
   struct HeldState {
-    std::optional<fleet::EngineBirth> start_time;
+    std::optional<fleet::EngineStartTime> start_time;
     std::int64_t order_count = 0;
   };
 
@@ -142,9 +142,9 @@
   const core::Clock& clock_;
   const core::Logger& log_;
   /** Usage from the latest load request. */
-  fleet::UsageTable usage_;
+  fleet::UsageByPart usage_;
   /** When each model or adapter was last loaded for a load request. */
-  std::map<fleet::UsedPart, core::SteadyTime> last_loaded_;
+  std::map<fleet::ModelOrAdapter, core::SteadyTime> last_loaded_;
   FifoMutex model_mutex_;
   FifoMutex adapter_mutex_;
   EngineReport report_;
--- a/src/orders/engine_controller_state.cc
+++ b/src/orders/engine_controller_state.cc
@@ -66,7 +66,7 @@
 
 bool EngineController::Holds(const core::ModelId& model,
                              const core::AdapterId& adapter) const {
-  return std::ranges::any_of(report_.models, [&](const fleet::HeldModel& it) {
+  return std::ranges::any_of(report_.models, [&](const fleet::LoadedModel& it) {
     return it.model == model &&
            (adapter.empty() || it.adapters.contains(adapter));
   });
@@ -128,7 +128,7 @@
 /** @return True if the engine reports that it is another instance than this. */
 bool EngineController::IsOtherInstance(
     const fleet::InstanceId& instance) const {
-  const auto start_time = fleet::BirthOf(instance);
+  const auto start_time = fleet::StartTimeOf(instance);
   return start_time && report_.start_time && *start_time != *report_.start_time;
 }
 
--- a/src/orders/engine_controller_test.cc
+++ b/src/orders/engine_controller_test.cc
@@ -174,8 +174,8 @@
 
 constexpr milliseconds kLongTimeout{3000};
 
-fleet::EngineBirth StartTimeAt(int seconds) {
-  return fleet::EngineBirth(std::chrono::seconds(seconds));
+fleet::EngineStartTime StartTimeAt(int seconds) {
+  return fleet::EngineStartTime(std::chrono::seconds(seconds));
 }
 
 }  // namespace
--- a/src/orders/engine_port_base.h
+++ b/src/orders/engine_port_base.h
@@ -26,13 +26,13 @@
 /** State of an engine, as it reports itself. */
 struct EngineReport {
   /** When the engine started; empty if it does not report that. */
-  std::optional<fleet::EngineBirth> start_time;
+  std::optional<fleet::EngineStartTime> start_time;
   bool order_in_progress = false;
   /** Orders accepted since the engine's start. */
   std::int64_t order_count = 0;
-  std::vector<fleet::HeldModel> models;
+  std::vector<fleet::LoadedModel> models;
   std::vector<LoadingAdapter> loading;
-  fleet::NearCopies copies;
+  fleet::CachedCheckpoints copies;
   int running = 0;
   int waiting = 0;
   std::int64_t kv_used = 0;
--- a/src/orders/memory_plan.cc
+++ b/src/orders/memory_plan.cc
@@ -14,7 +14,7 @@
  */
 constexpr std::chrono::milliseconds kAdapterKeepTime{700};
 
-fleet::Usage UsageOf(const MemoryState& state, const fleet::UsedPart& part) {
+fleet::Usage UsageOf(const MemoryState& state, const fleet::ModelOrAdapter& part) {
   const auto it = state.usage.find(part);
   return it == state.usage.end() ? fleet::Usage() : it->second;
 }
@@ -33,7 +33,7 @@
 
 /** @return True if the report already counts this load. */
 bool Holds(const EngineReport& report, const EngineOrder& order) {
-  return std::ranges::any_of(report.models, [&](const fleet::HeldModel& it) {
+  return std::ranges::any_of(report.models, [&](const fleet::LoadedModel& it) {
     return it.model == order.model &&
            (order.adapter.empty() || it.adapters.contains(order.adapter));
   });
@@ -47,7 +47,7 @@
 
 int CommittedAdapters(const MemoryState& state) {
   auto taken = state.report->loading.size();
-  for (const fleet::HeldModel& it : state.report->models) {
+  for (const fleet::LoadedModel& it : state.report->models) {
     taken += it.adapters.size();
   }
   taken += static_cast<std::size_t>(
@@ -75,7 +75,7 @@
   for (const EngineOrder& it : state.pending_loads) {
     taken += PendingBytes(state, it);
   }
-  for (const fleet::HeldModel& it : state.report->models) {
+  for (const fleet::LoadedModel& it : state.report->models) {
     taken += ModelBytes(*state.spec, it.model);
     taken += static_cast<std::int64_t>(it.adapters.size()) *
              AdapterBytes(*state.spec, it.model);
@@ -94,9 +94,9 @@
 std::optional<core::ModelId> ChooseModelToUnload(
     const MemoryState& state, const std::vector<core::ModelId>& preferred,
     const core::ModelId& keep) {
-  const fleet::HeldModel* best = nullptr;
+  const fleet::LoadedModel* best = nullptr;
   double best_demand = 0;
-  for (const fleet::HeldModel& it : state.report->models) {
+  for (const fleet::LoadedModel& it : state.report->models) {
     const fleet::Usage usage = UsageOf(state, {it.model, core::AdapterId()});
     if (it.model == keep) continue;
     if (UsedWithin(usage, state.now, policy::kNoEvictionAfterUse)) continue;
@@ -122,7 +122,7 @@
 std::optional<LoadingAdapter> ChooseAdapterToUnload(const MemoryState& state) {
   std::optional<LoadingAdapter> best;
   core::SteadyTime best_used;
-  for (const fleet::HeldModel& held : state.report->models) {
+  for (const fleet::LoadedModel& held : state.report->models) {
     for (const core::AdapterId& adapter : held.adapters) {
       const fleet::Usage usage = UsageOf(state, {held.model, adapter});
       if (UsedWithin(usage, state.now, kAdapterKeepTime)) continue;
--- a/src/orders/memory_plan_func.h
+++ b/src/orders/memory_plan_func.h
@@ -21,7 +21,7 @@
   /**
    * Usage as far as the requesting entry knows it; missing parts are unused.
    */
-  fleet::UsageTable usage;
+  fleet::UsageByPart usage;
   /**
    * Loads that the report does not show yet: not yet received, in progress, or
    * of unknown outcome. Each may still take up its memory.
--- a/src/orders/order_service.cc
+++ b/src/orders/order_service.cc
@@ -21,7 +21,7 @@
     load_request.evict.emplace_back(it);
   }
   for (const gen::ResidentUse& it : message.resident_use) {
-    load_request.usage[fleet::PartOf(it)] = fleet::ReadUse(it, now);
+    load_request.usage[fleet::PartOf(it)] = fleet::ParseResidentUse(it, now);
   }
   load_request.deadline = now + milliseconds(message.remaining_ms);
   return load_request;
--- a/src/orders/testing_engine.h
+++ b/src/orders/testing_engine.h
@@ -55,7 +55,7 @@
   bool over_memory = false;
 
   void AddModel(const std::string& model) {
-    fleet::HeldModel held;
+    fleet::LoadedModel held;
     held.model = core::ModelId(model);
     report_.models.push_back(held);
   }
@@ -70,7 +70,7 @@
   }
 
   /** Reports this start time from now on. */
-  void SetStartTime(fleet::EngineBirth start_time) {
+  void SetStartTime(fleet::EngineStartTime start_time) {
     report_.start_time = start_time;
   }
 
@@ -78,7 +78,7 @@
    * Crashes and restarts at once under the same id, empty and with an order
    * count of 0. Delayed orders still arrive.
    */
-  void RestartAt(fleet::EngineBirth start_time) {
+  void RestartAt(fleet::EngineStartTime start_time) {
     report_ = EngineReport();
     report_.start_time = start_time;
     loading_.reset();
@@ -130,15 +130,15 @@
     return OrderAnswer::kAccepted;
   }
 
-  fleet::HeldModel* FindHeldModel(const core::ModelId& model) {
+  fleet::LoadedModel* FindHeldModel(const core::ModelId& model) {
     const auto it =
-        std::ranges::find(report_.models, model, &fleet::HeldModel::model);
+        std::ranges::find(report_.models, model, &fleet::LoadedModel::model);
     return it == report_.models.end() ? nullptr : &*it;
   }
 
   void AdvanceAdapters() {
     for (const ScheduledOrder& it : std::exchange(adapters_, {})) {
-      fleet::HeldModel* held = FindHeldModel(it.order.model);
+      fleet::LoadedModel* held = FindHeldModel(it.order.model);
       if (Now() < it.at) {
         adapters_.push_back(it);
       } else if (held != nullptr) {
--- a/src/quota/quota_client_test.cc
+++ b/src/quota/quota_client_test.cc
@@ -1,4 +1,4 @@
-/** @file quota_client_test.cc Tests of quotas that entries share. */
+/** @file quota_client_test.cc Tests of the quotas that all entries share. */
 #define BOOST_TEST_MODULE quota_client
 #include <boost/test/unit_test.hpp>
 
@@ -12,7 +12,7 @@
 using testing::QuotaRig;
 
 constexpr milliseconds kWindow{8000};
-/** Excess that operators bear: a part of the limit, and some requests. */
+/** Tolerated excess: a factor on the limit, and some requests on top. */
 constexpr double kExcess = 1.1;
 constexpr double kSlackRequests = 7;
 constexpr double kCost = 1500;
@@ -30,9 +30,10 @@
   return WindowLimit(limit) * kExcess + kSlackRequests * kCost;
 }
 
-/** Requests at `entries` by turns, `per_second` units of them. */
-void Load(QuotaRig& rig, const SharedLimit& limit, double per_second,
-          milliseconds time, std::size_t entries) {
+/** Sends requests of `per_second` units per second in total to the first
+ * `entries` entries in turn. */
+void SendRequests(QuotaRig& rig, const SharedLimit& limit, double per_second,
+                  milliseconds time, std::size_t entries) {
   const milliseconds pause(
       std::max<int>(10, static_cast<int>(kCost / per_second * 1000)));
   std::size_t turn = 0;
@@ -45,41 +46,42 @@
 
 }  // namespace
 
-/** Guards against refusals below the limit. */
-BOOST_AUTO_TEST_CASE(RequestsBelowTheLimitAreLetIn) {
+/** Guards against denials below the limit. */
+BOOST_AUTO_TEST_CASE(RequestsBelowTheLimitAreGranted) {
   for (const int entries : {1, 3, 22}) {
     QuotaRig rig(entries);
     rig.Pass(seconds(2));
-    Load(rig, Limit(30'000, 30'000), 27'000, seconds(10), 22);
+    SendRequests(rig, Limit(30'000, 30'000), 27'000, seconds(10), 22);
     rig.Pass(seconds(1));
     BOOST_TEST(rig.answered == rig.asked);
     BOOST_TEST(rig.grants.size() == static_cast<std::size_t>(rig.asked));
   }
 }
 
-/** Guards against a limit that is enforced by each entry for itself. */
-BOOST_AUTO_TEST_CASE(AFloodIsHeldAtTheLimitWhereverItArrives) {
+/** Guards against a limit that each entry enforces for itself, so that the sum
+ * exceeds it. */
+BOOST_AUTO_TEST_CASE(LimitHoldsForAnyNumberOfReceivingEntries) {
   const SharedLimit limit = Limit(30'000, 30'000);
   for (const std::size_t entries : {1U, 2U, 22U}) {
     QuotaRig rig(22);
     rig.Pass(seconds(2));
-    Load(rig, limit, 130'000, seconds(16), entries);
-    BOOST_TEST(rig.MostInWindow(kWindow) <= WindowLimit(limit) + kCost);
+    SendRequests(rig, limit, 130'000, seconds(16), entries);
+    BOOST_TEST(rig.MaxInWindow(kWindow) <= WindowLimit(limit) + kCost);
     BOOST_TEST(rig.Granted() >= 1.8 * WindowLimit(limit));
   }
 }
 
-/** Guards against an excess of one request at each entry: a small limit is
- * less than that. */
-BOOST_AUTO_TEST_CASE(ASmallLimitHoldsOverManyEntries) {
+/** Guards against an excess of one request per entry, which would be more than
+ * a small limit. */
+BOOST_AUTO_TEST_CASE(SmallLimitHoldsOverManyEntries) {
   const SharedLimit limit = Limit(2600, 2600);
   QuotaRig rig(22);
   rig.Pass(seconds(2));
-  Load(rig, limit, 20'000, seconds(16), 22);
-  BOOST_TEST(rig.MostInWindow(kWindow) <= WindowLimit(limit) + kCost);
+  SendRequests(rig, limit, 20'000, seconds(16), 22);
+  BOOST_TEST(rig.MaxInWindow(kWindow) <= WindowLimit(limit) + kCost);
 }
 
-BOOST_AUTO_TEST_CASE(LimitsInRequestsWithoutABurstHold) {
+BOOST_AUTO_TEST_CASE(LimitInRequestsWithoutBurstHolds) {
   const SharedLimit limit = Limit(10, 0);
   QuotaRig rig(3);
   rig.Pass(seconds(2));
@@ -87,13 +89,13 @@
     rig.Request(static_cast<std::size_t>(i % 3), kOrganisation, limit, 1);
     rig.Pass(milliseconds(20));
   }
-  BOOST_TEST(rig.MostInWindow(kWindow) <= 81);
+  BOOST_TEST(rig.MaxInWindow(kWindow) <= 81);
   BOOST_TEST(rig.Granted() >= 155);
 }
 
-/** Guards against callers who are refused until the store notices that the
+/** Guards against denials that last until the store notices that the
  * coordinator has died. */
-BOOST_AUTO_TEST_CASE(AnotherEntryCoordinatesWithinASecondOfADeath) {
+BOOST_AUTO_TEST_CASE(CoordinatorIsReplacedWithinASecondOfItsDeath) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(22);
   rig.Pass(seconds(3));
@@ -103,65 +105,67 @@
   presence.address = QuotaRig::AddressOf(rig.At(first).entry);
   rig.dead_presences[rig.At(first).entry] = presence;
   rig.Kill(rig.At(first).vm);
-  Load(rig, limit, 20'000, seconds(2), 21);
+  SendRequests(rig, limit, 20'000, seconds(2), 21);
   rig.Pass(seconds(1));
   rig.asked = 0;
   rig.grants.clear();
-  Load(rig, limit, 20'000, seconds(4), 21);
+  SendRequests(rig, limit, 20'000, seconds(4), 21);
   BOOST_TEST(rig.grants.size() == static_cast<std::size_t>(rig.asked));
 }
 
-/** Guards against two coordinators at full rate: one is frozen, another takes
- * over, the first thaws with its old bucket. */
-BOOST_AUTO_TEST_CASE(AFrozenCoordinatorBringsNoSecondLimit) {
+/** Guards against two coordinators that grant at the full rate: one is frozen,
+ * another takes over, and the first resumes with its old bucket. */
+BOOST_AUTO_TEST_CASE(FrozenCoordinatorDoesNotDoubleTheLimit) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(22);
   rig.Pass(seconds(3));
-  Load(rig, limit, 130'000, seconds(8), 22);
+  SendRequests(rig, limit, 130'000, seconds(8), 22);
   const std::size_t first = rig.CoordinatorOf(kOrganisation);
   rig.At(first).frozen = true;
-  Load(rig, limit, 130'000, seconds(4), 22);
+  SendRequests(rig, limit, 130'000, seconds(4), 22);
   rig.At(first).frozen = false;
-  Load(rig, limit, 130'000, seconds(8), 22);
-  BOOST_TEST(rig.MostInWindow(kWindow) <= Bound(limit));
+  SendRequests(rig, limit, 130'000, seconds(8), 22);
+  BOOST_TEST(rig.MaxInWindow(kWindow) <= Bound(limit));
 }
 
-/** Guards against entries that grant the whole limit once they are cut off. */
-BOOST_AUTO_TEST_CASE(EntriesThatAreCutOffGoByTheirShare) {
+/** Guards against entries that each grant the full limit while they are
+ * isolated from the others. */
+BOOST_AUTO_TEST_CASE(IsolatedEntriesUseTheirShare) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(22);
   rig.Pass(seconds(3));
-  Load(rig, limit, 130'000, seconds(8), 22);
-  const std::set<std::string> alone = {"vm-1", "vm-5", "vm-9", "vm-13"};
-  rig.cut = [&alone](const std::string& a, const std::string& b) {
-    return alone.contains(a) || alone.contains(b);
+  SendRequests(rig, limit, 130'000, seconds(8), 22);
+  const std::set<std::string> isolated_vms = {"vm-1", "vm-5", "vm-9", "vm-13"};
+  rig.is_cut = [&isolated_vms](const std::string& a, const std::string& b) {
+    return isolated_vms.contains(a) || isolated_vms.contains(b);
   };
-  Load(rig, limit, 130'000, seconds(8), 22);
-  BOOST_TEST(rig.MostInWindow(kWindow) <= Bound(limit));
+  SendRequests(rig, limit, 130'000, seconds(8), 22);
+  BOOST_TEST(rig.MaxInWindow(kWindow) <= Bound(limit));
 }
 
-/** Guards against the whole limit at each entry while leases lapse with the
- * store: entries that still talk to each other go on sharing. */
-BOOST_AUTO_TEST_CASE(TheLimitHoldsWhileAllLeasesHaveLapsed) {
+/** Guards against entries that each grant the full limit after all leases have
+ * expired in a store outage: entries that still exchange datagrams share it. */
+BOOST_AUTO_TEST_CASE(LimitHoldsAfterAllLeasesExpired) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(22);
   rig.Pass(seconds(3));
-  Load(rig, limit, 130'000, seconds(8), 22);
+  SendRequests(rig, limit, 130'000, seconds(8), 22);
   for (const auto& it : rig.entries) it->peer_table.SetEntries({});
-  Load(rig, limit, 130'000, seconds(6), 22);
-  rig.TellAllOfAll();
-  Load(rig, limit, 130'000, seconds(8), 22);
-  BOOST_TEST(rig.MostInWindow(kWindow) <= Bound(limit));
+  SendRequests(rig, limit, 130'000, seconds(6), 22);
+  rig.SyncPresences();
+  SendRequests(rig, limit, 130'000, seconds(8), 22);
+  BOOST_TEST(rig.MaxInWindow(kWindow) <= Bound(limit));
 }
 
-/** Guards against a burst of its own for each entry that joins. */
-BOOST_AUTO_TEST_CASE(ManyEntriesThatJoinAtOnceBringNoMore) {
+/** Guards against a separate burst for each entry that joins. */
+BOOST_AUTO_TEST_CASE(JoiningEntriesDoNotRaiseTheLimit) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(22);
   rig.Pass(seconds(3));
-  Load(rig, limit, 130'000, seconds(8), 22);
+  SendRequests(rig, limit, 130'000, seconds(8), 22);
   for (int i = 0; i < 17; ++i) rig.Start("new-" + std::to_string(i));
-  // The newcomers know of all at once, the others a second later.
+  // The new entries know all others at once, the old ones learn of them a
+  // second later.
   for (std::size_t i = 22; i < rig.entries.size(); ++i) {
     std::map<std::string, gen::EntryPresence> all;
     for (const auto& it : rig.entries) {
@@ -170,72 +174,73 @@
     }
     rig.At(i).peer_table.SetEntries(all);
   }
-  Load(rig, limit, 130'000, seconds(1), 39);
-  rig.TellAllOfAll();
-  Load(rig, limit, 130'000, seconds(8), 39);
-  BOOST_TEST(rig.MostInWindow(kWindow) <= Bound(limit));
+  SendRequests(rig, limit, 130'000, seconds(1), 39);
+  rig.SyncPresences();
+  SendRequests(rig, limit, 130'000, seconds(8), 39);
+  BOOST_TEST(rig.MaxInWindow(kWindow) <= Bound(limit));
   BOOST_TEST(rig.answered >= rig.asked - 40);
 }
 
-/** Guards against an old limit that goes on: it is far above the new one. */
-BOOST_AUTO_TEST_CASE(ALoweredLimitBindsAtOnce) {
+/** Guards against an old limit, far above the new one, that remains in use. */
+BOOST_AUTO_TEST_CASE(LoweredLimitAppliesAtOnce) {
   const SharedLimit before = Limit(60'000, 60'000, 1);
   const SharedLimit after = Limit(5000, 5000, 2);
   QuotaRig rig(5);
   rig.Pass(seconds(3));
-  Load(rig, before, 60'000, seconds(8), 5);
+  SendRequests(rig, before, 60'000, seconds(8), 5);
   // One entry has the new configuration first.
   rig.Request(0, kOrganisation, after, kCost);
   rig.Pass(milliseconds(100));
   rig.grants.clear();
-  Load(rig, after, 60'000, seconds(16), 5);
-  BOOST_TEST(rig.MostInWindow(kWindow) <= WindowLimit(after) + kCost);
+  SendRequests(rig, after, 60'000, seconds(16), 5);
+  BOOST_TEST(rig.MaxInWindow(kWindow) <= WindowLimit(after) + kCost);
 }
 
-/** Guards against a part of the limit on top from each of several coordinators
- * that die one after the other. */
-BOOST_AUTO_TEST_CASE(SuccessorsKnowWhatWasGranted) {
+/** Guards against coordinators that die one after the other, each of which
+ * grants a part of the limit again. */
+BOOST_AUTO_TEST_CASE(SuccessorsKnowTheGrantedUse) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(8);
   rig.Pass(seconds(3));
-  Load(rig, limit, 130'000, seconds(8), 8);
+  SendRequests(rig, limit, 130'000, seconds(8), 8);
   for (int i = 0; i < 3; ++i) {
     rig.Kill(rig.At(rig.CoordinatorOf(kOrganisation)).vm);
-    rig.TellAllOfAll();
-    Load(rig, limit, 130'000, seconds(2), 8);
+    rig.SyncPresences();
+    SendRequests(rig, limit, 130'000, seconds(2), 8);
   }
-  BOOST_TEST(rig.MostInWindow(kWindow) <= WindowLimit(limit) + 4 * kCost);
+  BOOST_TEST(rig.MaxInWindow(kWindow) <= WindowLimit(limit) + 4 * kCost);
 }
 
-/** Guards against a second limit from a coordinator that is started again. */
-BOOST_AUTO_TEST_CASE(ARestartedCoordinatorAsksWhatItHadGranted) {
+/** Guards against a restarted coordinator that grants the limit a second time.
+ */
+BOOST_AUTO_TEST_CASE(RestartedCoordinatorRecoversItsGrants) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(5);
   rig.Pass(seconds(3));
-  Load(rig, limit, 130'000, seconds(8), 5);
+  SendRequests(rig, limit, 130'000, seconds(8), 5);
   const std::string vm = rig.At(rig.CoordinatorOf(kOrganisation)).vm;
   rig.Kill(vm);
   rig.Start(vm);
-  rig.TellAllOfAll();
-  Load(rig, limit, 130'000, seconds(6), 5);
-  BOOST_TEST(rig.MostInWindow(kWindow) <= WindowLimit(limit) + 4 * kCost);
+  rig.SyncPresences();
+  SendRequests(rig, limit, 130'000, seconds(6), 5);
+  BOOST_TEST(rig.MaxInWindow(kWindow) <= WindowLimit(limit) + 4 * kCost);
 }
 
-/** Guards against two coordinators for good: presences lapse while one entry is
- * frozen, which then knows, and is known to, one other entry only. */
-BOOST_AUTO_TEST_CASE(AnEntryFindsTheCoordinatorThatItHasLostSightOf) {
+/** Guards against two coordinators that remain: the presences expire while one
+ * entry is frozen, which then knows, and is known to, one other entry only. */
+BOOST_AUTO_TEST_CASE(EntryFindsCoordinatorMissingFromItsView) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(5);
   rig.Pass(seconds(3));
   const std::size_t first = rig.CoordinatorOf(kOrganisation);
   rig.At(first).frozen = true;
-  Load(rig, limit, 130'000, seconds(8), 5);
+  SendRequests(rig, limit, 130'000, seconds(8), 5);
   for (const auto& it : rig.entries) it->peer_table.SetEntries({});
   rig.At(first).frozen = false;
   const std::size_t bridge = first == 0 ? 1 : 0;
-  rig.At(bridge).peer_table.NoteHeard(rig.At(first).entry);
-  rig.At(first).peer_table.NoteHeard(rig.At(bridge).entry);
-  Load(rig, limit, 130'000, seconds(8), 5);
+  rig.At(bridge).peer_table.RecordDatagram(rig.At(first).entry);
+  rig.At(first).peer_table.RecordDatagram(rig.At(bridge).entry);
+  SendRequests(rig, limit, 130'000, seconds(8), 5);
   int coordinators = 0;
   for (const auto& it : rig.entries) {
     it->client.Take(kOrganisation, limit, 0,
@@ -247,13 +252,13 @@
   rig.Pass(seconds(1));
 }
 
-/** Guards against a coordinator that wakes and grants by what it knew before.
- */
-BOOST_AUTO_TEST_CASE(ACoordinatorThatWakesAsksBeforeItGrants) {
+/** Guards against a coordinator that resumes after a freeze and grants units
+ * based on outdated use. */
+BOOST_AUTO_TEST_CASE(ResumedCoordinatorQueriesPeersBeforeGranting) {
   const SharedLimit limit = Limit(30'000, 30'000);
   QuotaRig rig(5);
   rig.Pass(seconds(3));
-  Load(rig, limit, 20'000, seconds(2), 5);
+  SendRequests(rig, limit, 20'000, seconds(2), 5);
   const std::size_t first = rig.CoordinatorOf(kOrganisation);
   rig.At(first).frozen = true;
   for (int i = 0; i < 400; ++i) {
@@ -271,17 +276,17 @@
 }
 
 /** Guards against an older configuration that raises the limit again. */
-BOOST_AUTO_TEST_CASE(AnOlderConfigurationChangesNoLimit) {
+BOOST_AUTO_TEST_CASE(OlderConfigurationDoesNotChangeTheLimit) {
   core::ManualClock clock;
   UsageTable usage("self", kWindow, clock);
   QuotaCoordinator coordinator({kWindow, 0, 0}, usage, clock);
-  coordinator.Take(kOrganisation, Limit(10, 0, 2), 1, Mandate(),
+  coordinator.Take(kOrganisation, Limit(10, 0, 2), 1, CoordinatorScope(),
                    milliseconds(0));
   int granted = 0;
   for (int i = 0; i < 800; ++i) {
     clock.Advance(milliseconds(10));
     if (coordinator
-            .Take(kOrganisation, Limit(1000, 0, 1), 1, Mandate(),
+            .Take(kOrganisation, Limit(1000, 0, 1), 1, CoordinatorScope(),
                   milliseconds(0))
             .granted) {
       ++granted;
@@ -290,7 +295,7 @@
   BOOST_TEST(granted <= 80);
 }
 
-BOOST_AUTO_TEST_CASE(WhatDidNotRunIsGivenBack) {
+BOOST_AUTO_TEST_CASE(UnusedUnitsAreGivenBack) {
   const SharedLimit limit = Limit(1500, 0);
   QuotaRig rig(3);
   rig.Pass(seconds(3));
@@ -303,8 +308,9 @@
   }
 }
 
-/** Guards against a request that is charged twice as its answer was lost. */
-BOOST_AUTO_TEST_CASE(ARepeatedAskIsChargedOnce) {
+/** Guards against a request that is charged twice because its answer was lost.
+ */
+BOOST_AUTO_TEST_CASE(RepeatedRequestIsChargedOnce) {
   QuotaRig rig(2);
   rig.Pass(seconds(3));
   const std::size_t first = rig.CoordinatorOf(kOrganisation);
@@ -317,21 +323,21 @@
   ask.version = 1;
   ask.units_per_second = 1500;
   ask.burst = 0;
-  coordinator.OnAsk(ask, "at nobody");
+  coordinator.OnRequest(ask, "at nobody");
   const double level = coordinator.LevelOf(kOrganisation);
-  coordinator.OnAsk(ask, "at nobody");
+  coordinator.OnRequest(ask, "at nobody");
   BOOST_TEST(coordinator.LevelOf(kOrganisation) == level);
 }
 
 /** Guards against requests larger than the burst that are never served. */
-BOOST_AUTO_TEST_CASE(ALargeRequestIsPaidOffAfterwards) {
+BOOST_AUTO_TEST_CASE(RequestLargerThanTheBurstIsGranted) {
   core::ManualClock clock;
   UsageTable usage("self", kWindow, clock);
   QuotaCoordinator coordinator({kWindow, 0, 0}, usage, clock);
   const SharedLimit limit = Limit(1000, 500);
   const auto take = [&](double cost) {
     return coordinator
-        .Take(kOrganisation, limit, cost, Mandate(), milliseconds(0))
+        .Take(kOrganisation, limit, cost, CoordinatorScope(), milliseconds(0))
         .granted;
   };
   BOOST_TEST(take(3000));
@@ -340,14 +346,15 @@
   BOOST_TEST(take(1));
 }
 
-/** Guards against refusals that a moment's wait would have spared. */
-BOOST_AUTO_TEST_CASE(AShortDebtDelaysRequestsInsteadOfRefusingThem) {
+/** Guards against denials where a short delay would be enough. */
+BOOST_AUTO_TEST_CASE(ShortDebtDelaysRequestsInsteadOfDenyingThem) {
   core::ManualClock clock;
   UsageTable usage("self", kWindow, clock);
   QuotaCoordinator coordinator({kWindow, 0, 0}, usage, clock);
   const SharedLimit limit = Limit(1000, 0);
   const auto take = [&](milliseconds wait) {
-    return coordinator.Take(kOrganisation, limit, 150, Mandate(), wait);
+    return coordinator.Take(kOrganisation, limit, 150, CoordinatorScope(),
+                            wait);
   };
   BOOST_TEST(take(milliseconds(0)).granted);
   BOOST_TEST(!take(milliseconds(100)).granted);
@@ -357,49 +364,54 @@
   BOOST_TEST(!take(milliseconds(200)).granted);
 }
 
-/** Guards against refusals right after all entries have started. */
-BOOST_AUTO_TEST_CASE(ANewCoordinatorStartsWithPartOfWhatIsBorne) {
+/** Guards against denials right after all entries have started. */
+BOOST_AUTO_TEST_CASE(NewBucketStartsWithPartOfTheToleratedExcess) {
   core::ManualClock clock;
   UsageTable usage("self", kWindow, clock);
   QuotaCoordinator coordinator({kWindow, 0.1, 1000}, usage, clock);
   const SharedLimit limit = Limit(1000, 1000);
   int granted = 0;
   for (int i = 0; i < 20; ++i) {
-    const QuotaDecision decision =
-        coordinator.Take(kOrganisation, limit, 100, Mandate(), milliseconds(0));
+    const QuotaDecision decision = coordinator.Take(
+        kOrganisation, limit, 100, CoordinatorScope(), milliseconds(0));
     if (decision.granted) ++granted;
   }
-  // A quarter of 1,000 and of a tenth of 9,000, and one request in debt.
+  // A quarter of the slack of 1,000 and of a tenth of the window's limit of
+  // 9,000 is 475: four requests, and a fifth that makes the level negative.
   BOOST_TEST(granted == 5);
 }
 
-/** Guards against callers who are told to come back before there is room. */
-BOOST_AUTO_TEST_CASE(RetryAfterNamesWhenThereIsRoom) {
+/** Guards against a retry time at which the quota has no units yet. */
+BOOST_AUTO_TEST_CASE(DeniedRequestIsGrantedAfterItsRetryTime) {
   core::ManualClock clock;
   UsageTable usage("self", kWindow, clock);
   QuotaCoordinator coordinator({kWindow, 0, 0}, usage, clock);
   const SharedLimit limit = Limit(1000, 0);
   BOOST_TEST(
-      coordinator.Take(kOrganisation, limit, 4000, Mandate(), milliseconds(0))
+      coordinator
+          .Take(kOrganisation, limit, 4000, CoordinatorScope(), milliseconds(0))
           .granted);
-  const QuotaDecision denied =
-      coordinator.Take(kOrganisation, limit, 100, Mandate(), milliseconds(0));
+  const QuotaDecision denied = coordinator.Take(
+      kOrganisation, limit, 100, CoordinatorScope(), milliseconds(0));
   BOOST_TEST(!denied.granted);
   clock.Advance(denied.delay - milliseconds(1));
   BOOST_TEST(
-      !coordinator.Take(kOrganisation, limit, 100, Mandate(), milliseconds(0))
+      !coordinator
+           .Take(kOrganisation, limit, 100, CoordinatorScope(), milliseconds(0))
            .granted);
   clock.Advance(milliseconds(1));
   BOOST_TEST(
-      coordinator.Take(kOrganisation, limit, 100, Mandate(), milliseconds(0))
+      coordinator
+          .Take(kOrganisation, limit, 100, CoordinatorScope(), milliseconds(0))
           .granted);
 }
 
-/** Every request gets an answer within the failover limit, whatever is lost. */
-BOOST_AUTO_TEST_CASE(EveryRequestIsAnsweredInTime) {
+/** Every request gets a decision within the failover timeout, even if all
+ * datagrams are lost. */
+BOOST_AUTO_TEST_CASE(EveryRequestIsDecidedWithinTheFailoverTimeout) {
   QuotaRig rig(22);
   rig.Pass(seconds(3));
-  rig.cut = [](const std::string&, const std::string&) { return true; };
+  rig.is_cut = [](const std::string&, const std::string&) { return true; };
   for (std::size_t i = 0; i < 22; ++i) {
     rig.Request(i, kOrganisation, Limit(30'000, 30'000), kCost);
   }
--- a/src/quota/quota_property_test.cc
+++ b/src/quota/quota_property_test.cc
@@ -1,6 +1,6 @@
-/** @file quota_property_test.cc Plays seeded orders of faults against the bound
- * of a quota: requests that arrive within any window use at most the limit, the
- * excess and the slack that operators bear. */
+/** @file quota_property_test.cc Checks the upper bound of a quota under seeded
+ * random sequences of faults: requests that arrive within any window use at
+ * most the limit plus the tolerated excess and slack. */
 #define BOOST_TEST_MODULE quota_property
 #include <boost/test/unit_test.hpp>
 #include <cstdlib>
@@ -18,58 +18,65 @@
 constexpr double kExcess = 1.1;
 constexpr double kSlackRequests = 7;
 constexpr double kCost = 1500;
-/** Seeds played unless QUOTA_SEEDS names another number. */
+/** Number of seeds to run unless QUOTA_SEEDS sets another one. */
 constexpr int kSeeds = 40;
 const QuotaId kOrganisation("draft-house");
 
-/** Draws; the standard distributions differ between libraries. */
-class Draw {
+/** Random numbers. Doesn't use the standard distributions, as these differ
+ * between libraries. */
+class RandomSource {
  public:
-  explicit Draw(std::uint64_t seed) : random_(seed) {}
+  explicit RandomSource(std::uint64_t seed) : random_(seed) {}
   std::size_t Below(std::size_t bound) { return random_() % bound; }
 
  private:
   std::mt19937_64 random_;
 };
 
-/** One organisation floods some entries while faults come in a drawn order. */
-class Play {
+/** One organisation sends requests above its limit to some entries while faults
+ * occur in a random order. */
+class FaultSimulation {
  public:
-  explicit Play(std::uint64_t seed)
-      : draw_(seed), rig_(static_cast<int>(2 + draw_.Below(21))) {
-    const double rate = static_cast<double>(2000 + draw_.Below(60'000));
-    limit_ = {1, {rate, rate * static_cast<double>(draw_.Below(3)) / 2}};
-    flood_ = rate * (1.5 + static_cast<double>(draw_.Below(4)));
-    targets_ = 1 + draw_.Below(rig_.entries.size());
-    rig_.cut = [this](const std::string& a, const std::string& b) {
-      return alone_.contains(a) || alone_.contains(b);
+  explicit FaultSimulation(std::uint64_t seed)
+      : random_source_(seed),
+        rig_(static_cast<int>(2 + random_source_.Below(21))) {
+    const double rate =
+        static_cast<double>(2000 + random_source_.Below(60'000));
+    limit_ = {1,
+              {rate, rate * static_cast<double>(random_source_.Below(3)) / 2}};
+    request_rate_ = rate * (1.5 + static_cast<double>(random_source_.Below(4)));
+    targets_ = 1 + random_source_.Below(rig_.entries.size());
+    rig_.is_cut = [this](const std::string& a, const std::string& b) {
+      return isolated_vms_.contains(a) || isolated_vms_.contains(b);
     };
   }
 
-  /** @return Units that one window held more than it may. */
-  double ExcessAtEnd() {
+  /** Runs the simulation.
+   * @return Units by which any window exceeded the bound; negative if none did.
+   */
+  double MaxExcess() {
     rig_.Pass(seconds(3));
     for (int i = 0; i < kRounds; ++i) {
-      if (i % kRoundsBetweenFaults == 0) Fault();
-      Flood(milliseconds(500));
+      if (i % kRoundsBetweenFaults == 0) InjectFault();
+      SendRequests(milliseconds(500));
     }
     const double bound =
         (limit_.limit.per_second * 8 + limit_.limit.burst) * kExcess +
         kSlackRequests * kCost;
-    return rig_.MostInWindow(kWindow) - bound;
+    return rig_.MaxInWindow(kWindow) - bound;
   }
 
  private:
   static constexpr int kRounds = 48;
-  /** Between two faults, in rounds of 500 ms. */
+  /** Interval between two faults, in rounds of 500 ms. */
   static constexpr int kRoundsBetweenFaults = 8;
 
-  void Flood(milliseconds time) {
+  void SendRequests(milliseconds time) {
     const milliseconds pause(
-        std::max<int>(10, static_cast<int>(kCost / flood_ * 1000)));
+        std::max<int>(10, static_cast<int>(kCost / request_rate_ * 1000)));
     for (milliseconds gone{0}; gone < time; gone += pause) {
       const std::size_t i =
-          draw_.Below(std::min(targets_, rig_.entries.size()));
+          random_source_.Below(std::min(targets_, rig_.entries.size()));
       if (!rig_.At(i).frozen) {
         rig_.Request(i, kOrganisation, limit_, kCost);
       }
@@ -77,11 +84,11 @@
     }
   }
 
-  void Fault() {
+  void InjectFault() {
     for (const auto& it : rig_.entries) it->frozen = false;
-    alone_.clear();
-    rig_.TellAllOfAll();
-    switch (draw_.Below(5)) {
+    isolated_vms_.clear();
+    rig_.SyncPresences();
+    switch (random_source_.Below(5)) {
       case 0:
         rig_.At(rig_.CoordinatorOf(kOrganisation)).frozen = true;
         break;
@@ -89,7 +96,8 @@
         Restart(rig_.CoordinatorOf(kOrganisation));
         break;
       case 2:
-        alone_.insert(rig_.At(draw_.Below(rig_.entries.size())).vm);
+        isolated_vms_.insert(
+            rig_.At(random_source_.Below(rig_.entries.size())).vm);
         break;
       case 3:
         for (const auto& it : rig_.entries) it->peer_table.SetEntries({});
@@ -99,12 +107,13 @@
     }
   }
 
-  /** It ends without a word and is back at once, knowing all from the store. */
+  /** Kills an entry without notice and restarts it at once, with the list of
+   * all entries from the store. */
   void Restart(std::size_t i) {
     const std::string vm = rig_.At(i).vm;
     rig_.Kill(vm);
     rig_.Start(vm);
-    rig_.TellAllOfAll();
+    rig_.SyncPresences();
   }
 
   void Join() {
@@ -112,16 +121,16 @@
     for (std::size_t i = 0; i < n; ++i) {
       rig_.Start("new-" + std::to_string(++joined_));
     }
-    rig_.TellAllOfAll();
+    rig_.SyncPresences();
   }
 
-  Draw draw_;
+  RandomSource random_source_;
   QuotaRig rig_;
   SharedLimit limit_;
-  double flood_ = 0;
+  double request_rate_ = 0;
   std::size_t targets_ = 1;
   int joined_ = 0;
-  std::set<std::string> alone_;
+  std::set<std::string> isolated_vms_;
 };
 
 int Seeds() {
@@ -131,19 +140,21 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(TheBoundHoldsInEachOrderOfFaults) {
+BOOST_AUTO_TEST_CASE(BoundHoldsInRandomFaultSequences) {
   for (int seed = 1; seed <= Seeds(); ++seed) {
-    const double excess = Play(static_cast<std::uint64_t>(seed)).ExcessAtEnd();
+    const double excess =
+        FaultSimulation(static_cast<std::uint64_t>(seed)).MaxExcess();
     BOOST_TEST(excess <= 0, "seed " << seed << ": over by " << excess);
   }
 }
 
-/** Guards against limits that several coordinators in turn, or at a time, hand
- * out once each: these orders of faults exceeded the bound. */
-BOOST_AUTO_TEST_CASE(TheBoundHoldsInOrdersThatExceededIt) {
+/** Guards against several coordinators, successive or simultaneous, that each
+ * grant the full limit. These sequences of faults have exceeded the bound. */
+BOOST_AUTO_TEST_CASE(BoundHoldsInSequencesThatOnceExceededIt) {
   for (const int seed : {71, 134, 245, 273, 343, 896, 1039, 1286, 1606, 1629,
                          1634, 1718, 2062, 5889}) {
-    const double excess = Play(static_cast<std::uint64_t>(seed)).ExcessAtEnd();
+    const double excess =
+        FaultSimulation(static_cast<std::uint64_t>(seed)).MaxExcess();
     BOOST_TEST(excess <= 0, "seed " << seed << ": over by " << excess);
   }
 }
--- a/src/quota/quota_rig_test.h
+++ b/src/quota/quota_rig_test.h
@@ -1,5 +1,5 @@
-/** @file quota_rig_test.h Entries that share quotas, on a network of the test.
- */
+/** @file quota_rig_test.h Simulates entries that share quotas, and the
+ * network between them. */
 #ifndef SAPPHIRE_QUOTA_QUOTA_RIG_TEST_H_
 #define SAPPHIRE_QUOTA_QUOTA_RIG_TEST_H_
 
@@ -20,20 +20,20 @@
 namespace sapphire::quota::testing {
 
 inline constexpr milliseconds kStep{10};
-/** Between two heartbeats of an entry to the next of its peers. */
+/** Interval at which an entry sends a heartbeat to the next of its peers. */
 inline constexpr milliseconds kHeartbeat{50};
 
-/** Units that operators bear beyond a limit. */
+/** Tolerated excess over a limit, in units. */
 inline constexpr double kSlack = 10'500;
 
-/** @return Options of organisations' quotas. */
+/** @return Options for the quotas of organisations. */
 inline QuotaClientOptions OrganisationOptions() {
   QuotaClientOptions options;
   options.rules = {milliseconds(8000), 0.1, kSlack};
   return options;
 }
 
-/** One entry: its view of the others and its quota client. */
+/** One simulated entry: its peer table and its quota client. */
 struct TestEntry {
   TestEntry(QuotaClientOptions options, const std::string& key,
             const std::string& vm_name, QuotaClient::Send send,
@@ -63,15 +63,16 @@
   bool frozen = false;
 };
 
-/** A request as the test counts it. */
+/** A granted request: its arrival time and cost. */
 struct Grant {
   core::SteadyTime asked;
   double cost = 0;
 };
 
 /**
- * Entries with the real client on a simulated network: datagrams take a step,
- * and are lost between entries that are cut off from each other or frozen.
+ * Runs the real quota clients on a simulated network. Datagrams arrive one step
+ * later; they are lost between entries that are disconnected from each other,
+ * and if the recipient is frozen.
  */
 class QuotaRig {
  public:
@@ -82,10 +83,10 @@
         options_(std::move(options)) {
     clock.Advance(std::chrono::seconds(1000));
     for (int i = 0; i < entries; ++i) Start("vm-" + std::to_string(i));
-    TellAllOfAll();
+    SyncPresences();
   }
 
-  /** Starts an entry under a key of its own. */
+  /** Starts an entry under a new key. */
   TestEntry& Start(const std::string& vm) {
     const std::string key = "entries/" + vm + "@" + std::to_string(++starts_);
     const std::string from = AddressOf(key);
@@ -99,14 +100,15 @@
     return *entries.back();
   }
 
-  /** The entry ends without a word; its presence stays.
-   * @param vm By value: it may be the name that the entry itself has. */
+  /** Ends the entry without notice; its presence remains in the store.
+   * @param vm By value, as callers may pass the member of the entry that is
+   *   destroyed here. */
   void Kill(std::string vm) {
     std::erase_if(entries, [&vm](const auto& it) { return it->vm == vm; });
   }
 
-  /** All entries learn from the store which others run. */
-  void TellAllOfAll() {
+  /** Updates the peer tables of all entries with the presences in the store. */
+  void SyncPresences() {
     std::map<std::string, gen::EntryPresence> all = dead_presences;
     for (const auto& it : entries) {
       gen::EntryPresence presence;
@@ -119,10 +121,11 @@
 
   TestEntry& At(std::size_t i) { return *entries.at(i); }
 
-  /** @return The entry that coordinates for most of the others. */
+  /** @return Index of the first entry that decides on the quota itself; 0 if
+   * none does. */
   std::size_t CoordinatorOf(const QuotaId& id) {
     for (std::size_t i = 0; i < entries.size(); ++i) {
-      // Shared: an ask that waits is answered after this call.
+      // Shared, as a pending request may be decided after this call.
       const auto decides = std::make_shared<bool>(false);
       At(i).client.Take(id, {0, {1, 0}}, 0, [decides](const QuotaDecision& it) {
         *decides = it.source == QuotaSource::kSelf;
@@ -132,7 +135,7 @@
     return 0;
   }
 
-  /** A request of `cost` arrives at an entry. */
+  /** Passes a request of `cost` units to an entry. */
   void Request(std::size_t i, const QuotaId& id, const SharedLimit& limit,
                double cost) {
     ++asked;
@@ -145,12 +148,13 @@
                       });
   }
 
-  /** Lets time pass: datagrams arrive, heartbeats are sent, timers run. */
+  /** Advances the time in steps: delivers datagrams, sends heartbeats and runs
+   * the clients' timers. */
   void Pass(milliseconds time) {
     for (milliseconds gone{0}; gone < time; gone += kStep) {
       clock.Advance(kStep);
       Deliver();
-      if (++steps_ % (kHeartbeat / kStep) == 0) Heartbeats();
+      if (++steps_ % (kHeartbeat / kStep) == 0) SendHeartbeats();
       for (const auto& it : entries) {
         if (it->frozen) continue;
         it->client.Tick();
@@ -159,11 +163,12 @@
     }
   }
 
-  /** @return Most units of requests that arrived within one window. */
-  [[nodiscard]] double MostInWindow(milliseconds window) const {
+  /** @return Largest sum of granted units of requests that arrived within one
+   * window. */
+  [[nodiscard]] double MaxInWindow(milliseconds window) const {
     std::vector<Grant> sorted = grants;
     std::ranges::sort(sorted, {}, &Grant::asked);
-    double most = 0;
+    double max_sum = 0;
     double sum = 0;
     std::size_t first = 0;
     for (const Grant& it : sorted) {
@@ -171,9 +176,9 @@
       while (sorted[first].asked + window < it.asked) {
         sum -= sorted[first++].cost;
       }
-      most = std::max(most, sum);
+      max_sum = std::max(max_sum, sum);
     }
-    return most;
+    return max_sum;
   }
 
   [[nodiscard]] double Granted() const {
@@ -184,14 +189,15 @@
 
   static std::string AddressOf(const std::string& key) { return "at " + key; }
 
-  /** Datagrams between these two VMs are lost, either way. */
-  std::function<bool(const std::string& a, const std::string& b)> cut =
+  /** Returns true if datagrams between these two VMs are lost, in both
+   * directions. */
+  std::function<bool(const std::string& a, const std::string& b)> is_cut =
       [](const std::string&, const std::string&) { return false; };
 
   core::ManualClock clock;
   core::Logger log;
   std::vector<std::unique_ptr<TestEntry>> entries;
-  /** Of entries that ended; the store still has them. */
+  /** Presences of entries that have ended, but are still in the store. */
   std::map<std::string, gen::EntryPresence> dead_presences;
   std::vector<Grant> grants;
   QuotaDecision last;
@@ -219,21 +225,21 @@
       TestEntry* from = FindAt(it.from);
       TestEntry* to = FindAt(it.to);
       if (from == nullptr || to == nullptr || to->frozen) continue;
-      if (cut(from->vm, to->vm)) continue;
+      if (is_cut(from->vm, to->vm)) continue;
       const gen::EntryDatagram& datagram = it.content;
-      if (datagram.__isset.record) to->peer_table.Take(datagram.record);
+      if (datagram.__isset.record) to->peer_table.ApplyRecord(datagram.record);
       if (datagram.__isset.quota_ask) {
-        to->peer_table.NoteHeard(datagram.quota_ask.entry);
-        to->client.OnAsk(datagram.quota_ask, it.from);
+        to->peer_table.RecordDatagram(datagram.quota_ask.entry);
+        to->client.OnRequest(datagram.quota_ask, it.from);
       }
       if (datagram.__isset.quota_answer) {
-        to->peer_table.NoteHeard(datagram.quota_answer.entry);
+        to->peer_table.RecordDatagram(datagram.quota_answer.entry);
         to->client.OnAnswer(datagram.quota_answer);
       }
     }
   }
 
-  void Heartbeats() {
+  void SendHeartbeats() {
     for (const auto& it : entries) {
       const std::vector<std::string> others = it->peer_table.Addresses();
       if (it->frozen || others.empty()) continue;
--- a/src/serving/engine_rate_limiter.cc
+++ b/src/serving/engine_rate_limiter.cc
@@ -50,8 +50,8 @@
 quota::QuotaClientOptions EngineQuotaOptions() {
   quota::QuotaClientOptions options;
   options.rules.window = kWindow;
-  options.answer_limit = kAnswerLimit;
-  options.failover_limit = kFailoverLimit;
+  options.answer_timeout = kAnswerLimit;
+  options.failover_timeout = kFailoverLimit;
   return options;
 }
 
@@ -95,7 +95,7 @@
   }
   const fleet::LimitChange change = limits_.Apply(instance, notice, sent);
   if (change == fleet::LimitChange::kNone) return;
-  const bool named = change == fleet::LimitChange::kNamed;
+  const bool named = change == fleet::LimitChange::kReported;
   log_.Event(
       LogLevel::kInfo, LogCategory::kReplica,
       named ? "engine_limit_named" : "engine_limit_ended",
--- a/src/serving/front_base.h
+++ b/src/serving/front_base.h
@@ -14,10 +14,10 @@
 #include "core/task_type.h"
 #include "external/counting_store_base.h"
 #include "external/key_value_base.h"
+#include "fleet/controller_client_base.h"
 #include "fleet/engine_holders_base.h"
 #include "fleet/engine_loads_base.h"
 #include "fleet/engine_registry_base.h"
-#include "fleet/order_calls_base.h"
 #include "fleet/peer_table_base.h"
 #include "http/server_base.h"
 #include "link/link_base.h"
@@ -124,7 +124,7 @@
   orders::ControllerPool pool_;
   orders::OrderService order_service_;
   link::LinkNode links_;
-  fleet::OrderCalls calls_;
+  fleet::ControllerClient calls_;
   EngineClients clients_;
   LoadGauges gauges_;
   ReplicaFinder finder_;
