--- a/src/entry/scheduler.cc
+++ b/src/entry/scheduler.cc
@@ -220,8 +220,8 @@
 void Scheduler::State::CheckQueueLimits(const ModelQueue& queue,
                                         const core::OwnerId& owner) {
   const auto refusal =
-      policy::CheckQueueAdmission(WaitingByOwner(queue, options.max_queue), owner,
-                            UsageByOwner(queue, clock.Now()));
+      policy::CheckQueueAdmission(WaitingByOwner(queue, options.max_queue),
+                                  owner, UsageByOwner(queue, clock.Now()));
   if (refusal) throw core::Error(*refusal, "", kRetryAfter);
 }
 
--- a/src/orders/memory_plan.cc
+++ b/src/orders/memory_plan.cc
@@ -14,7 +14,8 @@
  */
 constexpr std::chrono::milliseconds kAdapterKeepTime{700};
 
-fleet::Usage UsageOf(const MemoryState& state, const fleet::ModelOrAdapter& part) {
+fleet::Usage UsageOf(const MemoryState& state,
+                     const fleet::ModelOrAdapter& part) {
   const auto it = state.usage.find(part);
   return it == state.usage.end() ? fleet::Usage() : it->second;
 }
