--- a/src/serving/dispatcher.cc
+++ b/src/serving/dispatcher.cc
@@ -1,4 +1,4 @@
-/** @file dispatcher.cc Takes a caller's request to its final answer. */
+/** @file dispatcher.cc Handles a caller's request up to its final answer. */
 #include <algorithm>
 #include <iterator>
 #include <utility>
@@ -20,8 +20,8 @@
 
 namespace {
 
-/** Repeats after an engine's own failure leave half of the budget to those
- * after lost engines. */
+/** Retries after an engine's own failure leave this share of the retry budget
+ * to retries after lost engines. */
 constexpr double kFailureReserve = 0.5;
 constexpr int kMaxRank = 9;
 constexpr milliseconds kLeastRetryAfter{50};
@@ -58,7 +58,7 @@
   }
 }
 
-/** Ends the send in progress when the caller closes its connection. */
+/** Aborts the send in progress when the caller closes its connection. */
 class LeaveWatch {
  public:
   explicit LeaveWatch(CallerSide& caller) : caller_(caller) {
@@ -102,8 +102,8 @@
     work.reason = refusal->detail();
   }
   if (work.caller.left) work.outcome = "caller_left";
-  // In the middle of a stream no other answer can be given: the caller sees
-  // that the stream has no end.
+  // Once a stream has begun, no other answer can be sent: the connection is
+  // closed so that the caller sees an incomplete stream.
   const bool cut = refusal && work.caller.begun;
   if (refusal && !cut && !work.caller.left) {
     co_await Refuse(work, *refusal);
@@ -129,19 +129,17 @@
   parts_.crash_watch.Check(work.fingerprint);
 }
 
-/** Guards against sends by routes and to engines that are no more: an entry
- * that is behind the store can't know. */
+/** Refuses the request while the view of the store is too old: its routes and
+ * engines may no longer exist. */
 void Dispatcher::CheckView(const RequestWork& work) const {
   if (work.runs > 0 || !parts_.view.is_late()) return;
   throw Error(ErrorCode::kConfigurationStale, "this entry is behind the store",
               kSoon);
 }
 
-/**
- * Finds whose request it is. A key that is not known yet may have been added a
- * moment ago: the newest configuration is read before the caller is turned
- * away, and while that can't be done the caller is told to come back.
- */
+/** Finds the organisation of the request. An unknown key may have been added a
+ * moment ago, so the newest configuration is read before the request is
+ * rejected; if that read fails, the caller is asked to retry later. */
 core::Task<> Dispatcher::Authenticate(RequestWork& work) {
   Identify(work);
   const bool needs_key =
@@ -167,7 +165,7 @@
   throw Error(ErrorCode::kUnauthenticated, revoked ? "revoked" : "unknown key");
 }
 
-/** Looks the key up in the configuration in force. */
+/** Looks the key up in the current configuration. */
 void Dispatcher::Identify(RequestWork& work) const {
   work.identified_by = parts_.configuration.current();
   work.organisation =
@@ -181,7 +179,7 @@
   work.rank = std::clamp(rank, 0, kMaxRank);
 }
 
-/** Guards against sends for a key that was revoked while its request waited. */
+/** Refuses the request if its key was revoked while it waited. */
 void Dispatcher::CheckKeyAgain(RequestWork& work) const {
   if (work.identified_by == parts_.configuration.current()) return;
   Identify(work);
@@ -193,7 +191,8 @@
       "revoked");
 }
 
-/** Charges the request to its organisation's quota, once for all its sends. */
+/** Charges the request to its organisation's quota once, however often it is
+ * sent. */
 core::Task<> Dispatcher::Charge(RequestWork& work) {
   if (work.organisation == nullptr) co_return;
   const organisation::Organisation& organisation = *work.organisation;
@@ -238,7 +237,7 @@
                         work.charged);
 }
 
-/** Finds the service and what it offers. */
+/** Finds the service and checks that it serves the model. */
 void Dispatcher::Resolve(RequestWork& work) const {
   const double point =
       static_cast<double>(core::HashOf(work.request.id.value())) / kHashRange;
@@ -305,7 +304,8 @@
   ExchangeHooks hooks;
   hooks.answered = [this, instance = work.engine,
                     sent = parts_.clock.Now()](const EngineAnswer& answer) {
-    // A refusal may be made before the engine knows of its limit.
+    // A refusal without a limit says nothing: it may have been sent before the
+    // engine knew its limit.
     if (!answer.genuine && !answer.limit.per_second) return;
     parts_.rate_limiter.Apply(instance, answer.limit, sent);
   };
@@ -334,7 +334,7 @@
   co_return co_await Conclude(work, std::move(result));
 }
 
-/** The engine has read the prompt now. */
+/** Records that the engine has read the request's prompt. */
 void Dispatcher::NotePrefix(const RequestWork& work) {
   std::vector<std::uint64_t> hashes;
   for (const PromptPart& part : work.request.prompt_parts) {
@@ -343,7 +343,8 @@
   parts_.loads.NotePrefix(work.engine, work.request.model, hashes);
 }
 
-/** @return True if the request has its final answer now. */
+/** Handles the result of a send. @return True if the request has its final
+ * answer. */
 core::Task<bool> Dispatcher::Conclude(RequestWork& work,
                                       ExchangeResult result) {
   const bool may_have_run = result.end != ExchangeEnd::kNotRun;
@@ -369,7 +370,8 @@
   const bool can_repeat = !may_have_run || MayRunAgain(work);
   const double reserve =
       result.end == ExchangeEnd::kEngineFailed ? kFailureReserve : 0.0;
-  // Without a connection the send never arrived, so it is no retry.
+  // Without a connection the send never arrived, so it does not count as a
+  // retry.
   const bool granted =
       std::exchange(work.repeat_granted, false) || result.unreachable;
   if (can_repeat && TimeLeft(work, parts_.clock.Now()) > kLeastTime &&
@@ -386,8 +388,8 @@
       result.reason);
 }
 
-/** @return True if a silent request goes to another engine now; the repeat that
- * this needs is taken then. */
+/** Decides whether a request whose engine is silent moves to another engine
+ * now; if so, takes the retry from the budget. */
 bool Dispatcher::GiveUp(RequestWork& work) {
   if (!chooser_.HasOther(work)) {
     chooser_.WakeOther(work);
--- a/src/serving/dispatcher_base.h
+++ b/src/serving/dispatcher_base.h
@@ -1,4 +1,5 @@
-/** @file dispatcher_base.h Takes a caller's request to its final answer. */
+/** @file dispatcher_base.h Handles a caller's request up to its final answer.
+ */
 #ifndef SAPPHIRE_SERVING_DISPATCHER_BASE_H_
 #define SAPPHIRE_SERVING_DISPATCHER_BASE_H_
 
@@ -34,10 +35,10 @@
 
 namespace sapphire::serving {
 
-/** What holds where keys have to be confirmed. */
+/** How API keys are accepted while the store can't be read. */
 struct RevocationRule {
-  /** Requests that need a key are refused once the configuration could not be
-   * confirmed for `limit`. */
+  /** If set, requests that need a key are refused once the configuration has
+   * not been confirmed for `limit`. */
   bool strict = false;
   milliseconds limit{5000};
 };
@@ -47,15 +48,16 @@
   policy::EnginePace pace;
 };
 
-/** What is known of how far this entry follows the store. */
+/** How current this entry's view of the store is. */
 struct StoreView {
-  /** False while strict revocation forbids to go by the configuration. */
+  /** Returns false while strict revocation forbids relying on the
+   * configuration. */
   std::function<bool()> keys_confirmed;
-  /** True while the entry is behind by more than operators allow. */
+  /** Returns true while the view is older than operators allow. */
   std::function<bool()> is_late;
 };
 
-/** What the dispatcher works with; all outlive it. */
+/** Dependencies of the dispatcher; all outlive it. */
 struct DispatchParts {
   const routing::ConfigurationHolder& configuration;
   ConfigurationRefresh& refresh;
@@ -77,25 +79,23 @@
   const core::Logger& log;
 };
 
-/** One thread. */
+/** Serves callers' requests. Not thread-safe. */
 class Dispatcher {
  public:
   Dispatcher(DispatchOptions options, DispatchParts parts);
 
-  /** Handles one request; always gives it a final answer. */
+  /** Handles one request; always sends a final answer. */
   core::Task<> Serve(const http::Request& request,
                      http::ResponseWriter& writer);
 
-  /**
-   * The process ends at `end`: what could not be answered whole by then is
-   * refused, before it is sent to an engine.
-   */
+  /** Sets when the process ends. Requests that can't be answered completely by
+   * then are refused before they are sent to an engine. */
   void EndAt(core::SteadyTime end) { chooser_.EndAt(end); }
 
-  /** Puts other limits of repeats in force. */
+  /** Replaces the retry limits. */
   void SetRepeatLimits(const policy::RepeatLimits& limits);
 
-  /** Forgets what it keeps of engines that are gone. */
+  /** Drops state kept for engines that are no longer registered. */
   void Forget();
 
  private:
--- a/src/serving/engine_chooser.cc
+++ b/src/serving/engine_chooser.cc
@@ -1,4 +1,4 @@
-/** @file engine_chooser.cc Finds the engine that runs a request. */
+/** @file engine_chooser.cc Chooses the engine that serves a request. */
 #include <algorithm>
 #include <iterator>
 #include <set>
@@ -16,33 +16,37 @@
 
 namespace {
 
-/** Longest wait between two looks at the fleet, if nothing that is known of it
- * changes: for what only time changes. */
+/** Longest wait between two choices without a notified change, for conditions
+ * that only time changes. */
 constexpr milliseconds kLookAgain{200};
-/** An engine that takes its next order within this is as good as free. */
+/** An engine that accepts its next order within this time counts as free. */
 constexpr milliseconds kOrderSoon{300};
 /** A model whose engines are throttled no longer than this is not loaded on
- * another one. */
+ * another engine. */
 constexpr milliseconds kShortThrottle{500};
-/** Requests that wait here from which the same is assumed of each entry: a rare
- * model is asked for every half minute, so three at once are no coincidence. */
+/** From this many waiting requests on, every other entry is assumed to have as
+ * many: a rare model is requested every half minute, so three at once are no
+ * coincidence. */
 constexpr int kTellingWaiters = 3;
-/** Nearly all streams end within this: 57 events of three tokens take 2 s on an
- * idle engine, up to 5 s on a crowded one. With 8 s to leave, streams are taken
- * for as long as balancers may still send new connections. */
+/**
+ * Nearly all streams finish within this time: 57 events of three tokens take 2
+ * s on an idle engine, up to 5 s on a busy one. With 8 s until the process
+ * ends, streams are accepted for as long as load balancers may still open new
+ * connections.
+ */
 constexpr milliseconds kUsualStream{5200};
 
-/** An answer that is made this long before the process ends still leaves it: a
- * busy VM needs some hundred milliseconds. */
+/** An answer written this long before the process ends still leaves it: a busy
+ * VM needs a few hundred milliseconds. */
 constexpr milliseconds kLastAnswer{300};
 
-/** Below so many requests at work an engine's streams do not pause, whichever
- * of them is chosen. */
+/** Below this many running requests streams do not pause on any engine, so the
+ * choice does not matter. */
 constexpr int kBusyEnough = 4;
-/** What entries told is gone by up to this age; engines themselves tell of some
- * hundred milliseconds ago. */
+/** Maximum age of peers' reports to rely on; the engines' own figures are a few
+ * hundred milliseconds old. */
 constexpr milliseconds kAgeToGoBy{250};
-/** Engines that are asked for one request. */
+/** Number of engines queried per request. */
 constexpr std::size_t kGauged = 3;
 
 policy::RequestSize SizeOf(const RequestWork& work) {
@@ -61,8 +65,9 @@
   return views;
 }
 
-/** Counts a request that waits for a model. Shares the counts: at the end of
- * the process a suspended request may be ended after its chooser. */
+/** Counts a waiting request while in scope. Shares ownership of the counts:
+ * when the process ends, a suspended request may be destroyed after its
+ * chooser. */
 class Waiting {
  public:
   Waiting(std::shared_ptr<WaitingCounts> counts, core::ModelId model)
@@ -119,7 +124,7 @@
   }
 }
 
-/** @return Until the last answers are due before the process ends. */
+/** @return Time until the last answers are due before the process ends. */
 milliseconds EngineChooser::TimeToEnd() const {
   if (!end_) return milliseconds::max();
   const auto left = std::chrono::duration_cast<milliseconds>(
@@ -127,18 +132,16 @@
   return std::max(left, milliseconds(1));
 }
 
-/** @return Until a look at the fleet is due though no change was told of. */
+/** @return Time until the next choice is due even without a notified change. */
 milliseconds EngineChooser::NextLook(const RequestWork& work) const {
   const auto unthrottled =
       finder_.FirstUnthrottled(work.service->id, work.request, work.avoid);
   return std::min(unthrottled.value_or(kLookAgain), kLookAgain);
 }
 
-/**
- * Asks the likeliest engines how busy they are, if that may matter. The failure
- * met: entries know of each other's requests only seconds later, all send to
- * the engine that looked idle, and its streams pause.
- */
+/** Queries the load of the best candidates if they may be busy. Peers' reports
+ * arrive seconds late, so all entries used to send to the engine that looked
+ * idle, and its streams paused. */
 core::Task<> EngineChooser::GaugeCrowded(const RequestWork& work) {
   if (work.request.model.empty() || peer_table_.Age() <= kAgeToGoBy) co_return;
   std::vector<FoundReplica> found =
@@ -157,12 +160,13 @@
   co_await gauges_.Refresh(std::move(asked));
 }
 
-/** @return The best engine that can take it now. */
+/** @return The best engine that can take the request now. */
 std::optional<fleet::InstanceId> EngineChooser::ChooseNow(RequestWork& work) {
   std::vector<FoundReplica> found =
       finder_.Find(work.service->id, work.request, work.avoid);
   if (found.empty() && work.request.model.empty()) {
-    // All have failed or refused it: any that is there may do by now.
+    // Every engine has failed or refused the request; they may have recovered
+    // by now.
     found = finder_.Find(work.service->id, work.request, {});
   }
   if (!work.request.model.empty()) WatchCrowd(work, found);
@@ -174,10 +178,8 @@
   return std::nullopt;
 }
 
-/**
- * Loads the adapter at an engine that holds its model and takes orders: an
- * engine that loads a model takes none for adapters.
- */
+/** Loads the adapter on an engine that holds its model and accepts orders: an
+ * engine that is loading a model accepts none for adapters. */
 void EngineChooser::WakeAdapter(const RequestWork& work,
                                 std::vector<FoundReplica> holders) {
   const LoadTarget target{work.service->id, work.request.model,
@@ -192,7 +194,7 @@
                       work.request.id);
 }
 
-/** Has one more engine load a model whose engines are crowded. */
+/** Requests one more replica of a model whose engines are overloaded. */
 void EngineChooser::WatchCrowd(const RequestWork& work,
                                const std::vector<FoundReplica>& holders) {
   if (holders.empty()) return;
@@ -210,12 +212,12 @@
   return found[*best].instance;
 }
 
-/** Has a model loaded on further engines while it is being woken, if so many
- * wait for it that the first engine would be crowded at once. */
+/** Requests further replicas of a model that is being loaded, if so many
+ * requests wait for it that the first engine would be overloaded at once. */
 void EngineChooser::WakeForWaiting(const RequestWork& work) {
   const auto it = waiting_->find(work.request.model);
   const int here = it == waiting_->end() ? 0 : it->second;
-  // One or two that come together say nothing of the other entries.
+  // One or two waiting requests say nothing about the other entries.
   if (here < kTellingWaiters) return;
   const int engines = policy::EnginesForWaiting(here * peer_table_.entries());
   if (engines == 1) return;
@@ -223,7 +225,8 @@
                      policy::ReplicaNeed::kUseful, engines);
 }
 
-/** Has the model loaded. @return When it is expected to serve. */
+/** Requests a load of the model unless an engine can serve it soon. @return
+ * Time until it is expected to be available. */
 milliseconds EngineChooser::WakeModel(RequestWork& work) {
   const auto unthrottled =
       finder_.FirstUnthrottled(work.service->id, work.request, work.avoid);
@@ -278,7 +281,8 @@
                      policy::ReplicaNeed::kUseful);
 }
 
-/** @return How long the caller still waits for a first event. */
+/** @return Time left until a stream's idle timeout, or until the deadline of
+ * any other request. */
 milliseconds EngineChooser::IdleTimeLeft(const RequestWork& work) const {
   const core::SteadyTime now = clock_.Now();
   if (work.route->kind != RequestKind::kStream) return TimeLeft(work, now);
@@ -287,14 +291,12 @@
   return std::max(left, milliseconds(0));
 }
 
-/**
- * Refuses what could not be answered before the process ends: a closed
- * connection would leave the caller without knowing whether the request ran.
- */
+/** Refuses requests that can't be answered before the process ends: a closed
+ * connection would leave the caller without knowing whether the request ran. */
 void EngineChooser::CheckEnd(const RequestWork& work, milliseconds wait) const {
   if (!end_) return;
   const bool is_stream = work.route->kind == RequestKind::kStream;
-  // What an engine has begun is tried to the last.
+  // A request that an engine may have run is retried until the end.
   milliseconds needed = wait + kLastAnswer;
   if (work.runs == 0) {
     needed = wait + (is_stream ? kUsualStream : work.route->timeout);
--- a/src/serving/engine_chooser_base.h
+++ b/src/serving/engine_chooser_base.h
@@ -1,4 +1,4 @@
-/** @file engine_chooser_base.h Finds the engine that runs a request. */
+/** @file engine_chooser_base.h Chooses the engine that serves a request. */
 #ifndef SAPPHIRE_SERVING_ENGINE_CHOOSER_BASE_H_
 #define SAPPHIRE_SERVING_ENGINE_CHOOSER_BASE_H_
 
@@ -19,16 +19,17 @@
 
 namespace sapphire::serving {
 
-/** Least time in which a request can still be served. */
+/** Minimum time left for a send to be worthwhile. */
 inline constexpr milliseconds kLeastTime{30};
-/** When to come back if nothing better is known. */
+/** Default time after which a caller may retry. */
 inline constexpr milliseconds kSoon{500};
 
-/** Requests of this entry that wait for a model that no engine holds. */
+/** Number of this entry's waiting requests by model. */
 using WaitingCounts = std::map<core::ModelId, int>;
 
-/** Chooses among engines that hold the model, has it loaded if none does, and
- * refuses what can't be served in its time. One thread. */
+/** Chooses among the engines that hold the model, requests a load if none does,
+ * and refuses requests that can't be served before their deadline. Not
+ * thread-safe. */
 class EngineChooser {
  public:
   /** @pre All references outlive the chooser. */
@@ -39,24 +40,24 @@
 
   /**
    * Waits until an engine can take the request.
-   * @return The engine; none if the caller has left.
-   * @throws core::Error if it can't be served in its time.
+   * @return The engine; empty if the caller has disconnected.
+   * @throws core::Error if the request can't be served before its deadline.
    */
   core::Task<fleet::InstanceId> Choose(RequestWork& work);
 
-  /** @return True if an engine other than the one at work, and none that has
-   * failed it, could take the request now. */
+  /** @return True if another engine than the current one, and none that has
+   * failed the request, could take it now. */
   [[nodiscard]] bool HasOther(const RequestWork& work) const;
 
-  /** Has the model loaded on one more engine, for a request whose own engine is
-   * silent. */
+  /** Requests a load of the model on one more engine, for a request whose
+   * current engine is silent. */
   void WakeOther(const RequestWork& work);
 
-  /** The process ends at `end`. */
+  /** Sets when the process ends. */
   void EndAt(core::SteadyTime end) { end_ = end; }
 
   /**
-   * @param wait Until the request can be sent.
+   * @param wait Time until the request can be sent.
    * @throws core::Error if the process ends before the request would.
    */
   void CheckEnd(const RequestWork& work, milliseconds wait) const;
--- a/src/serving/model_loader.cc
+++ b/src/serving/model_loader.cc
@@ -1,4 +1,4 @@
-/** @file model_loader.cc Starts model loads for queued requests. */
+/** @file model_loader.cc Requests loads of models that callers wait for. */
 #include <algorithm>
 #include <exception>
 #include <utility>
@@ -16,45 +16,49 @@
 
 namespace {
 
-/** A load that takes longer than this, and so many times as long as expected,
- * is given up: in company, loads from the weight store take several times the
- * time of one alone. */
+/** A load is given up once it takes longer than this and than kLoadTimes times
+ * the expected time: concurrent loads from the weight store take several times
+ * as long as a single one. */
 constexpr milliseconds kLoadLimit{20'000};
 constexpr int kLoadTimes = 3;
-/** A wake-up that takes longer than this may be overtaken by another: a load
- * from disk takes 2 s. */
+/** While a pending load takes longer than this, a faster one may be started on
+ * another engine: a load from disk takes 2 s. */
 constexpr milliseconds kSlowWakeUp{3000};
-/** Engines register, and endpoints are reached, within this after a start. */
+/** Time after the start within which engines register and endpoints are
+ * reached. */
 constexpr milliseconds kGettingToKnow{3000};
 constexpr milliseconds kLookSoon{500};
-/** Requests a second from which a model counts as busy: rare ones are asked for
- * every half minute. */
+/** Requests per second from which a model counts as busy; rare models are
+ * requested every half minute. */
 constexpr double kOftenAsked = 0.4;
-/** Requests a second here, above which the whole fleet's are estimated from
- * them. A single request leaves less. */
+/** Requests per second at this entry above which the whole fleet's are
+ * extrapolated from them. A single request results in a lower rate. */
 constexpr double kAskedMoreThanOnce = 0.1;
-/** Loads of rare models from the weight store at once. Origin: it serves 4 at
- * full speed; the others stay free for busy models. */
+/** Number of concurrent loads from the weight store from which on rare models
+ * wait. The store serves 4 at full speed; the others stay free for busy models.
+ */
 constexpr int kLanesForRareModels = 2;
-/** Loads that take so many times as long as one alone tell of a crowd at the
- * weight store; less may be a slow start. */
+/** A load from the weight store that takes this many times as long as a single
+ * one indicates an overloaded store; less may be a slow start. */
 constexpr double kCrowdedStore = 1.5;
-/** A rare model that has to let others go first waits its turn and its load. */
+/** A deferred load takes this many load times: one to wait for its turn, one
+ * for itself. */
 constexpr int kLaneTurns = 2;
-/** An engine that failed to load a model is not asked for it again so soon. */
+/** An engine that failed to load a model is not asked again for this long. */
 constexpr milliseconds kAvoidAfterFailure{2000};
-/** Between two tries to add a replica of one model. */
+/** Pause between two attempts to add a replica of a model. */
 constexpr milliseconds kReplicaPause{1500};
-/** A further replica must not make callers of others wait longer than this. */
+/** Maximum eviction cost of a further replica, as the time that callers of
+ * evicted models would wait. */
 constexpr milliseconds kReplicaWorth{4000};
 constexpr milliseconds kAdapterTime{30};
-/** Longest wait for an adapter; no caller waits longer than some seconds. */
+/** Time limit of an adapter load; no caller waits longer than a few seconds. */
 constexpr milliseconds kAdapterLimit{3000};
-/** A wake-up that is this much later than it should be is not counted on. */
+/** A load that is late by more than this is no longer relied on. */
 constexpr milliseconds kOverdue{1000};
-/** Between two tries to add replicas while many wait. */
+/** Pause between two attempts to add replicas while many requests wait. */
 constexpr milliseconds kUrgentPause{500};
-/** How long the time of a load from the weight store tells of the next. */
+/** How long a measured load time of the weight store predicts the next one. */
 constexpr milliseconds kStoreLoadFresh{15'000};
 
 }  // namespace
@@ -120,7 +124,8 @@
   return policy::ChooseWakeUp(spec.bytes, loads, views);
 }
 
-/** @return Engines that could load it and whose orders somebody gives. */
+/** @return Engines that could load the model and whose controllers are
+ * reachable. */
 std::vector<FoundLoader> ModelLoader::FindLoaders(
     const routing::Service& service, const core::ModelId& model) const {
   std::vector<FoundLoader> loaders = finder_.FindLoaders(service, model);
@@ -142,16 +147,15 @@
   return first;
 }
 
-/**
- * Keeps rare models from crowding the weight store, which slows all loads down
- * and blocks engines that could load a busy model from disk.
- */
+/** @return True if a load from the weight store has to wait. Rare models must
+ * not overload the store, which would slow all loads down and block engines
+ * that could load a busy model from disk. */
 bool ModelLoader::LanesAreForOthers(const routing::Service& service,
                                     const core::ModelId& model) const {
   const int loads = finder_.StoreLoads(service.id);
   if (loads == 0) return false;
-  // In company each load takes longer from some number on, which nobody tells:
-  // once loads take so much longer, one more only holds up the others.
+  // From some unknown number on, concurrent loads slow each other down. Once
+  // loads take this much longer, one more only delays the others.
   const milliseconds alone = service.engine->models.at(model).load_times.remote;
   const auto crowded = kCrowdedStore * std::chrono::duration<double>(alone);
   if (StoreLoadTime() > crowded) return true;
@@ -180,15 +184,16 @@
     return it.view.tier != policy::Tier::kRemote;
   });
   const auto plan = Plan(service, model, loaders);
-  // An engine with a near copy may have become known since the load was
-  // requested.
+  // An engine with a copy in memory or on disk may have registered since the
+  // load was requested.
   const bool faster = plan && left && plan->ready_in + kSlowWakeUp < *left;
   if (left && !faster) return left;
   const bool from_store =
       plan && loaders[plan->engine].view.tier == policy::Tier::kRemote;
   if (from_store && clock_.Now() - began_ < kGettingToKnow) return kLookSoon;
-  // Engines with a near copy have no room for a moment only. A load from the
-  // weight store would take longer and keep others from trying them.
+  // Engines with a copy in memory or on disk lack room only for a moment. A
+  // load from the weight store would take longer and keep others from trying
+  // them.
   if (from_store && is_near) return kLookSoon;
   if (from_store && LanesAreForOthers(service, model)) {
     return kLaneTurns * plan->ready_in;
@@ -266,7 +271,8 @@
       coming, [](const ComingModel& it) { return it.ready_in < kSlowWakeUp; });
   if (soon >= at_once) return;
   std::vector<FoundLoader> loaders = FindLoaders(service, model);
-  // A load from the weight store takes long: near copies are tried beside it.
+  // A load from the weight store is slow, so copies in memory or on disk are
+  // tried in parallel.
   if (!coming.empty() || need != policy::ReplicaNeed::kUrgent) {
     std::erase_if(loaders, [](const FoundLoader& it) {
       return it.view.tier == policy::Tier::kRemote ||
@@ -365,7 +371,8 @@
   return load_request;
 }
 
-/** What the engine's entry in the store will show only later. */
+/** Records the effects of the load, which the engine's entry in the store shows
+ * only later. */
 void ModelLoader::NoteLoaded(const Try& asked, const Pending& pending,
                              const std::vector<core::ModelId>& evict,
                              milliseconds took) {
@@ -399,10 +406,8 @@
   return std::max(peer_table_.StoreLoadTime(), OwnStoreLoad());
 }
 
-/**
- * Joins a load that another entry has requested, to learn of its end at once
- * instead of with the engine's next entry in the store.
- */
+/** Joins a load that another entry has requested, to learn of its end at once
+ * instead of from the next update of the engine's entry in the store. */
 void ModelLoader::Join(const LoadTarget& target) {
   const bool asked_here = std::ranges::any_of(pending_, [&](const auto& it) {
     return !(it.first.target < target) && !(target < it.first.target);
--- a/src/serving/model_loader_base.h
+++ b/src/serving/model_loader_base.h
@@ -1,4 +1,4 @@
-/** @file model_loader_base.h Has models loaded that requests wait for. */
+/** @file model_loader_base.h Requests loads of models that callers wait for. */
 #ifndef SAPPHIRE_SERVING_MODEL_LOADER_BASE_H_
 #define SAPPHIRE_SERVING_MODEL_LOADER_BASE_H_
 
@@ -35,11 +35,12 @@
 };
 
 /**
- * Asks endpoints to load. All entries see the same engines and choose by the
- * same rules, so that two of them that want one model at one time mostly ask
- * the same endpoint, which loads it once; nobody has to be asked first, and no
- * entry's end delays a wake-up. What is on its way is told to the other
- * entries, who ask the same endpoint and so hear of its end at once.
+ * Requests model loads from endpoints. All entries see the same engines and
+ * choose by the same rules, so two entries that need a model at the same time
+ * mostly ask the same endpoint, which loads it once. No coordinator is needed,
+ * and an entry that stops delays no load. Pending loads are broadcast to the
+ * other entries, which ask the same endpoint and so learn of the load's end at
+ * once.
  */
 class ModelLoader {
  public:
@@ -50,67 +51,67 @@
               const core::Executor& executor, const core::Clock& clock,
               const core::Logger& log);
 
-  /** A caller has asked for the model, whether it is loaded or not. */
+  /** Records a caller's request for the model, whether it is loaded or not. */
   void NoteAsked(const core::ModelId& model) {
     asked_.NoteBegun({model, core::AdapterId()});
   }
 
   /**
-   * Has a model loaded, unless it is on its way.
-   * @return When it is expected to serve, or when to look again if no engine
-   *   has room now; nothing if none is in reach.
+   * Requests a load of a model unless one is pending.
+   * @return Time until the model is expected to serve, or until the next
+   *   attempt if no engine has room now; nullopt if none is reachable.
    */
   std::optional<milliseconds> Wake(const routing::Service& service,
                                    const core::ModelId& model,
                                    const core::RequestId& request);
 
-  /** Has an adapter loaded at an engine that holds its model. */
+  /** Requests a load of an adapter on an engine that holds its model. */
   void WakeAdapter(const core::ServiceId& service,
                    const fleet::InstanceId& instance,
                    const core::ModelId& model, const core::AdapterId& adapter,
                    const core::RequestId& request);
 
   /**
-   * Has one more replica loaded, as far as the need for it is worth it.
-   * @param at_once So many may be on their way together.
+   * Requests a load of one more replica if the need justifies its cost.
+   * @param at_once Maximum number of the model's loads that may be pending.
    */
   void AddReplica(const routing::Service& service, const core::ModelId& model,
                   policy::ReplicaNeed need, int at_once = 1);
 
-  /** @return False if whoever orders the engine can't be reached now. */
+  /** @return False if the engine's controller is unreachable. */
   [[nodiscard]] bool CanOrder(const fleet::InstanceId& instance) const {
     return calls_.UnreachableFor(instance) == milliseconds(0);
   }
 
-  /** @return Until a process that orders engines of the service and can't be
-   * reached now is asked again; nothing if all can be. */
+  /** @return Time until the next attempt to reach an unreachable controller of
+   * the service's engines; nullopt if all are reachable. */
   [[nodiscard]] std::optional<milliseconds> FirstReachable(
       const core::ServiceId& service) const;
 
-  /** @return True if the engine could not load it a moment ago, or can't be
-   * ordered now. */
+  /** @return True if the engine recently failed to load the target, or its
+   * controller is unreachable. */
   [[nodiscard]] bool FailedLately(const LoadTarget& target,
                                   const fleet::InstanceId& instance) const;
 
-  /** Moves when a wake-up has ended, well or not, and when the engines have
+  /** Notified when a load has succeeded or failed, and when the engines have
    * changed. */
   [[nodiscard]] core::Signal& changed() { return changed_; }
 
-  /** @return The loads that this entry has asked for. */
+  /** @return The pending model loads that this entry has requested. */
   [[nodiscard]] std::vector<fleet::ComingLoad> Asked() const;
 
-  /** @return What the latest load from the weight store took that this entry
-   * asked for; 0 if none ended lately. */
+  /** @return Duration of the latest load from the weight store that this entry
+   * requested; 0 if none ended recently. */
   [[nodiscard]] milliseconds OwnStoreLoad() const;
 
  private:
   struct Pending {
     core::SteadyTime ready;
     policy::Tier tier = policy::Tier::kRemote;
-    /** Another entry has asked for it before. */
+    /** True if another entry has requested the load before. */
     bool joined = false;
   };
-  /** A wake-up at one engine. */
+  /** A load on one engine. */
   struct Try {
     LoadTarget target;
     fleet::InstanceId instance;
@@ -132,8 +133,8 @@
   [[nodiscard]] bool LanesAreForOthers(const routing::Service& service,
                                        const core::ModelId& model) const;
   [[nodiscard]] bool IsOftenAsked(const core::ModelId& model) const;
-  /** @return Where it is being loaded, as far as entries tell or this one has
-   * asked. */
+  /** @return Pending loads of the target, as reported by peers or requested by
+   * this entry. */
   [[nodiscard]] std::vector<ComingModel> Coming(const LoadTarget& target) const;
   std::optional<milliseconds> OnItsWay(const LoadTarget& target) const;
   std::optional<policy::WakeUpPlan> Plan(
@@ -163,7 +164,7 @@
   const core::Logger& log_;
   core::Signal changed_;
   std::optional<StoreLoad> store_load_;
-  /** What callers ask this entry for. */
+  /** Models that callers request from this entry. */
   fleet::ModelUsage asked_;
   std::map<Try, Pending> pending_;
   std::map<Try, core::SteadyTime> failures_;
