--- a/src/serving/caller_type.h
+++ b/src/serving/caller_type.h
@@ -27,12 +27,13 @@
 
 /** One attempt of a caller. */
 struct CallerRequest {
-  /** Names this attempt; a caller's next one has another id. */
+  /** Id of this attempt; the caller's next attempt has another one. */
   core::RequestId id;
   std::string host;
-  /** What engines get: method, target, body and the fields to pass on. */
+  /** What engines receive: method, target, body and the header fields to
+   * forward. */
   http::Request forward;
-  /** Fields with the caller's credentials, which are not among those. */
+  /** Header fields with the caller's credentials; not part of `forward`. */
   std::vector<http::Header> credentials;
   /** How long the caller will wait. */
   milliseconds time_to_wait{0};
@@ -41,28 +42,29 @@
   core::AdapterId adapter;
   std::int64_t prompt_tokens = 0;
   std::int64_t max_output_tokens = 0;
-  /** The caller states the two numbers above. */
+  /** True if the caller states the two numbers above. */
   bool states_tokens = false;
-  /** Nothing: the caller sent no key, or not in the form that is asked for. */
+  /** Empty if the caller sent no key, or a malformed one. */
   std::optional<organisation::ApiKey> api_key;
   std::vector<PromptPart> prompt_parts;
-  /** The caller has the stream up to this event and wants the rest. */
+  /** Last event that the caller has received; the stream resumes after it. */
   std::optional<std::int64_t> last_event;
 };
 
-/** What goes with one send to one engine. */
+/** Parameters of one send to one engine. */
 struct SendOptions {
-  /** The start of the engine that is meant: another one must not run it. */
+  /** The addressed instance; no other start of the engine may run the request.
+   */
   fleet::InstanceId instance;
-  /** The engine stops its work after this. */
+  /** The engine stops processing after this. */
   milliseconds time_left{0};
-  /** 0 to 9, 0 goes first inside the engine. */
+  /** Priority inside the engine, 0 (first) to 9. */
   int rank = 0;
-  /** The stream goes on after this event. */
+  /** The stream resumes after this event. */
   std::optional<std::int64_t> last_event;
-  /** Whose request it is; empty: nobody's. */
+  /** Organisation that sent the request; empty if none. */
   core::OrganisationId organisation;
-  /** Callers' credentials are for the engine: none are asked for here. */
+  /** Forwards the caller's credentials, which only the engine checks. */
   bool pass_credentials = false;
 };
 
@@ -71,22 +73,22 @@
   int status = 0;
   /** The engine says that it did not run the request. */
   bool not_run = false;
-  /** It bears the mark of an engine: no other program made it. */
+  /** The answer carries an engine's mark: no other program sent it. */
   bool genuine = false;
-  /** The engine that answers; empty if it names none. */
+  /** Engine that answers; empty if the answer names none. */
   fleet::EngineId engine;
-  /** The request it answers; empty if it names none. */
+  /** Request that is answered; empty if the answer names none. */
   core::RequestId id;
-  /** How many requests the engine takes. */
+  /** Rate limit that the engine announces. */
   fleet::LimitNotice limit;
-  /** What the caller gets. */
+  /** Head of the answer to the caller. */
   http::ResponseHead to_caller;
 };
 
-/** What an engine says of itself when it is asked. */
+/** State that an engine reports when queried. */
 struct EngineState {
   int running = 0;
-  /** Requests that wait inside it. */
+  /** Requests queued inside the engine. */
   int waiting = 0;
   std::int64_t kv_tokens_used = 0;
   std::int64_t kv_tokens_total = 0;
@@ -94,19 +96,19 @@
   fleet::NearCopies copies;
 };
 
-/** Translates what callers send and get. */
+/** Converts requests and answers from and to the callers' wire format. */
 class CallerWire {
  public:
   virtual ~CallerWire() = default;
   /** @throws core::Error for a request that can't be read. */
   [[nodiscard]] virtual CallerRequest Decode(
       const http::Request& request) const = 0;
-  /** @return The answer that tells the caller of `error`. */
+  /** @return The answer that reports `error` to the caller. */
   [[nodiscard]] virtual http::Response Refusal(
       const core::Error& error, const core::RequestId& id) const = 0;
 };
 
-/** Translates what engines get and send. */
+/** Converts requests and answers to and from the engines' wire format. */
 class EngineWire {
  public:
   virtual ~EngineWire() = default;
@@ -114,8 +116,8 @@
       const CallerRequest& request, const SendOptions& options) const = 0;
   [[nodiscard]] virtual EngineAnswer Read(
       const http::ResponseHead& head) const = 0;
-  /** @return The question how busy an engine is and what it holds; another
-   * start than `instance` does not answer it. */
+  /** @return The query for an engine's load and held models; no other start
+   * than `instance` answers it. */
   [[nodiscard]] virtual http::Request StateQuestion(
       const fleet::InstanceId& instance) const = 0;
   /** @throws core::Error for an answer that can't be read. */
--- a/src/serving/engine_chooser.cc
+++ b/src/serving/engine_chooser.cc
@@ -140,8 +140,8 @@
 }
 
 /** Queries the load of the best candidates if they may be busy. Peers' reports
- * arrive seconds late, so all entries used to send to the engine that looked
- * idle, and its streams paused. */
+ * arrive seconds late; without the query all entries send to the engine that
+ * looked idle, and its streams pause. */
 core::Task<> EngineChooser::GaugeCrowded(const RequestWork& work) {
   if (work.request.model.empty() || peer_table_.Age() <= kAgeToGoBy) co_return;
   std::vector<FoundReplica> found =
--- a/src/serving/engine_clients.cc
+++ b/src/serving/engine_clients.cc
@@ -1,4 +1,4 @@
-/** @file engine_clients.cc The connections to engines. */
+/** @file engine_clients.cc HTTP clients of the engines. */
 #include <chrono>
 
 #include "serving/engine_clients_base.h"
@@ -7,7 +7,8 @@
 
 namespace {
 
-/** Idle time of connections to engines: engines close them after 1.5 s. */
+/** Maximum idle time of connections to engines, which close them after 1.5 s.
+ */
 constexpr std::chrono::milliseconds kEngineIdle{900};
 
 }  // namespace
--- a/src/serving/engine_clients_base.h
+++ b/src/serving/engine_clients_base.h
@@ -1,4 +1,4 @@
-/** @file engine_clients_base.h The connections to engines. */
+/** @file engine_clients_base.h HTTP clients of the engines. */
 #ifndef SAPPHIRE_SERVING_ENGINE_CLIENTS_BASE_H_
 #define SAPPHIRE_SERVING_ENGINE_CLIENTS_BASE_H_
 
@@ -11,12 +11,13 @@
 
 namespace sapphire::serving {
 
-/** One client an engine, for all that is sent there. One thread. */
+/** Keeps one HTTP client per engine, shared by all sends to it. Not
+ * thread-safe. */
 class EngineClients {
  public:
   std::shared_ptr<http::Client> Of(const fleet::EngineEntry& engine);
 
-  /** Forgets engines that are not in `alive`. */
+  /** Drops the clients of engines that are not in `alive`. */
   void Forget(const std::set<fleet::InstanceId>& alive);
 
  private:
--- a/src/serving/exchange.cc
+++ b/src/serving/exchange.cc
@@ -1,4 +1,4 @@
-/** @file exchange.cc One send of a request to one engine. */
+/** @file exchange.cc Sends a request to one engine, relays its answer. */
 #include <algorithm>
 #include <boost/asio/this_coro.hpp>
 #include <memory>
@@ -12,7 +12,8 @@
 
 namespace {
 
-/** An engine on a near VM takes a connection in a few milliseconds. */
+/** Connect timeout; an engine on a near VM accepts a connection in a few
+ * milliseconds. */
 constexpr milliseconds kConnectLimit{400};
 
 constexpr int kFirstSuccess = 200;
@@ -22,7 +23,8 @@
 constexpr int kTooMany = 429;
 constexpr int kUnavailable = 503;
 
-/** @return True for statuses that promise callers that nothing has run. */
+/** @return True for statuses that promise callers that the request has not run.
+ */
 bool PromisesNotRun(int status) {
   return status == kRequestTimeout || status == kMisdirected ||
          status == kTooMany || status == kUnavailable;
@@ -32,9 +34,9 @@
   return status >= kFirstSuccess && status < kFirstRedirect;
 }
 
-/** What one read of an answer gave. */
+/** Result of one read of an answer. */
 struct PartRead {
-  /** Nothing: the answer is whole, or `error` says why not. */
+  /** Empty if the answer is complete, or if `error` is set. */
   std::optional<std::string> bytes;
   std::string error;
   bool timed_out = false;
@@ -52,7 +54,7 @@
   co_return read;
 }
 
-/** Runs one send; holds what its steps share. */
+/** Runs one send; holds the state that its steps share. */
 class Exchange {
  public:
   Exchange(http::Client& engine, const EngineWire& wire,
@@ -103,7 +105,7 @@
     co_return failure;
   }
 
-  /** @return The end of the send, if its head alone decides it. */
+  /** @return The result of the send, if the answer's head alone decides it. */
   std::optional<ExchangeResult> JudgeHead() {
     if (answer_.not_run || answer_.status == kMisdirected) {
       ExchangeResult refused =
@@ -115,14 +117,15 @@
       refused.lacks_model = misdirected && !refused.replaced;
       return refused;
     }
-    // A second answer to an earlier request may arrive on the connection.
+    // A duplicate answer to an earlier request may arrive on the connection.
     if (!answer_.id.empty() && answer_.id != request_.id) {
       return Failed(ExchangeEnd::kLost, "an answer to another request", false);
     }
     if (IsSuccess(answer_.status) && !answer_.genuine) {
       return Failed(ExchangeEnd::kLost, "no answer of an engine", false);
     }
-    // Passed on, it would promise what the engine has not said.
+    // Relayed, the status would promise that the request has not run, which the
+    // engine did not say.
     if (PromisesNotRun(answer_.status)) {
       return Failed(ExchangeEnd::kLost,
                     "status " + std::to_string(answer_.status) +
@@ -132,7 +135,7 @@
     return std::nullopt;
   }
 
-  /** Reads the whole body first: a cut answer is never passed on. */
+  /** Reads the complete body first: a truncated answer is never relayed. */
   core::Task<ExchangeResult> PassWhole() {
     http::Response response;
     response.head = answer_.to_caller;
@@ -165,7 +168,7 @@
     co_return result;
   }
 
-  /** Passes a stream on as it comes, whole events only. */
+  /** Relays a stream as it arrives, complete events only. */
   core::Task<ExchangeResult> Relay() {
     caller_.events.StartRun();
     bool first = true;
@@ -195,7 +198,7 @@
     }
   }
 
-  /** @return Why the caller can't be written to; empty if it can. */
+  /** @return The error that prevents writing to the caller; empty if none. */
   core::Task<std::string> Write(const std::string& bytes, bool over) {
     std::string failure;
     try {
@@ -217,7 +220,7 @@
     co_return failure;
   }
 
-  /** A part is passed on now. */
+  /** Updates the longest pause; called when a part is relayed. */
   void NotePause() {
     const core::SteadyTime now = clock_.Now();
     if (caller_.last_part != core::SteadyTime()) {
--- a/src/serving/follow.cc
+++ b/src/serving/follow.cc
@@ -1,4 +1,4 @@
-/** @file follow.cc How entries follow the store. */
+/** @file follow.cc Timing of how entries follow the store. */
 #include <algorithm>
 
 #include "serving/follow_func.h"
@@ -9,27 +9,29 @@
 
 using std::chrono::milliseconds;
 
-/** In a large fleet something changes all the time: a call for each change
- * would cost more than it tells. */
+/** Bounds of the pause in which changes are gathered: in a large fleet
+ * something changes all the time, and a call for each change would cost too
+ * much. */
 constexpr milliseconds kLeastGather{300};
 constexpr milliseconds kMostGather{1500};
-/** Of the bound, half is for what may go wrong (a silent store, its next try,
- * entries that lapsed), and some more. */
+/** Half of the bound and kLessGather more are reserved for failures: a silent
+ * store, its retry and lapsed entries. */
 constexpr int kGatherShare = 2;
 constexpr milliseconds kLessGather{1000};
-/** For the listing that follows a failed call, and for timers that fire late.
- */
+/** Reserve for the listing after a failed call, and for late timers. */
 constexpr milliseconds kRest{100};
-/** Where the bound leaves less for a watch, it can't be kept: a watch that
- * hardly waits would ask the store several times a second. */
+/** Minimum wait of a watch. If the bound leaves less, it can't be kept: a
+ * shorter wait would call the store several times a second. */
 constexpr milliseconds kLeastWatch{300};
-/** Longer waits save next to nothing: 20 calls a watch and minute are left. */
+/** Maximum wait of a watch. Longer waits save little: 20 calls per watch and
+ * minute remain. */
 constexpr milliseconds kMostWatch{3000};
 
 /**
- * How long a watch waits. If the store forgets the watch, or its connection
- * dies without a reset, a change is seen after the gathering pause, this wait,
- * the call's timeout, the retry pause and a listing: together below the bound.
+ * @return How long a watch waits. If the store loses the watch, or its
+ *   connection dies without a reset, a change is seen after the gathering
+ *   pause, this wait, the call's timeout, the retry pause and a listing:
+ *   together less than the bound.
  */
 milliseconds WatchWait(const Freshness& freshness, milliseconds gather,
                        milliseconds retry_pause) {
@@ -46,8 +48,8 @@
                               kLeastGather, kMostGather);
   options.watch_wait =
       WatchWait(freshness, options.gather, options.retry_pause);
-  // What is held is dropped at the next look, and a request chosen just before
-  // is on its way for some milliseconds.
+  // Held engines are dropped by the next housekeeping, and a request that was
+  // routed just before is in transit for a few milliseconds.
   options.lapse_wait =
       std::max(freshness.bound - kHousekeeping - kRest, milliseconds(0));
   options.late_after = freshness.bound;
--- a/src/serving/follow_func.h
+++ b/src/serving/follow_func.h
@@ -1,4 +1,4 @@
-/** @file follow_func.h How entries follow the store. */
+/** @file follow_func.h Timing of how entries follow the store. */
 #ifndef SAPPHIRE_SERVING_FOLLOW_FUNC_H_
 #define SAPPHIRE_SERVING_FOLLOW_FUNC_H_
 
@@ -13,17 +13,17 @@
  * derived from this bound, so that their sum stays below it.
  */
 struct Freshness {
-  /** This long after a disturbance all that follows the store is up to date. */
+  /** Time after a disturbance within which the view is up to date again. */
   std::chrono::milliseconds bound{3000};
-  /** Limit of one call to the store, besides what a watch waits. */
+  /** Timeout of one call to the store, in addition to the wait of a watch. */
   std::chrono::milliseconds call_limit{1000};
 };
 
-/** How often an entry drops what has expired. */
+/** Interval at which an entry drops expired state. */
 inline constexpr std::chrono::milliseconds kHousekeeping{250};
 
-/** @return How an entry follows the configuration, the engines, the other
- * entries and requests that crash engines. */
+/** @return Options with which an entry follows the configuration, the engines,
+ * the other entries and requests that crash engines. */
 [[nodiscard]] routing::FollowOptions StoreFollowOptions(
     const Freshness& freshness);
 
--- a/src/serving/follow_test.cc
+++ b/src/serving/follow_test.cc
@@ -1,4 +1,5 @@
-/** @file follow_test.cc Tests of how old what an entry believes may be. */
+/** @file follow_test.cc Tests of the age limit of an entry's view of the store.
+ */
 #define BOOST_TEST_MODULE follow
 #include <boost/test/unit_test.hpp>
 #include <chrono>
@@ -11,8 +12,8 @@
 
 using std::chrono::milliseconds;
 
-/** From the moment at which the store or a connection falls silent until the
- * listing that tells what has changed. */
+/** @return Time from the moment at which the store or a connection falls silent
+ * until the listing that shows what has changed. */
 milliseconds LongestBlindness(const routing::FollowOptions& options,
                               const Freshness& freshness) {
   return options.gather + options.watch_wait + freshness.call_limit +
@@ -21,12 +22,9 @@
 
 }  // namespace
 
-/**
- * Callers get answers by a configuration, a list of engines or of deadly
- * requests that is older than the operators allow. The store forgets a watch,
- * or its connection dies without a reset; each wait until the next listing is
- * short, together they are longer than the bound.
- */
+/** Guards against a view of the store that is older than operators allow. The
+ * store loses a watch, or its connection dies without a reset: each wait until
+ * the next listing is short, but their sum exceeded the bound. */
 BOOST_AUTO_TEST_CASE(NothingThatFollowsTheStoreIsBlindForLongerThanItsBound) {
   for (const milliseconds bound :
        {milliseconds(3000), milliseconds(4000), milliseconds(5000)}) {
@@ -36,7 +34,8 @@
   }
 }
 
-/** A bound that can't be kept must not make an entry ask without a pause. */
+/** Guards against calls to the store without a pause if the bound is too short
+ * to be kept. */
 BOOST_AUTO_TEST_CASE(AWatchWaitsHoweverShortTheBound) {
   const Freshness freshness{milliseconds(500), milliseconds(1000)};
   BOOST_TEST((StoreFollowOptions(freshness).watch_wait >= milliseconds(300)));
--- a/src/serving/front.cc
+++ b/src/serving/front.cc
@@ -1,4 +1,4 @@
-/** @file front.cc All parts of an entry that sends to engines itself. */
+/** @file front.cc Assembles an entry that sends requests to engines. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -21,12 +21,13 @@
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
 constexpr milliseconds kLeavePoll{20};
-/** A balancer asks once a second and goes by two answers: new connections may
- * come for this long after we have stopped being ready. */
+/** A load balancer probes once a second and decides by two answers: new
+ * connections may arrive for this long after the entry has stopped being ready.
+ */
 constexpr milliseconds kBalancerLag{2500};
 /** A link to an endpoint without a load request for this long is closed. */
 constexpr milliseconds kIdleLink{3000};
-/** Left for the end of the process itself. */
+/** Time reserved for the process to exit. */
 constexpr milliseconds kLastMoments{300};
 
 link::LinkOptions LinkOptionsOf(const FrontOptions& options) {
@@ -46,7 +47,7 @@
   return leases;
 }
 
-/** An entry leaves an engine to another process that orders it. */
+/** Does nothing: an entry leaves an engine to the process that controls it. */
 core::Task<> LeaveToHolder(const gen::EngineHolder& /*holder*/,
                            const std::string& /*engine*/) {
   co_return;
@@ -94,7 +95,7 @@
           clock,         log};
 }
 
-/** Two starts of an entry never share a key. */
+/** @return A store key that is unique to this start of the entry. */
 std::string PresenceKeyOf(const FrontOptions& options) {
   return fmt::format("{}{}@{}", fleet::kEntryPrefix, options.vm.value(),
                      core::RandomHexId());
@@ -135,7 +136,7 @@
   return quota;
 }
 
-/** @return The datagram of a quota client as one on engines' limits. */
+/** @return The quota client's datagram as one about engines' limits. */
 gen::EntryDatagram ForEngines(const gen::EntryDatagram& datagram) {
   gen::EntryDatagram out;
   if (datagram.__isset.quota_ask) out.__set_engine_ask(datagram.quota_ask);
@@ -301,7 +302,8 @@
   return view;
 }
 
-/** Guards against keys that were revoked while the store can't be read. */
+/** @return False if strict revocation is on and the store has not answered
+ * recently: keys may have been revoked meanwhile. */
 bool Front::KeysConfirmed() const {
   if (!options_.revocation.strict) return true;
   const auto answered = store_follower_.last_answer();
@@ -352,7 +354,7 @@
           crash_watch_.Hooks()};
 }
 
-/** Has a model loaded at an engine that this entry orders. */
+/** Loads a model on an engine that this entry controls. */
 core::Task<> Front::EnsureHere(gen::EnsureModel load_request) {
   const auto controller =
       pool_.Find(fleet::InstanceId(load_request.engine_instance));
@@ -385,7 +387,8 @@
   UpdateHeartbeats();
 }
 
-/** Entries that share a limit have to know which of them live. */
+/** Turns heartbeats on while entries share a limit: they have to know which of
+ * them are alive. */
 void Front::UpdateHeartbeats() {
   const auto table = configuration_.current();
   const bool has_quotas = table != nullptr && table->HasOrganisations();
@@ -435,7 +438,7 @@
     }
     const core::SteadyTime due = clock_.Now() + kHousekeeping;
     co_await core::SleepFor(kHousekeeping);
-    // Whatever held the thread up meanwhile has held up this timer too.
+    // Whatever blocked the thread meanwhile has delayed this timer too.
     stalls_.Note("any",
                  std::chrono::duration_cast<milliseconds>(clock_.Now() - due));
   }
--- a/src/serving/front_base.h
+++ b/src/serving/front_base.h
@@ -1,4 +1,4 @@
-/** @file front_base.h All parts of an entry that sends to engines itself. */
+/** @file front_base.h Assembles an entry that sends requests to engines. */
 #ifndef SAPPHIRE_SERVING_FRONT_BASE_H_
 #define SAPPHIRE_SERVING_FRONT_BASE_H_
 
@@ -50,7 +50,8 @@
 struct FrontOptions {
   core::VmId vm;
   core::ZoneId zone;
-  /** For callers; for the balancer's question whether we are ready. */
+  /** Address for callers; address and path of the load balancer's readiness
+   * probe. */
   std::string listen;
   std::string ready_listen;
   std::string ready_path;
@@ -58,18 +59,18 @@
   /** Port on which endpoint processes listen for links, on the engine's VM. */
   std::uint16_t endpoint_link_port = 0;
   DispatchOptions dispatch;
-  /** For whoever collects metrics. */
+  /** Address on which metrics are served. */
   std::string metrics_listen;
   Freshness freshness;
   RevocationRule revocation;
   quota::QuotaRules quota;
-  /** Of the engines that entries order. */
+  /** Leases of the engines that this entry controls. */
   orders::LeaseOptions leases;
-  /** Until the process is killed after it was asked to leave. */
+  /** Time from the stop request until the process is killed. */
   milliseconds leave_limit{8000};
 };
 
-/** One thread. */
+/** Connects and runs all components of an entry. Not thread-safe. */
 class Front {
  public:
   /** @pre All references outlive the front. */
@@ -85,7 +86,8 @@
     dispatcher_.SetRepeatLimits(limits);
   }
 
-  /** Leaves without cutting an answer; returns when the process may end. */
+  /** Shuts down without cutting off an answer; returns when the process may
+   * end. */
   core::Task<> Leave();
 
  private:
@@ -133,7 +135,7 @@
   PeerChannel channel_;
   quota::QuotaClient quota_client_;
   QuotaGate quota_;
-  /** Shares the limits that engines name. */
+  /** Shares the rate limits that engines announce. */
   quota::QuotaClient engine_quota_client_;
   EngineRateLimiter rate_limiter_;
   ConfigurationRefresh refresh_;
--- a/src/serving/quota_gate.cc
+++ b/src/serving/quota_gate.cc
@@ -1,4 +1,4 @@
-/** @file quota_gate.cc Lets requests in that are within their quota. */
+/** @file quota_gate.cc Charges requests to their organisations' quotas. */
 #include <memory>
 #include <optional>
 
@@ -22,7 +22,7 @@
   return quota::QuotaId(organisation.id.value());
 }
 
-/** A decision on its way. Shared: the request may end before it comes. */
+/** A pending decision. Shared: the request may end before it arrives. */
 struct Awaited {
   std::optional<quota::QuotaDecision> decision;
   core::Signal changed;
--- a/src/serving/quota_gate_base.h
+++ b/src/serving/quota_gate_base.h
@@ -1,4 +1,4 @@
-/** @file quota_gate_base.h Lets requests in that are within their quota. */
+/** @file quota_gate_base.h Charges requests to their organisations' quotas. */
 #ifndef SAPPHIRE_SERVING_QUOTA_GATE_BASE_H_
 #define SAPPHIRE_SERVING_QUOTA_GATE_BASE_H_
 
@@ -17,7 +17,7 @@
                                           quota::SharedLimit limit,
                                           double cost);
 
-/** Charges requests to their organisations. One thread. */
+/** Charges requests to their organisations. Not thread-safe. */
 class QuotaGate {
  public:
   /** @pre `client` outlives it. */
@@ -25,12 +25,12 @@
 
   /**
    * Charges a request to its organisation.
-   * @param version Of the configuration that the organisation is from.
+   * @param version Version of the configuration that the organisation is from.
    */
   core::Task<quota::QuotaDecision> Take(organisation::Organisation organisation,
                                         std::int64_t version, double cost);
 
-  /** The request did not run. */
+  /** Returns the units of a request that did not run. */
   void GiveBack(const organisation::Organisation& organisation,
                 std::int64_t version, double cost);
 
--- a/src/serving/replica_finder.cc
+++ b/src/serving/replica_finder.cc
@@ -1,4 +1,5 @@
-/** @file replica_finder.cc Engines as the choices of a request see them. */
+/** @file replica_finder.cc Lists engines that can serve a request or load a
+ * model. */
 #include <algorithm>
 #include <map>
 #include <utility>
@@ -23,8 +24,7 @@
   return policy::Tier::kRemote;
 }
 
-/** What engines hold and how much of it is in use is worked out anew after
- * this. */
+/** Maximum age of cached load candidates. */
 constexpr milliseconds kViewsFresh{250};
 
 /** Replicas and demand of each model, over all engines of a service. */
@@ -53,7 +53,7 @@
                            const std::set<fleet::InstanceId>& avoid) const {
   if (engine.service != service || engine.draining) return false;
   const fleet::UsedPart model{request.model, core::AdapterId()};
-  // Of hundreds of engines few hold the model: asked first.
+  // Checked first: few of hundreds of engines hold the model.
   const bool holds = request.model.empty() ||
                      FindHeld(engine, request.model) != nullptr ||
                      loads_.HasLoaded(engine.instance, model);
@@ -108,7 +108,7 @@
   view.running = peer_table_.Running(engine.instance);
   const LoadGauge* gauge = gauges_.Find(engine.instance);
   if (gauge != nullptr) {
-    // It counts our own requests as they were when it was asked.
+    // The engine's figure includes this entry's own requests as of the query.
     const int others = gauge->state.running - gauge->own_running;
     view.running = loads_.Running(engine.instance) + std::max(others, 0);
     view.waiting = gauge->state.waiting;
@@ -155,7 +155,7 @@
   }
   for (const fleet::ComingLoad& it : peer_table_.ComingAt(engine.instance)) {
     if (FindHeld(engine, it.model) != nullptr) continue;
-    // One on its way is wanted by somebody: as good as in use.
+    // A model is loaded because requests wait for it, so it counts as in use.
     policy::ResidentModel resident = resident_of(it.model);
     resident.running = 1;
     residents.push_back(std::move(resident));
--- a/src/serving/replica_finder_base.h
+++ b/src/serving/replica_finder_base.h
@@ -1,4 +1,5 @@
-/** @file replica_finder_base.h Engines as the choices of a request see them. */
+/** @file replica_finder_base.h Lists engines that can serve a request or load a
+ * model. */
 #ifndef SAPPHIRE_SERVING_REPLICA_FINDER_BASE_H_
 #define SAPPHIRE_SERVING_REPLICA_FINDER_BASE_H_
 
@@ -22,9 +23,10 @@
 struct FoundReplica {
   fleet::InstanceId instance;
   policy::ReplicaCandidate view;
-  /** It holds the adapter too, or none is asked for. */
+  /** True if the engine holds the adapter too, or none is requested. */
   bool has_adapter = true;
-  /** Until its engine, which takes one order at a time, takes another. */
+  /** Time until the engine, which executes one order at a time, accepts
+   * another. */
   milliseconds order_left{0};
 };
 
@@ -34,14 +36,14 @@
   policy::WakeUpCandidate view;
 };
 
-/** A model on its way to an engine. */
+/** A pending load of a model on an engine. */
 struct ComingModel {
   fleet::InstanceId instance;
   milliseconds ready_in{0};
 };
 
-/** Joins the registry, what entries tell each other and our own sends. One
- * thread. */
+/** Combines the registry, the entries' usage reports and this entry's own
+ * sends. Not thread-safe. */
 class ReplicaFinder {
  public:
   /** @pre All references outlive the finder. */
@@ -55,37 +57,36 @@
       const core::ServiceId& service, const CallerRequest& request,
       const std::set<fleet::InstanceId>& avoid) const;
 
-  /** @return Until the first engine may be sent to that Find leaves out only as
-   * it is throttled; nothing if there is none. */
+  /** @return Time until the first engine becomes available that Find omits only
+   * because it is throttled; nullopt if there is none. */
   [[nodiscard]] std::optional<milliseconds> FirstUnthrottled(
       const core::ServiceId& service, const CallerRequest& request,
       const std::set<fleet::InstanceId>& avoid) const;
 
-  /**
-   * @return Engines that do not hold it and can be reached, as far as known.
-   *   What it rests on is up to 250 ms old, but for loads that entries ask for.
-   */
+  /** @return Engines that do not hold the model and are reachable, as far as
+   * known. Usage figures are up to 250 ms old; pending loads are current. */
   [[nodiscard]] std::vector<FoundLoader> FindLoaders(
       const routing::Service& service, const core::ModelId& model) const;
 
-  /** @return Where the model is being loaded, as far as entries tell. */
+  /** @return Pending loads of the model, as reported by entries. */
   [[nodiscard]] std::vector<ComingModel> FindComing(
       const core::ServiceId& service, const core::ModelId& model) const;
 
-  /** @return How many engines load from the weight store now, as far as entries
-   * tell. */
+  /** @return Number of engines that load from the weight store now, as reported
+   * by entries. */
   [[nodiscard]] int StoreLoads(const core::ServiceId& service) const;
 
-  /** @return Use of all that the engine holds, of all entries. */
+  /** @return Usage of each model and adapter on the engine, over all entries.
+   */
   [[nodiscard]] fleet::UsageTable UseAt(
       const fleet::InstanceId& instance) const;
 
-  /** @return Requests a second for a model, over all entries. */
+  /** @return Requests per second for a model, over all entries. */
   [[nodiscard]] double Demand(const core::ServiceId& service,
                               const core::ModelId& model) const;
 
  private:
-  /** @return True if the engine serves the model, whatever its limit. */
+  /** @return True if the engine serves the model, even if it is throttled. */
   [[nodiscard]] bool Serves(const fleet::EngineEntry& engine,
                             const core::ServiceId& service,
                             const CallerRequest& request,
@@ -93,12 +94,12 @@
   [[nodiscard]] policy::ReplicaCandidate View(
       const fleet::EngineEntry& engine, const CallerRequest& request) const;
 
-  /** All engines of a service, as wake-ups see them. */
+  /** Cached load candidates of a service. */
   struct LoaderViews {
     core::ServiceId service;
     std::vector<FoundLoader> loaders;
     core::SteadyTime at;
-    /** What it was made from. */
+    /** Generations of the data from which it was computed. */
     std::int64_t registry_generation = -1;
     std::int64_t loads_generation = -1;
   };
@@ -116,10 +117,8 @@
   const fleet::EngineLoads& loads_;
   const LoadGauges& gauges_;
   const core::Clock& clock_;
-  /**
-   * Shared by waiting requests: working it out for each of them would use up
-   * the processor of a small entry.
-   */
+  /** Shared by waiting requests: computing it for each of them would use up the
+   * processor of a small entry. */
   mutable LoaderViews views_;
 };
 
--- a/src/serving/request_work_type.h
+++ b/src/serving/request_work_type.h
@@ -1,4 +1,4 @@
-/** @file request_work_type.h A caller's request on its way to its answer. */
+/** @file request_work_type.h State of a caller's request in progress. */
 #ifndef SAPPHIRE_SERVING_REQUEST_WORK_TYPE_H_
 #define SAPPHIRE_SERVING_REQUEST_WORK_TYPE_H_
 
@@ -21,7 +21,7 @@
 
 namespace sapphire::serving {
 
-/** A request on its way. */
+/** State of a request in progress. */
 struct RequestWork {
   RequestWork(CallerRequest caller_request, http::ResponseWriter& writer,
               core::SteadyTime now)
@@ -34,27 +34,27 @@
   CallerSide caller;
   std::int64_t fingerprint = FingerprintOf(request);
   core::SteadyTime arrived;
-  /** When the caller last got a part of a stream, or asked. */
+  /** When the caller last received a part of a stream, or sent its request. */
   core::SteadyTime heard;
   core::SteadyTime deadline;
   std::shared_ptr<const routing::RoutingTable> table;
   const routing::Route* route = nullptr;
   const routing::Service* service = nullptr;
-  /** The configuration by which the organisation was found. */
+  /** Configuration in which the organisation was looked up. */
   std::shared_ptr<const routing::RoutingTable> identified_by;
-  /** Whose request it is; null: nobody's. */
+  /** Organisation that sent the request; null if none. */
   const organisation::Organisation* organisation = nullptr;
-  /** 0 to 9, 0 goes first. */
+  /** Priority, 0 (first) to 9. */
   int rank = 0;
-  /** Units of the quota that were taken for it, and from whose bucket. */
+  /** Quota units charged for the request, and the source of the decision. */
   double charged = 0;
   std::string_view quota_source;
-  /** Engines that failed or refused it. */
+  /** Engines that failed or refused the request. */
   std::set<fleet::InstanceId> avoid;
-  /** Engines that may have run it. */
+  /** Number of engines that may have run the request. */
   int runs = 0;
   int sends = 0;
-  /** One more send has been allowed already. */
+  /** True if a retry has already been taken from the budget. */
   bool repeat_granted = false;
   std::optional<core::SteadyTime> first_send;
   std::optional<core::SteadyTime> first_byte;
@@ -64,7 +64,7 @@
   std::string reason;
 };
 
-/** @return Until the caller must have its final answer. */
+/** @return Time until the caller must have its final answer. */
 inline milliseconds TimeLeft(const RequestWork& work, core::SteadyTime now) {
   const auto left =
       std::chrono::duration_cast<milliseconds>(work.deadline - now);
--- a/src/serving/send_limits.cc
+++ b/src/serving/send_limits.cc
@@ -1,4 +1,4 @@
-/** @file send_limits.cc How long one send to an engine may take. */
+/** @file send_limits.cc Computes the time limits of a send. */
 #include <algorithm>
 
 #include "serving/send_limits_func.h"
@@ -9,16 +9,18 @@
 
 namespace {
 
-/** The engine's own answer to a passed deadline is on its way then. */
+/** Time after the deadline within which the engine's own timeout answer
+ * arrives. */
 constexpr milliseconds kDeadlineGrace{80};
-/** Without a word for this long in its middle, a stream goes on elsewhere if it
- * can: ten times the usual pause of a full engine, below what callers bear. */
+/** A stream that is silent for this long after its start moves to another
+ * engine if possible: ten times the usual pause of a full engine, and less than
+ * callers tolerate. */
 constexpr milliseconds kStreamSilence{1500};
-/** When a first byte is later than this many objectives, the request goes
- * elsewhere if it can. */
+/** A request whose first byte is later than this many objectives and
+ * kFirstByteSlack moves to another engine if possible. */
 constexpr int kObjectivesToFirstByte = 2;
 constexpr milliseconds kFirstByteSlack{500};
-/** Part of the time left that the first try of an idempotent request gets. */
+/** Share of the time left for the first attempt of an idempotent request. */
 constexpr double kFirstTryShare = 0.5;
 
 }  // namespace
--- a/src/serving/send_limits_func.h
+++ b/src/serving/send_limits_func.h
@@ -1,4 +1,4 @@
-/** @file send_limits_func.h How long one send to an engine may take. */
+/** @file send_limits_func.h Computes the time limits of a send. */
 #ifndef SAPPHIRE_SERVING_SEND_LIMITS_FUNC_H_
 #define SAPPHIRE_SERVING_SEND_LIMITS_FUNC_H_
 
@@ -8,21 +8,20 @@
 
 namespace sapphire::serving {
 
-/** What the limits of a send rest on. */
+/** Input for the limits of a send. */
 struct SendState {
   const routing::Route* route = nullptr;
-  /** When the caller has to have its final answer. */
+  /** Time by which the caller must have its final answer. */
   core::SteadyTime deadline;
-  /** Until then. */
+  /** Time left until the deadline. */
   milliseconds left{0};
-  /** Engines that may have run the request already. */
+  /** Number of engines that may have run the request already. */
   int runs = 0;
 };
 
-/**
- * A send that may be tried again elsewhere goes there when its engine is silent
- * for longer than usual; the last one may take all the time that is left.
- */
+/** @return The limits of a send. One that may be retried elsewhere is limited
+ * to its engine's usual silence; the last one may take all the time that is
+ * left. */
 ExchangeLimits LimitsOfSend(const SendState& state);
 
 }  // namespace sapphire::serving
--- a/src/serving/store_layout_type.h
+++ b/src/serving/store_layout_type.h
@@ -1,4 +1,4 @@
-/** @file store_layout_type.h Where things lie in the store. */
+/** @file store_layout_type.h Keys and value formats of the store. */
 #ifndef SAPPHIRE_SERVING_STORE_LAYOUT_TYPE_H_
 #define SAPPHIRE_SERVING_STORE_LAYOUT_TYPE_H_
 
@@ -10,16 +10,16 @@
 
 namespace sapphire::serving {
 
-/** Where things lie in the store and how they are read. */
+/** Keys of the store and the functions that decode them and their values. */
 struct StoreLayout {
   std::string configuration_key;
   std::string engine_prefix;
-  /** @throws core::Error for what can't be used. */
+  /** @throws core::Error for a configuration that can't be used. */
   routing::ReadConfiguration read_configuration;
   std::function<fleet::EngineEntry(const std::string& key,
                                    const std::string& value)>
       read_engine;
-  /** The engine that a key names. */
+  /** @return The engine that a key names. */
   std::function<fleet::EngineId(const std::string& key)> engine_of;
 };
 
