--- a/src/serving/configuration_refresh.cc
+++ b/src/serving/configuration_refresh.cc
@@ -1,4 +1,4 @@
-/** @file configuration_refresh.cc Reads the newest configuration at once. */
+/** @file configuration_refresh.cc Reads the newest configuration on demand. */
 #include <utility>
 
 #include "core/error_type.h"
--- a/src/serving/configuration_refresh_base.h
+++ b/src/serving/configuration_refresh_base.h
@@ -1,4 +1,4 @@
-/** @file configuration_refresh_base.h Reads the newest configuration at once.
+/** @file configuration_refresh_base.h Reads the newest configuration on demand.
  */
 #ifndef SAPPHIRE_SERVING_CONFIGURATION_REFRESH_BASE_H_
 #define SAPPHIRE_SERVING_CONFIGURATION_REFRESH_BASE_H_
@@ -17,11 +17,12 @@
 namespace sapphire::serving {
 
 struct RefreshOptions {
-  /** Of the newest configuration. */
+  /** Store key of the newest configuration. */
   std::string key;
-  /** Between two reads: callers with unknown keys must not cost calls. */
+  /** Minimum time between two reads: callers with unknown keys must not cause
+   * calls. */
   std::chrono::milliseconds pause{5000};
-  /** How long a request waits for a read. */
+  /** How long a request waits for a read that another one started. */
   std::chrono::milliseconds limit{1000};
 };
 
@@ -31,7 +32,8 @@
   kFailed,  ///< The store did not answer; a newer one may exist.
 };
 
-/** One read at a time, shared by all who wait for it. One thread. */
+/** Runs one read at a time, shared by all requests that wait for it. Not
+ * thread-safe. */
 class ConfigurationRefresh {
  public:
   using Adopt = std::function<void(const external::KvEntry& entry)>;
--- a/src/serving/crash_watch.cc
+++ b/src/serving/crash_watch.cc
@@ -14,14 +14,16 @@
 
 /** A crashed engine's port is closed within this. */
 constexpr milliseconds kUntilPortCloses{50};
-/** An engine on a near VM takes or refuses a connection in milliseconds. */
+/** Connect timeout of a probe; an engine on a near VM accepts or refuses a
+ * connection in milliseconds. */
 constexpr milliseconds kProbeLimit{400};
-/** A request that engines can't bear crashes them as they begin to run it; one
- * whose answer has come for longer is not what ended the engine. */
+/** Requests that crash engines do so as they begin to run: one whose answer has
+ * been arriving for longer than this is not the cause. */
 constexpr milliseconds kBeginning{1000};
-/** Callers of a refused request gain nothing by asking again soon. */
+/** Time after which a refused caller may retry; earlier retries are pointless.
+ */
 constexpr milliseconds kComeBack{60'000};
-/** Keeps the sign bit out of a hash. */
+/** Shift that keeps the sign bit of a hash clear. */
 constexpr int kSignBit = 1;
 
 }  // namespace
--- a/src/serving/crash_watch_base.h
+++ b/src/serving/crash_watch_base.h
@@ -21,11 +21,11 @@
 
 namespace sapphire::serving {
 
-/** @return What a repeat of the same request by its caller has in common with
- * it: method, target and body. */
+/** @return A hash of method, target and body, which a repeat of the request by
+ * its caller has too. */
 std::int64_t FingerprintOf(const CallerRequest& request);
 
-/** One send, as the watch knows it. */
+/** One send that is watched for a crash of its engine. */
 struct WatchedSend {
   std::int64_t fingerprint = 0;
   std::int64_t number = 0;
@@ -41,8 +41,9 @@
  *
  * A send whose connection ends without an answer makes its request a suspect;
  * it counts as a crash if the engine then refuses connections. Counts are
- * shared through the store. A request that runs to its end is cleared, so that
- * requests that ran beside the cause are not blamed. One thread.
+ * shared through the store. A request that completes is cleared, so that
+ * requests that only ran at the same time as the cause are not blamed. Not
+ * thread-safe.
  */
 class CrashWatch {
  public:
@@ -51,20 +52,23 @@
              const core::Executor& executor, const core::Clock& clock,
              const core::Logger& log);
 
-  /** Begins to follow what other entries saw. */
+  /** Starts writing crashes to the store for other entries. */
   void Start();
 
-  /** @return What takes in crashes that other entries have written.
-   * @pre The watch outlives whoever calls them. */
+  /** @return Hooks for the store follower, which apply crashes that other
+   * entries have written. @pre This object outlives them. */
   [[nodiscard]] routing::FollowHooks Hooks();
 
   /** @throws core::Error kQuarantined if the request crashes engines. */
   void Check(std::int64_t fingerprint) const;
 
-  /** A request is sent; gives the send its number. */
+  /** Registers a send and assigns its number. */
   void Begin(WatchedSend& send);
 
-  /** @param first_byte When the engine began to answer, if it did. */
+  /**
+   * Registers the end of a send.
+   * @param first_byte When the engine began to answer, if it did.
+   */
   void End(const WatchedSend& send, const ExchangeResult& result,
            std::optional<core::SteadyTime> first_byte);
 
--- a/src/serving/crash_watch_test.cc
+++ b/src/serving/crash_watch_test.cc
@@ -21,7 +21,7 @@
 using boost::asio::ip::tcp;
 using std::chrono::milliseconds;
 
-/** Longer than a look at the engine and the writing of a crash take. */
+/** Longer than probing the engine and writing a crash take. */
 constexpr milliseconds kSettled{400};
 const std::string kDeadly = "deadly prompt";
 const std::string kHarmless = "harmless prompt";
@@ -42,7 +42,7 @@
   return result;
 }
 
-/** A port on loopback that takes connections until it is closed. */
+/** A port on loopback that accepts connections until it is closed. */
 struct Port {
   explicit Port(boost::asio::io_context& io)
       : acceptor(io,
@@ -58,7 +58,7 @@
       : log({"entry", core::VmId("vm"), core::ZoneId("z")},
             core::LogLevel::kError, clock) {}
 
-  /** An entry of its own, on the same store. */
+  /** Adds the crash watch of another entry on the same store. */
   std::unique_ptr<CrashWatch> MakeWatch() {
     auto watch = std::make_unique<CrashWatch>(store, loads, io.get_executor(),
                                               clock, log);
@@ -71,7 +71,7 @@
     return watch;
   }
 
-  /** Sends a request from an entry to an engine; it ends as `end` says. */
+  /** Sends a request from an entry to an engine; it ends with `end`. */
   void Send(CrashWatch& watch, const std::string& body,
             const std::string& instance, const std::string& address,
             ExchangeEnd end) {
@@ -112,16 +112,14 @@
   std::vector<std::unique_ptr<routing::StoreFollower>> followers;
 };
 
-/** @return The address of a port that was open once and is not any more. */
+/** @return The address of a port that has been closed. */
 std::string ClosedPort(boost::asio::io_context& io) { return Port(io).address; }
 
 }  // namespace
 
-/**
- * Users of all models wait while one engine after the other restarts.
- * One request crashes each engine that begins to run it; its caller sends it
- * again, each time to another entry, and no entry sees two crashes itself.
- */
+/** Guards against one request that crashes engine after engine. Its caller
+ * retries it at another entry each time, so that no entry sees two crashes
+ * itself. */
 BOOST_AUTO_TEST_CASE(ARequestThatCrashedTwoEnginesIsRefusedByEveryEntry) {
   Rig rig;
   const auto one = rig.MakeWatch();
@@ -137,11 +135,9 @@
   BOOST_TEST(!Rig::Refuses(*three, kHarmless));
 }
 
-/**
- * A caller is refused for good although its request is sound.
- * It ran beside a request that crashed the engine, was sent again and ended
- * well; when the next engine crashed under it, that counted as its second time.
- */
+/** Guards against a sound request that is refused permanently: it ran beside a
+ * request that crashed the engine, was retried and completed; when the next
+ * engine crashed under it, that counted as its second crash. */
 BOOST_AUTO_TEST_CASE(ARequestThatEndsWellIsClearedForEveryEntry) {
   Rig rig;
   const auto one = rig.MakeWatch();
@@ -154,10 +150,8 @@
   BOOST_TEST(!Rig::Refuses(*two, kHarmless));
 }
 
-/**
- * Callers are refused although no engine has crashed.
- * A faulty engine resets connections now and then and goes on serving.
- */
+/** Guards against refused callers although no engine has crashed: a faulty
+ * engine resets connections now and then and goes on serving. */
 BOOST_AUTO_TEST_CASE(ALostAnswerOfALivingEngineIsNoCrash) {
   Rig rig;
   const auto watch = rig.MakeWatch();
@@ -169,10 +163,8 @@
   BOOST_TEST(rig.store.Keys("quarantine/").empty());
 }
 
-/**
- * A sound request is blamed for crashes it did not make.
- * Its answer had been coming for seconds when the engine crashed.
- */
+/** Guards against a sound request that is blamed for a crash: its answer had
+ * been arriving for seconds when the engine crashed. */
 BOOST_AUTO_TEST_CASE(ALongAnswerIsNotSuspected) {
   Rig rig;
   const auto watch = rig.MakeWatch();
--- a/src/serving/engine_follower.cc
+++ b/src/serving/engine_follower.cc
@@ -12,9 +12,9 @@
 
 namespace {
 
-/** Between two log lines on entries that can't be read. */
+/** Pause between two log lines on unreadable entries. */
 constexpr std::chrono::milliseconds kUnreadablePause{1000};
-/** Longest part of a key in a log line. */
+/** Maximum length of a key in a log line. */
 constexpr std::size_t kLongestKey = 200;
 
 }  // namespace
@@ -76,11 +76,9 @@
   }
 }
 
-/**
- * An entry may come from another writer and hold anything: such a one names no
- * engine to use, and the others hold. A writer that repeats itself fills the
- * log with one line a second.
- */
+/** Logs an unreadable entry, which is ignored and does not affect the others:
+ * another writer may store anything. A writer that repeats itself causes one
+ * line a second at most. */
 void EngineFollower::NoteUnreadable(const std::string& key, const char* why) {
   const core::SteadyTime now = clock_.Now();
   ++unreadable_;
--- a/src/serving/engine_follower_base.h
+++ b/src/serving/engine_follower_base.h
@@ -17,8 +17,8 @@
 
 namespace sapphire::serving {
 
-/** Takes engines' entries, as what follows the store sees them, into the
- * registry. One thread. */
+/** Applies changes of engines' entries in the store to the registry. Not
+ * thread-safe. */
 class EngineFollower {
  public:
   /**
@@ -29,7 +29,7 @@
                  std::function<void()> changed, const core::Clock& clock,
                  const core::Logger& log);
 
-  /** @pre The follower outlives whoever calls them. */
+  /** @return Hooks for the store follower. @pre This object outlives them. */
   [[nodiscard]] routing::FollowHooks Hooks();
 
  private:
@@ -44,7 +44,7 @@
   const std::function<void()> changed_;
   const core::Clock& clock_;
   const core::Logger& log_;
-  /** Entries that could not be read, and when that was last logged. */
+  /** Number of unreadable entries so far, and when one was last logged. */
   std::int64_t unreadable_ = 0;
   std::optional<core::SteadyTime> unreadable_logged_;
 };
--- a/src/serving/engine_rate_limiter.cc
+++ b/src/serving/engine_rate_limiter.cc
@@ -1,5 +1,5 @@
 /** @file engine_rate_limiter.cc Keeps requests within the rates that engines
- * name. */
+ * announce. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -18,21 +18,23 @@
 
 namespace {
 
-/** An engine that takes nothing is asked now and then whether it still does. */
+/** Minimum rate: an engine with a limit of zero is still tried now and then, to
+ * learn whether the limit has ended. */
 constexpr double kLeastPerSecond = 0.05;
 constexpr double kMostPerSecond = 1e6;
-/** Requests at once, besides those of the rate. */
+/** Requests allowed at once in addition to the rate. */
 constexpr double kBurst = 1;
-/** Over which operators count an engine's requests. */
+/** Window in which operators count an engine's requests. */
 constexpr milliseconds kWindow{4000};
-/** A throttled engine is left alone for at least this. */
+/** Minimum time for which an engine is throttled. */
 constexpr milliseconds kLeastThrottle{20};
-/** Other engines may do: a coordinator that does not answer is not waited for
- * as long as that of an organisation. */
+/** A coordinator that does not answer is not waited for as long as for an
+ * organisation's quota, since other engines may serve the request. */
 constexpr milliseconds kAnswerLimit{100};
 constexpr milliseconds kFailoverLimit{250};
 
-/** Entries that know different limits of an engine use different buckets. */
+/** @return The quota's id. Entries that know different limits of an engine use
+ * different buckets. */
 quota::QuotaId QuotaOf(const fleet::InstanceId& instance, double per_second) {
   return quota::QuotaId(fmt::format("{}#{}", instance.value(), per_second));
 }
--- a/src/serving/engine_rate_limiter_base.h
+++ b/src/serving/engine_rate_limiter_base.h
@@ -1,6 +1,5 @@
 /** @file engine_rate_limiter_base.h Keeps requests within the rates that
- * engines name.
- */
+ * engines announce. */
 #ifndef SAPPHIRE_SERVING_ENGINE_RATE_LIMITER_BASE_H_
 #define SAPPHIRE_SERVING_ENGINE_RATE_LIMITER_BASE_H_
 
@@ -12,26 +11,29 @@
 
 namespace sapphire::serving {
 
-/** @return Settings of the quota client that shares engines' limits. */
+/** @return Options of the quota client that shares engines' limits. */
 quota::QuotaClientOptions EngineQuotaOptions();
 
-/** @return The quota of an engine that takes this many requests a second. */
+/** @return The quota of an engine that accepts this many requests per second.
+ */
 quota::SharedLimit EngineQuotaLimit(double per_second);
 
-/** An engine's rate is a quota that all entries share. One thread. */
+/** Limits the requests to engines; all entries share an engine's rate as a
+ * quota. Not thread-safe. */
 class EngineRateLimiter {
  public:
-  /** @pre All references outlive the gate. */
+  /** @pre All references outlive the limiter. */
   EngineRateLimiter(fleet::EngineLimits& limits, quota::QuotaClient& client,
                     FrontMetrics& metrics, const core::Logger& log);
 
   /**
-   * Asks to send one request to the engine.
-   * @return False if its limit is used up: it is throttled for a while.
+   * Waits for permission to send one request to the engine.
+   * @return False if its limit is used up; the engine is then throttled for a
+   *   while.
    */
   core::Task<bool> Acquire(fleet::InstanceId instance, core::RequestId request);
 
-  /** Takes what an answer says of the engine's limit. */
+  /** Applies the limit that an engine's answer announces or omits. */
   void Apply(const fleet::InstanceId& instance,
              const fleet::LimitNotice& notice, core::SteadyTime sent);
 
--- a/src/serving/entry_follower_base.h
+++ b/src/serving/entry_follower_base.h
@@ -14,14 +14,14 @@
 
 namespace sapphire::serving {
 
-/** Takes the entries' presences, as what follows the store sees them, into the
- * table of peers. One thread. */
+/** Applies changes of the entries' presences in the store to the table of
+ * peers. Not thread-safe. */
 class EntryFollower {
  public:
   /** @pre All references outlive the follower. */
   EntryFollower(fleet::PeerTable& peer_table, const core::Logger& log);
 
-  /** @pre The follower outlives whoever calls them. */
+  /** @return Hooks for the store follower. @pre This object outlives them. */
   [[nodiscard]] routing::FollowHooks Hooks();
 
  private:
--- a/src/serving/entry_follower_test.cc
+++ b/src/serving/entry_follower_test.cc
@@ -1,4 +1,5 @@
-/** @file entry_follower_test.cc Tests of how an entry learns of its peers. */
+/** @file entry_follower_test.cc Tests of how an entry learns about its peers.
+ */
 #define BOOST_TEST_MODULE entry_follower
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -30,7 +31,7 @@
 
 }  // namespace
 
-/** Guards against one presence of another writer that hides all peers. */
+/** Guards against one unreadable presence that hides all peers. */
 BOOST_AUTO_TEST_CASE(UnreadablePresenceNamesNoPeerAndTheOthersHold) {
   Rig rig;
   rig.hooks.listed({{"entries/a", PresenceOf("a"), 1},
@@ -45,7 +46,7 @@
   rig.hooks.changed({"entries/a", PresenceOf("a"), 1}, std::nullopt);
   BOOST_TEST(rig.peers.Peers().size() == 1U);
   rig.hooks.changed({"entries/a", std::nullopt, 2}, std::nullopt);
-  // Presences lapse with the store: a peer that is heard of stays for a while.
+  // Presences lapse with the store, so a removed peer is kept for a while.
   rig.clock.Advance(std::chrono::minutes(1));
   BOOST_TEST(rig.peers.Peers().empty());
 }
--- a/src/serving/entry_presence.cc
+++ b/src/serving/entry_presence.cc
@@ -1,4 +1,4 @@
-/** @file entry_presence.cc Shows the other entries that this one runs. */
+/** @file entry_presence.cc Announces this entry to the others. */
 #include <utility>
 
 #include "core/error_type.h"
@@ -48,7 +48,7 @@
       co_await store_.GrantLease(options_.time_to_live);
   const external::CasResult result = co_await store_.CompareAndSwap(
       options_.key, revision_, options_.value, lease.id);
-  // Taken for absent though it stands: under an earlier lease, which ends.
+  // The key still exists, under an earlier lease that will end.
   if (!result.swapped) co_return;
   lease_ = lease.id;
   revision_ = result.revision;
--- a/src/serving/entry_presence_base.h
+++ b/src/serving/entry_presence_base.h
@@ -1,4 +1,4 @@
-/** @file entry_presence_base.h Shows the other entries that this one runs. */
+/** @file entry_presence_base.h Announces this entry to the others. */
 #ifndef SAPPHIRE_SERVING_ENTRY_PRESENCE_BASE_H_
 #define SAPPHIRE_SERVING_ENTRY_PRESENCE_BASE_H_
 
@@ -13,14 +13,15 @@
 namespace sapphire::serving {
 
 struct PresenceOptions {
-  /** No other start of an entry uses it. */
+  /** Store key, unique to this start of the entry. */
   std::string key;
   std::string value;
-  /** The presence goes this long after its entry has ended without a word. */
+  /** Time after which the presence expires if the entry ends without
+   * withdrawing it. */
   std::chrono::milliseconds time_to_live{10'000};
-  /** Between two renewals. */
+  /** Pause between two renewals. */
   std::chrono::milliseconds renew_pause{3000};
-  /** Between a failed call and the next. */
+  /** Pause after a failed call. */
   std::chrono::milliseconds retry_pause{1000};
 };
 
@@ -34,7 +35,7 @@
   /** Returns once the presence is withdrawn. */
   core::Task<> Run();
 
-  /** Takes the key away: this entry ends. */
+  /** Deletes the key, as the entry shuts down. */
   core::Task<> Withdraw();
 
  private:
@@ -43,9 +44,9 @@
   const PresenceOptions options_;
   external::KeyValueStore& store_;
   const core::Logger& log_;
-  /** Empty: there is none, or it has ended. */
+  /** Empty if there is no lease or it has ended. */
   std::string lease_;
-  /** Revision of the key as it stands; 0: it is not there. */
+  /** Current revision of the key; 0 if it does not exist. */
   std::int64_t revision_ = 0;
   bool failing_ = false;
   bool withdrawn_ = false;
--- a/src/serving/entry_presence_test.cc
+++ b/src/serving/entry_presence_test.cc
@@ -1,4 +1,4 @@
-/** @file entry_presence_test.cc Tests of how entries know of each other. */
+/** @file entry_presence_test.cc Tests of how entries announce themselves. */
 #define BOOST_TEST_MODULE entry_presence
 #include <boost/asio/io_context.hpp>
 #include <boost/test/unit_test.hpp>
@@ -57,10 +57,10 @@
 }  // namespace
 
 /**
- * An entry serves callers, and the others count it out for good: they take too
- * large a share of all limits and hear nothing of its use.
- * Its lease ended while the store was away, or was revoked, and its presence
- * with it; the next renewal finds that out.
+ * Guards against an entry that serves callers but stays unknown to its peers,
+ * which then take too large a share of all limits and do not learn of its use.
+ * The lease ended while the store was unavailable, or was revoked; the next
+ * renewal finds that out.
  */
 BOOST_AUTO_TEST_CASE(APresenceThatLapsedIsShownAgain) {
   Rig rig;
@@ -70,7 +70,8 @@
   BOOST_TEST(rig.Shown());
 }
 
-/** Entries start while the store is away. */
+/** Guards against an entry that stays unknown because it started while the
+ * store was unavailable. */
 BOOST_AUTO_TEST_CASE(APresenceIsShownOnceTheStoreIsBack) {
   Rig rig;
   rig.store.down = true;
@@ -80,7 +81,8 @@
   BOOST_TEST(rig.Shown());
 }
 
-/** An entry that ends says so: the others do not wait for its lease. */
+/** Guards against peers that wait for the lease of an entry that has shut down.
+ */
 BOOST_AUTO_TEST_CASE(AnEntryThatEndsWithdrawsItsPresence) {
   Rig rig;
   BOOST_TEST(rig.Shown());
--- a/src/serving/event_splitter.cc
+++ b/src/serving/event_splitter.cc
@@ -1,4 +1,4 @@
-/** @file event_splitter.cc Cuts a stream of events at their ends. */
+/** @file event_splitter.cc Splits a stream into complete events. */
 #include <charconv>
 #include <utility>
 
@@ -11,7 +11,7 @@
 constexpr std::string_view kUnixEnd = "\n\n";
 constexpr std::string_view kNetworkEnd = "\r\n\r\n";
 
-/** @return Bytes up to the end of the first event; 0 if none is whole. */
+/** @return Length of the first event; 0 if none is complete. */
 std::size_t EndOfEvent(std::string_view bytes) {
   const std::size_t unix_end = bytes.find(kUnixEnd);
   const std::size_t network_end = bytes.find(kNetworkEnd);
--- a/src/serving/event_splitter_base.h
+++ b/src/serving/event_splitter_base.h
@@ -1,4 +1,4 @@
-/** @file event_splitter_base.h Cuts a stream of events at their ends. */
+/** @file event_splitter_base.h Splits a stream into complete events. */
 #ifndef SAPPHIRE_SERVING_EVENT_SPLITTER_BASE_H_
 #define SAPPHIRE_SERVING_EVENT_SPLITTER_BASE_H_
 
@@ -10,26 +10,28 @@
 namespace sapphire::serving {
 
 /**
- * Passes on whole events of a `text/event-stream` and remembers the id of the
- * last one.
+ * Extracts the complete events of a `text/event-stream` and remembers the id of
+ * the last one.
  *
- * Incomplete events are held back and dropped, so that a stream can be resumed
- * at another engine without a torn or doubled event.
+ * Incomplete events are buffered, and dropped when the run ends, so that a
+ * stream can be resumed on another engine without a truncated or duplicate
+ * event.
  */
 class EventSplitter {
  public:
-  /** @param last_event What the caller has already; older events are dropped.
-   */
+  /** @param last_event Last event that the caller has; it and older ones are
+   * dropped. */
   explicit EventSplitter(std::optional<std::int64_t> last_event)
       : last_event_(last_event) {}
 
-  /** @return The whole events that are there with these bytes. */
+  /** @return The events that these bytes complete. */
   std::string Add(std::string_view bytes);
 
-  /** @return Bytes after the last whole event, at the end of an answer. */
+  /** @return The bytes after the last complete event, at the end of an answer.
+   */
   std::string TakeRest();
 
-  /** Forgets a torn event: the next bytes are of another run. */
+  /** Drops an incomplete event: the next bytes are from another run. */
   void StartRun() { rest_.clear(); }
 
   [[nodiscard]] std::optional<std::int64_t> last_event() const {
@@ -37,7 +39,7 @@
   }
 
  private:
-  /** @return True if the event is to be passed on. */
+  /** @return True if the event is to be relayed. */
   bool Accept(std::string_view event);
 
   std::optional<std::int64_t> last_event_;
--- a/src/serving/event_splitter_test.cc
+++ b/src/serving/event_splitter_test.cc
@@ -1,4 +1,4 @@
-/** @file event_splitter_test.cc Tests of cutting a stream of events. */
+/** @file event_splitter_test.cc Tests of splitting a stream into events. */
 #define BOOST_TEST_MODULE event_splitter
 #include <boost/test/unit_test.hpp>
 
@@ -16,11 +16,9 @@
   BOOST_TEST(splitter.TakeRest() == "");
 }
 
-/**
- * A caller sees half an event, then the same event again.
- * The first engine ends in the middle of event 2; the stream goes on at a
- * second engine, which begins one event too early.
- */
+/** Guards against a truncated and a duplicate event when a stream moves to a
+ * second engine: the first one ends in the middle of event 2, the second one
+ * resumes one event too early. */
 BOOST_AUTO_TEST_CASE(ASecondRunJoinsWithoutTornOrDoubledEvents) {
   EventSplitter splitter(std::nullopt);
   BOOST_TEST(splitter.Add("id: 1\ndata: a\n\nid: 2\nda") ==
--- a/src/serving/front_metrics.cc
+++ b/src/serving/front_metrics.cc
@@ -1,4 +1,4 @@
-/** @file front_metrics.cc What an entry that sends to engines counts. */
+/** @file front_metrics.cc Metrics of an entry's request path. */
 #include <prometheus/text_serializer.h>
 
 #include <set>
--- a/src/serving/front_metrics_base.h
+++ b/src/serving/front_metrics_base.h
@@ -1,4 +1,4 @@
-/** @file front_metrics_base.h What an entry that sends to engines counts. */
+/** @file front_metrics_base.h Metrics of an entry's request path. */
 #ifndef SAPPHIRE_SERVING_FRONT_METRICS_BASE_H_
 #define SAPPHIRE_SERVING_FRONT_METRICS_BASE_H_
 
@@ -16,28 +16,28 @@
 
 namespace sapphire::serving {
 
-/** Levels read when the metrics are asked for. */
+/** Gauge values that are sampled when the metrics are read. */
 struct FrontLevels {
   std::int64_t config_version = 0;
   int requests_in_progress = 0;
   int engines_known = 0;
-  /** Of these, those that the store does not name and that are still used. */
+  /** Known engines that the store does not list and that are still used. */
   int engines_held = 0;
   int entries = 0;
-  /** Engines that have named a limit. */
+  /** Engines that have announced a rate limit. */
   int engines_limited = 0;
-  /** Coordinators of quotas that are passed over. */
+  /** Quota coordinators that are bypassed as unresponsive. */
   int coordinators_suspected = 0;
   bool ready = false;
-  /** Age of what the store last told. */
+  /** Age of the store's last answer. */
   std::chrono::milliseconds store_age{0};
-  /** Changes in the store that are younger may not be known here. */
+  /** Age of the view of the store; younger changes may be unknown here. */
   std::chrono::milliseconds view_age{0};
   core::LogSinkCounters log;
 };
 
-/** No label grows with models, callers, organisations or engines. Safe on
- * several threads. */
+/** No label's number of values grows with models, callers, organisations or
+ * engines. Safe on several threads. */
 class FrontMetrics {
  public:
   FrontMetrics();
@@ -52,20 +52,23 @@
   /** @param end As in the log's send_failed, or "served". */
   void SendEnded(std::string_view end);
   void RepeatAsked(bool allowed);
-  /** @param source Whose bucket decided. Beyond some organisations, all others
-   * are counted together. */
+  /** @param source Bucket that decided. Beyond a fixed number of organisations,
+   * all others are counted together. */
   void QuotaDecided(const core::OrganisationId& id, std::string_view source,
                     bool granted);
-  /** A send to an engine that has named a limit was asked for.
-   * @param source Whose bucket decided. */
+  /**
+   * Counts a request for permission to send to an engine with a rate limit.
+   * @param source Bucket that decided.
+   */
   void EngineLimitAsked(std::string_view source, bool granted);
   /** @param outcome "ok" or the error's name. */
   void WakeUpEnded(policy::Tier tier, std::string_view outcome,
                    std::chrono::milliseconds took);
-  /** Work kept the thread from its sockets. */
+  /** Records work that blocked the event loop. */
   void Stalled(std::string_view work, std::chrono::milliseconds took);
   void StoreCall(const external::StoreCall& call);
-  /** What follows the store was this old when an answer renewed it. */
+  /** Records the age that the view of the store had when an answer renewed it.
+   */
   void ViewRenewed(std::chrono::milliseconds age);
 
   /** @return Everything, in the Prometheus text format. */
--- a/src/serving/holder_follower_base.h
+++ b/src/serving/holder_follower_base.h
@@ -13,14 +13,14 @@
 
 namespace sapphire::serving {
 
-/** Takes engines' leases, as what follows the store sees them, into the table
- * of holders. One thread. */
+/** Applies changes of engines' leases in the store to the table of holders. Not
+ * thread-safe. */
 class HolderFollower {
  public:
   /** @pre All references outlive the follower. */
   HolderFollower(fleet::EngineHolders& holders, const core::Logger& log);
 
-  /** @pre The follower outlives whoever calls them. */
+  /** @return Hooks for the store follower. @pre This object outlives them. */
   [[nodiscard]] routing::FollowHooks Hooks();
 
  private:
--- a/src/serving/load_broadcaster.cc
+++ b/src/serving/load_broadcaster.cc
@@ -1,4 +1,4 @@
-/** @file load_broadcaster.cc Entries tell each other what they send. */
+/** @file load_broadcaster.cc Reports this entry's load to its peers. */
 #include <algorithm>
 #include <utility>
 #include <vector>
@@ -11,11 +11,12 @@
 
 namespace {
 
-/** Use that began within this is told; what is older fades at the others. */
+/** Usage that began within this time is reported; older usage decays at the
+ * peers. */
 constexpr milliseconds kToldFor{8000};
-/** How long the addresses of the others are used. */
+/** Maximum age of the list of peer addresses. */
 constexpr milliseconds kAddressAge{500};
-/** Sent at a time to peers that are new. */
+/** Maximum number of new peers that are greeted per turn. */
 constexpr std::size_t kMostGreetings = 16;
 
 }  // namespace
@@ -62,7 +63,7 @@
   gen::EntryRecord record = Record();
   const bool is_idle =
       record.uses.empty() && record.loads.empty() && record.limits.empty();
-  // Each of the others has to hear once that nothing is in progress any more.
+  // Each peer has to learn once that nothing is in progress any more.
   idle_turns_ = is_idle ? idle_turns_ + 1 : 0;
   if (!heartbeats_ && idle_turns_ > addresses_.size()) return;
   record.number = ++number_;
@@ -74,7 +75,7 @@
   if (heartbeats_) Greet(datagram);
 }
 
-/** Peers that are new hear of this entry now, not when their turn comes. */
+/** Sends the datagram to new peers now instead of when their turn comes. */
 void LoadBroadcaster::Greet(const gen::EntryDatagram& datagram) {
   std::size_t sent = 0;
   for (const std::string& it : addresses_) {
--- a/src/serving/load_broadcaster_base.h
+++ b/src/serving/load_broadcaster_base.h
@@ -1,4 +1,4 @@
-/** @file load_broadcaster_base.h Entries tell each other what they send. */
+/** @file load_broadcaster_base.h Reports this entry's load to its peers. */
 #ifndef SAPPHIRE_SERVING_LOAD_BROADCASTER_BASE_H_
 #define SAPPHIRE_SERVING_LOAD_BROADCASTER_BASE_H_
 
@@ -19,15 +19,16 @@
 namespace sapphire::serving {
 
 struct BroadcastOptions {
-  /** Key of this entry's presence. */
+  /** Store key of this entry's presence. */
   std::string entry;
-  /** One datagram to one other entry each time: what an entry sends and gets
-   * does not grow with their number, only the age of what it knows does. */
+  /** Pause between two datagrams, each to one peer. What an entry sends and
+   * receives thus does not grow with the number of entries; only the age of
+   * what it knows does. */
   std::chrono::milliseconds pause{fleet::kTellPause};
 };
 
 /** Broadcasts this entry's load to one peer at a time. Records are complete
- * snapshots, so losing one only delays the update. One thread. */
+ * snapshots, so losing one only delays the update. Not thread-safe. */
 class LoadBroadcaster {
  public:
   /** @pre All references outlive it. */
@@ -36,13 +37,14 @@
                   PeerChannel& channel, const core::Executor& executor,
                   const core::Clock& clock, const core::Logger& log);
 
-  /** Begins to send. */
+  /** Starts sending. */
   void Start();
 
-  /** An entry without load goes on sending, so that its peers know it lives. */
+  /** With heartbeats, an entry without load goes on sending, so that its peers
+   * know that it is alive. */
   void SetHeartbeats(bool on) { heartbeats_ = on; }
 
-  /** @return What others are told now. */
+  /** @return This entry's current load. */
   [[nodiscard]] gen::EntryRecord Record() const;
 
  private:
@@ -62,12 +64,12 @@
   bool heartbeats_ = false;
   std::int64_t number_ = 0;
   std::vector<std::string> addresses_;
-  /** Peers that have been told of this entry. */
+  /** Addresses of peers that have received a record of this entry. */
   std::set<std::string> greeted_;
   core::SteadyTime addresses_read_;
-  /** Whose turn it is, among the others. */
+  /** Index of the peer to which the last record went. */
   std::size_t turn_ = 0;
-  /** Turns since there was something to tell. */
+  /** Turns since there was load to report. */
   std::size_t idle_turns_ = 0;
 };
 
--- a/src/serving/load_broadcaster_test.cc
+++ b/src/serving/load_broadcaster_test.cc
@@ -1,5 +1,5 @@
-/** @file load_broadcaster_test.cc Tests of what entries tell each other, over
- * real datagrams on loopback. */
+/** @file load_broadcaster_test.cc Tests of the load reports between entries,
+ * over real datagrams on loopback. */
 #define BOOST_TEST_MODULE load_broadcaster
 #include <boost/asio/ip/udp.hpp>
 #include <boost/test/unit_test.hpp>
@@ -21,7 +21,7 @@
 using testing::kModel;
 using testing::LoaderRig;
 
-/** The other entries' common ear. */
+/** Socket that receives the records to all peers. */
 struct Ear {
   explicit Ear(asio::io_context& io)
       : socket(io, udp::endpoint(asio::ip::address_v4::loopback(), 0)) {
@@ -29,7 +29,7 @@
     address = "127.0.0.1:" + std::to_string(socket.local_endpoint().port());
   }
 
-  /** @return All that has come since the last call. */
+  /** @return The records received since the last call. */
   std::vector<gen::EntryRecord> TakeAll() {
     std::vector<gen::EntryRecord> taken;
     std::string buf(60'000, ' ');
@@ -76,10 +76,10 @@
 }  // namespace
 
 /**
- * Callers' streams pause at a hundred entries: entries and the processes beside
- * engines spend their time on tens of thousands of reports a second.
- * Pattern: many entries with requests in progress. What one of them sends does
- * not grow with their number.
+ * Guards against streams that pause in a fleet of a hundred entries because
+ * entries and the processes beside engines handle tens of thousands of reports
+ * a second. With many entries and requests in progress, what one entry sends
+ * must not grow with their number.
  */
 BOOST_AUTO_TEST_CASE(WhatAnEntryTellsDoesNotGrowWithTheirNumber) {
   for (const int others : {4, 100}) {
@@ -88,13 +88,13 @@
     rig.broadcaster->Start();
     rig.Pass(milliseconds(1000));
     const std::size_t n = rig.ear.TakeAll().size();
-    // One each 50 ms; a busy machine sends fewer.
+    // One every 50 ms; a busy machine sends fewer.
     BOOST_TEST(n >= 1);
     BOOST_TEST(n <= 21);
   }
 }
 
-/** An entry with nothing to tell says so to each of the others, then nothing.
+/** An entry without load reports that once to each peer and then stops sending.
  */
 BOOST_AUTO_TEST_CASE(AnIdleEntryFallsSilent) {
   Rig rig(2);
@@ -109,7 +109,7 @@
   BOOST_TEST(told.back().uses.front().parts.front().running == 1);
 }
 
-/** Loads that this entry has asked for are told, with what is left of them. */
+/** Pending loads of this entry are reported with their remaining time. */
 BOOST_AUTO_TEST_CASE(LoadsOnTheirWayAreTold) {
   Rig rig(1);
   rig.loader.Wake(rig.service, kModel, testing::kRequest);
--- a/src/serving/load_gauges.cc
+++ b/src/serving/load_gauges.cc
@@ -1,4 +1,4 @@
-/** @file load_gauges.cc How busy engines are, asked when it matters. */
+/** @file load_gauges.cc Queries engines for their load. */
 #include <algorithm>
 #include <exception>
 #include <string>
@@ -11,15 +11,14 @@
 
 namespace {
 
-/** Engines tell of some hundred milliseconds ago: asking oftener tells little.
- */
+/** Minimum time between two queries of an engine, whose figures are a few
+ * hundred milliseconds old anyway. */
 constexpr milliseconds kAskAgain{250};
-/** An answer that takes longer is not waited for: the request goes by what is
- * known. */
+/** Timeout of a query; a request then relies on what is known. */
 constexpr milliseconds kAnswerLimit{60};
-/** Between two questions by turns. */
+/** Pause between two polls. */
 constexpr milliseconds kTurn{50};
-/** Streams last seconds: what was said is gone by for this long. */
+/** Maximum age of a report to rely on; streams last seconds. */
 constexpr milliseconds kFresh{1500};
 
 }  // namespace
@@ -74,7 +73,7 @@
              "engine_ungauged", {{"instance", instance}, {"error", failure}});
 }
 
-/** @throws what keeps the engine from being asked. */
+/** @throws std::exception if the engine can't be queried. */
 core::Task<> LoadGauges::Ask(fleet::InstanceId instance) {
   const fleet::EngineEntry* engine = registry_.Find(instance);
   if (engine == nullptr) co_return;
@@ -107,7 +106,7 @@
                          it->second.state.copies);
 }
 
-/** @return The engine of a model service whose turn it is. */
+/** @return The next engine of a model service to poll. */
 std::optional<fleet::InstanceId> LoadGauges::NextInTurn() {
   const auto& engines = registry_.engines();
   auto it = engines.upper_bound(turn_);
--- a/src/serving/load_gauges_base.h
+++ b/src/serving/load_gauges_base.h
@@ -1,4 +1,4 @@
-/** @file load_gauges_base.h How busy engines are, asked when it matters. */
+/** @file load_gauges_base.h Queries engines for their load. */
 #ifndef SAPPHIRE_SERVING_LOAD_GAUGES_BASE_H_
 #define SAPPHIRE_SERVING_LOAD_GAUGES_BASE_H_
 
@@ -21,19 +21,19 @@
 
 namespace sapphire::serving {
 
-/** What an engine said of its load. */
+/** Load that an engine has reported. */
 struct LoadGauge {
   EngineState state;
   core::SteadyTime at;
-  /** Requests from here that it counts in. */
+  /** Requests of this entry that the report includes. */
   int own_running = 0;
 };
 
 /**
- * Asks engines themselves how busy they are, for a request that can choose
- * among several. What entries tell each other is seconds old in a large fleet,
- * and all of them would send to the engine that was idle then; every engine
- * telling every entry costs more than the requests do. One thread.
+ * Queries engines for their load, for a request that can choose among several.
+ * Peers' reports are seconds old in a large fleet, and all entries would send
+ * to the engine that was idle then; reports of every engine to every entry cost
+ * more than the queries do. Not thread-safe.
  */
 class LoadGauges {
  public:
@@ -44,20 +44,21 @@
              const core::Logger& log);
 
   /**
-   * While `blind` says that the store can't be read, asks the engines of model
-   * services one by one, at a constant rate, what they hold. Otherwise the
-   * entry would send to engines that have dropped the model, or are gone.
+   * While `blind` returns true as the store can't be read, polls the engines of
+   * model services one by one, at a constant rate, for what they hold.
+   * Otherwise the entry would send to engines that have unloaded the model or
+   * no longer exist.
    */
   core::Task<> AskByTurns(std::function<bool()> blind);
 
-  /** Asks those of the engines that were not asked a moment ago; waits for
-   * their answers, but not long. */
+  /** Queries those of the engines that were not queried recently; waits briefly
+   * for their answers. */
   core::Task<> Refresh(std::vector<fleet::InstanceId> instances);
 
-  /** @return What the engine said, if that is fresh. */
+  /** @return The engine's last report; null if there is no recent one. */
   [[nodiscard]] const LoadGauge* Find(const fleet::InstanceId& instance) const;
 
-  /** Forgets engines that are not in `alive`. */
+  /** Drops the reports of engines that are not in `alive`. */
   void Forget(const std::set<fleet::InstanceId>& alive);
 
  private:
@@ -74,10 +75,10 @@
   const core::Clock& clock_;
   const core::Logger& log_;
   std::map<fleet::InstanceId, LoadGauge> gauges_;
-  /** Asked and not answered yet. */
+  /** Engines with a query in progress. */
   std::set<fleet::InstanceId> asking_;
   core::Signal answered_;
-  /** The engine that was asked last by turns. */
+  /** The engine that was polled last. */
   fleet::InstanceId turn_;
 };
 
--- a/src/serving/load_gauges_test.cc
+++ b/src/serving/load_gauges_test.cc
@@ -1,4 +1,4 @@
-/** @file load_gauges_test.cc Tests of asking engines how busy they are. */
+/** @file load_gauges_test.cc Tests of querying engines for their load. */
 #define BOOST_TEST_MODULE load_gauges
 #include <boost/test/unit_test.hpp>
 #include <string>
@@ -20,7 +20,7 @@
 constexpr int kOk = 200;
 constexpr milliseconds kWait{3000};
 
-/** Streams a draft; tells of so much load when it is asked. */
+/** Streams a draft; reports this load when it is queried. */
 http::Handler Busy(int running) {
   return [running](const http::Request& request,
                    http::ResponseWriter& writer) -> core::Task<> {
@@ -35,9 +35,9 @@
   };
 }
 
-/** Other entries, and how much each has in progress at the engines. */
+/** A rig with many peers that have requests in progress at the engines. */
 struct LargeRig : Rig {
-  /** So many entries that what they tell is seconds old. */
+  /** Adds so many entries that their reports are seconds old. */
   void KnowOthers(const std::vector<int>& running) {
     std::map<std::string, gen::EntryPresence> entries;
     for (int i = 0; i < 100; ++i) entries["e" + std::to_string(i)] = {};
@@ -66,12 +66,9 @@
 
 }  // namespace
 
-/**
- * Streams pause on one engine while others idle.
- * Pattern: a hundred entries, each of which goes by what the others told some
- * seconds ago; all of them send to the engine that was idle then. Asked itself,
- * it says that it is busy now.
- */
+/** Guards against streams that pause on one engine while others are idle: a
+ * hundred entries rely on reports that are seconds old and all send to the
+ * engine that was idle then. Queried itself, it reports that it is busy now. */
 BOOST_AUTO_TEST_CASE(AnEngineThatHasFilledUpMeanwhileIsPassedOver) {
   LargeRig rig;
   const TestEngine& filled = rig.AddEngine(kDrafts, Busy(20));
@@ -84,7 +81,8 @@
   BOOST_TEST(LargeRig::Drafts(emptied) == 1);
 }
 
-/** Engines with hardly any work are not asked: it costs more than it tells. */
+/** Engines with hardly any work are not queried: the query costs more than it
+ * helps. */
 BOOST_AUTO_TEST_CASE(IdleEnginesAreNotAsked) {
   LargeRig rig;
   const TestEngine& first = rig.AddEngine(kDrafts, Busy(0));
@@ -95,7 +93,7 @@
   BOOST_TEST(first.requests.size() + second.requests.size() == 1);
 }
 
-/** In a small fleet what entries tell is fresh: nobody has to be asked. */
+/** In a small fleet peers' reports are recent, so no query is needed. */
 BOOST_AUTO_TEST_CASE(InASmallFleetNobodyIsAsked) {
   Rig rig;
   const TestEngine& first = rig.AddEngine(kDrafts, Busy(9));
@@ -111,10 +109,7 @@
   BOOST_TEST(first.requests.size() + second.requests.size() == 1);
 }
 
-/**
- * Callers wait for engines that are asked and say nothing.
- * A question that is not answered soon is not waited for.
- */
+/** Guards against callers that wait for engines which do not answer a query. */
 BOOST_AUTO_TEST_CASE(ASilentEngineHoldsUpNoRequest) {
   LargeRig rig;
   rig.AddEngine(kDrafts, Silent());
@@ -128,10 +123,10 @@
 }
 
 /**
- * Callers are refused, or wait for a load, beside an engine that has their
- * model. The store turns this entry away for seconds, so that it does not hear
- * of loads and unloads; engines are asked themselves meanwhile, by turns. While
- * the store tells, nobody is asked.
+ * Guards against callers that are refused, or wait for a load, beside an engine
+ * that has their model. The store is unavailable to this entry for seconds, so
+ * it misses loads and unloads; meanwhile it polls the engines. While the store
+ * answers, no engine is polled.
  */
 BOOST_AUTO_TEST_CASE(AnEntryThatCannotReadTheStoreAsksTheEngines) {
   Rig rig;
@@ -157,7 +152,7 @@
     BOOST_REQUIRE(engine->models.size() == 1);
     BOOST_TEST(engine->models.front().model.value() == "other");
   }
-  // One question each 50 ms, however many engines there are.
+  // One query every 50 ms, however many engines there are.
   BOOST_TEST(first.requests.size() + second.requests.size() <= 13);
   BOOST_TEST(plain.requests.empty());
 }
--- a/src/serving/peer_channel.cc
+++ b/src/serving/peer_channel.cc
@@ -1,4 +1,4 @@
-/** @file peer_channel.cc Datagrams between entries. */
+/** @file peer_channel.cc Exchanges datagrams with other entries. */
 #include <fmt/format.h>
 
 #include <boost/asio/as_tuple.hpp>
@@ -22,9 +22,9 @@
 
 namespace {
 
-/** Between two log lines on datagrams that can't be sent or read. */
+/** Pause between two log lines on datagrams that can't be sent or read. */
 constexpr milliseconds kFailurePause{5000};
-/** After a failed receive. */
+/** Pause after a failed receive. */
 constexpr milliseconds kRetryPause{50};
 
 udp::endpoint ParseUdp(const std::string& address) {
@@ -95,7 +95,8 @@
   }
 }
 
-/** Bounds the log lines that strangers' datagrams or a full link can cause. */
+/** Counts a failure; limits the log lines that foreign datagrams or a congested
+ * link can cause. */
 void PeerChannel::NoteFailure(const char* what) {
   const core::SteadyTime now = clock_.Now();
   ++failures_;
--- a/src/serving/peer_channel_base.h
+++ b/src/serving/peer_channel_base.h
@@ -1,4 +1,4 @@
-/** @file peer_channel_base.h Datagrams between entries. */
+/** @file peer_channel_base.h Exchanges datagrams with other entries. */
 #ifndef SAPPHIRE_SERVING_PEER_CHANNEL_BASE_H_
 #define SAPPHIRE_SERVING_PEER_CHANNEL_BASE_H_
 
@@ -16,8 +16,8 @@
 
 namespace sapphire::serving {
 
-/** Sends datagrams to other entries and receives theirs, over UDP: any of them
- * may be lost, doubled or overtaken. One thread. */
+/** Sends datagrams to other entries and receives theirs over UDP; any of them
+ * may be lost, duplicated or reordered. Not thread-safe. */
 class PeerChannel {
  public:
   /** @param address "ip:port" of the sender. */
@@ -25,7 +25,7 @@
                                      const std::string& address)>;
 
   /**
-   * @param listen "ip:port" for datagrams.
+   * @param listen "ip:port" on which datagrams are received.
    * @pre All references outlive it.
    */
   PeerChannel(std::string listen, Receive receive,
@@ -33,12 +33,13 @@
               const core::Logger& log);
 
   /**
-   * Begins to receive.
-   * @throws core::Error kBadSettings if the address is taken.
+   * Starts receiving.
+   * @throws core::Error kBadSettings if the address is in use.
    */
   void Start();
 
-  /** Never waits: a datagram that finds no room is lost. */
+  /** Sends without blocking: a datagram that does not fit the send buffer is
+   * lost. */
   void Send(const std::string& address, const gen::EntryDatagram& datagram);
 
  private:
@@ -46,7 +47,8 @@
   void Deliver(std::size_t n, const boost::asio::ip::udp::endpoint& sender);
   void NoteFailure(const char* what);
 
-  /** Bytes; longer datagrams are cut off and not understood. */
+  /** Maximum size in bytes; longer datagrams are truncated and can't be
+   * decoded. */
   static constexpr std::size_t kLongestDatagram = 60'000;
 
   const std::string listen_;
--- a/src/serving/silence_watch.cc
+++ b/src/serving/silence_watch.cc
@@ -1,4 +1,4 @@
-/** @file silence_watch.cc Gives a silent send up for a better one. */
+/** @file silence_watch.cc Gives up a send whose engine is silent. */
 #include <utility>
 
 #include "serving/silence_watch_base.h"
@@ -7,8 +7,8 @@
 
 namespace {
 
-/** Between two questions while the silence lasts: endpoints report a loaded
- * model within this. */
+/** Pause between two calls of `give_up` during a silence: endpoints report a
+ * loaded model within this time. */
 constexpr std::chrono::milliseconds kAskAgain{200};
 
 }  // namespace
@@ -23,8 +23,7 @@
     timer.expires_after(time);
     timer.async_wait(
         [self = shared_from_this(), wait = ++waits](const auto& ec) {
-          // A wait that has ended can't be cancelled any more, only passed
-          // over.
+          // A wait that has expired can't be cancelled any more, only ignored.
           const bool is_last = wait == self->waits;
           if (!ec && !self->over && is_last) self->Ask();
         });
--- a/src/serving/silence_watch_base.h
+++ b/src/serving/silence_watch_base.h
@@ -1,4 +1,4 @@
-/** @file silence_watch_base.h Gives a silent send up for a better one. */
+/** @file silence_watch_base.h Gives up a send whose engine is silent. */
 #ifndef SAPPHIRE_SERVING_SILENCE_WATCH_BASE_H_
 #define SAPPHIRE_SERVING_SILENCE_WATCH_BASE_H_
 
@@ -12,25 +12,25 @@
 namespace sapphire::serving {
 
 /**
- * Asks, while an engine is silent, whether the send shall be given up.
+ * Calls `give_up` while an engine is silent.
  *
- * Silence alone ends nothing: a crowded engine may only pause. The question is
+ * Silence alone does not end a send: a busy engine may only pause. The call is
  * repeated until another engine can take over or the engine sends again.
  */
 class SilenceWatch {
  public:
-  /**
-   * @param give_up Asked while there is silence; true ends the asking, and is
-   *   followed by `abort`.
-   */
+  /** @param give_up Called while the engine is silent. When it returns true,
+   * `abort` is called and the watch ends. */
   SilenceWatch(const core::Executor& executor, std::function<bool()> give_up,
                std::function<void()> abort);
   ~SilenceWatch();
   SilenceWatch(const SilenceWatch&) = delete;
   SilenceWatch& operator=(const SilenceWatch&) = delete;
 
-  /** The engine has spoken, or has been asked, just now.
-   * @param silence How long it may be silent; zero: for good. */
+  /**
+   * Starts the wait anew, when a request was sent or the engine has answered.
+   * @param silence How long the engine may be silent; zero: without limit.
+   */
   void Restart(std::chrono::milliseconds silence);
 
   /** @return True if the send was given up. */
--- a/src/serving/silence_watch_test.cc
+++ b/src/serving/silence_watch_test.cc
@@ -1,4 +1,4 @@
-/** @file silence_watch_test.cc Silent sends are given up; others are not. */
+/** @file silence_watch_test.cc Tests that only silent sends are given up. */
 #define BOOST_TEST_MODULE silence_watch
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/post.hpp>
@@ -14,8 +14,9 @@
 
 using std::chrono::milliseconds;
 
-/** A caller's stream is cut as its engine begins to answer: on a busy VM the
- * end of the silence and the answer are handled in one turn of the loop. */
+/** Guards against a stream that is cut as its engine begins to answer: on a
+ * busy VM the expired silence and the answer are handled in one turn of the
+ * event loop. */
 BOOST_AUTO_TEST_CASE(AnAnswerAtTheEndOfTheSilenceCounts) {
   boost::asio::io_context io;
   int asked = 0;
@@ -35,7 +36,7 @@
   BOOST_TEST(aborted == 0);
 }
 
-/** A request is held by an engine that never speaks. */
+/** Guards against a request that is held by an engine that never answers. */
 BOOST_AUTO_TEST_CASE(ASilentSendIsGivenUp) {
   boost::asio::io_context io;
   int aborted = 0;
