--- a/src/serving/exchange_base.h
+++ b/src/serving/exchange_base.h
@@ -39,7 +39,7 @@
   bool timed_out = false;
   /** No connection could be made: the engine is down or cut off. */
   bool unreachable = false;
-  /** A later instance of the engine answered: the addressed one has ended. */
+  /** A later instance of the engine replied: the addressed one has ended. */
   bool replaced = false;
   /** The engine does not hold the model, contrary to what was known. */
   bool lacks_model = false;
--- a/src/serving/model_loader_base.h
+++ b/src/serving/model_loader_base.h
@@ -38,7 +38,7 @@
  * Requests model loads from endpoints. All entries see the same engines and
  * choose by the same rules, so two entries that need a model at the same time
  * mostly ask the same endpoint, which loads it once. No coordinator is needed,
- * and an entry that stops delays no load. Pending loads are broadcast to the
+ * and an entry that stops delays no load. A pending load is broadcast to the
  * other entries, which ask the same endpoint and so learn of the load's end at
  * once.
  */
@@ -133,7 +133,7 @@
   [[nodiscard]] bool LanesAreForOthers(const routing::Service& service,
                                        const core::ModelId& model) const;
   [[nodiscard]] bool IsOftenAsked(const core::ModelId& model) const;
-  /** @return Pending loads of the target, as reported by peers or requested by
+  /** @return The target's pending loads, as reported by peers or requested by
    * this entry. */
   [[nodiscard]] std::vector<ComingModel> Coming(const LoadTarget& target) const;
   std::optional<milliseconds> OnItsWay(const LoadTarget& target) const;
