--- a/src/serving/caller_type.h
+++ b/src/serving/caller_type.h
@@ -118,7 +118,7 @@
       const http::ResponseHead& head) const = 0;
   /** @return The query for an engine's load and held models; no other start
    * than `instance` answers it. */
-  [[nodiscard]] virtual http::Request StateQuestion(
+  [[nodiscard]] virtual http::Request StateRequest(
       const fleet::InstanceId& instance) const = 0;
   /** @throws core::Error for an answer that can't be read. */
   [[nodiscard]] virtual EngineState ReadState(
--- a/src/serving/dispatcher.cc
+++ b/src/serving/dispatcher.cc
@@ -59,17 +59,17 @@
 }
 
 /** Aborts the send in progress when the caller closes its connection. */
-class LeaveWatch {
+class DisconnectWatch {
  public:
-  explicit LeaveWatch(CallerSide& caller) : caller_(caller) {
+  explicit DisconnectWatch(CallerSide& caller) : caller_(caller) {
     caller.writer.WhenCallerGone([&caller] {
       caller.left = true;
       if (caller.abort) caller.abort->Now();
     });
   }
-  ~LeaveWatch() { caller_.writer.WhenCallerGone({}); }
-  LeaveWatch(const LeaveWatch&) = delete;
-  LeaveWatch& operator=(const LeaveWatch&) = delete;
+  ~DisconnectWatch() { caller_.writer.WhenCallerGone({}); }
+  DisconnectWatch(const DisconnectWatch&) = delete;
+  DisconnectWatch& operator=(const DisconnectWatch&) = delete;
 
  private:
   CallerSide& caller_;
@@ -77,7 +77,7 @@
 
 }  // namespace
 
-Dispatcher::Dispatcher(DispatchOptions options, DispatchParts parts)
+Dispatcher::Dispatcher(DispatchOptions options, DispatcherDependencies parts)
     : options_(options),
       parts_(parts),
       chooser_(options.pace, parts.registry, parts.peer_table, parts.gauges,
@@ -87,7 +87,7 @@
                                http::ResponseWriter& writer) {
   RequestWork work(parts_.caller_wire.Decode(request), writer,
                    parts_.clock.Now());
-  const LeaveWatch watch(work.caller);
+  const DisconnectWatch watch(work.caller);
   std::optional<Error> refusal;
   try {
     Check(work);
--- a/src/serving/dispatcher_base.h
+++ b/src/serving/dispatcher_base.h
@@ -36,7 +36,7 @@
 namespace sapphire::serving {
 
 /** How API keys are accepted while the store can't be read. */
-struct RevocationRule {
+struct RevocationOptions {
   /** If set, requests that need a key are refused once the configuration has
    * not been confirmed for `limit`. */
   bool strict = false;
@@ -58,7 +58,7 @@
 };
 
 /** Dependencies of the dispatcher; all outlive it. */
-struct DispatchParts {
+struct DispatcherDependencies {
   const routing::ConfigurationHolder& configuration;
   ConfigurationRefresh& refresh;
   StoreView view;
@@ -82,7 +82,7 @@
 /** Serves callers' requests. Not thread-safe. */
 class Dispatcher {
  public:
-  Dispatcher(DispatchOptions options, DispatchParts parts);
+  Dispatcher(DispatchOptions options, DispatcherDependencies parts);
 
   /** Handles one request; always sends a final answer. */
   core::Task<> Serve(const http::Request& request,
@@ -120,7 +120,7 @@
   void NoteEnd(const RequestWork& work) const;
 
   DispatchOptions options_;
-  const DispatchParts parts_;
+  const DispatcherDependencies parts_;
   EngineChooser chooser_;
   std::map<core::ServiceId, policy::RepeatBudget> budgets_;
 };
--- a/src/serving/dispatcher_rig_test.h
+++ b/src/serving/dispatcher_rig_test.h
@@ -76,7 +76,7 @@
     answer.to_caller.status = head.status;
     return answer;
   }
-  [[nodiscard]] http::Request StateQuestion(
+  [[nodiscard]] http::Request StateRequest(
       const fleet::InstanceId&) const override {
     http::Request request;
     request.target = "/load";
@@ -366,7 +366,7 @@
     return options;
   }
 
-  DispatchParts Parts() {
+  DispatcherDependencies Parts() {
     const StoreView view{[this] { return keys_confirmed; },
                          [this] { return view_is_late; }};
     return {configuration, refresh, view,        quota,       rate_limiter,
--- a/src/serving/engine_follower_test.cc
+++ b/src/serving/engine_follower_test.cc
@@ -59,7 +59,7 @@
     for (milliseconds passed{0}; passed < time; passed += kStep) {
       clock.Advance(kStep);
       ApplyDue();
-      if (clock.Now() - kept_house >= kHousekeeping) {
+      if (clock.Now() - kept_house >= kHousekeepingInterval) {
         kept_house = clock.Now();
         registry.Expire();
       }
--- a/src/serving/follow.cc
+++ b/src/serving/follow.cc
@@ -50,8 +50,8 @@
       WatchWait(freshness, options.gather, options.retry_pause);
   // Held engines are dropped by the next housekeeping, and a request that was
   // routed just before is in transit for a few milliseconds.
-  options.lapse_wait =
-      std::max(freshness.bound - kHousekeeping - kRest, milliseconds(0));
+  options.lapse_wait = std::max(freshness.bound - kHousekeepingInterval - kRest,
+                                milliseconds(0));
   options.late_after = freshness.bound;
   return options;
 }
--- a/src/serving/follow_func.h
+++ b/src/serving/follow_func.h
@@ -20,7 +20,7 @@
 };
 
 /** Interval at which an entry drops expired state. */
-inline constexpr std::chrono::milliseconds kHousekeeping{250};
+inline constexpr std::chrono::milliseconds kHousekeepingInterval{250};
 
 /** @return Options with which an entry follows the configuration, the engines,
  * the other entries and requests that crash engines. */
--- a/src/serving/front.cc
+++ b/src/serving/front.cc
@@ -78,16 +78,15 @@
   return calls;
 }
 
-DispatchParts PartsOf(const routing::ConfigurationHolder& configuration,
-                      ConfigurationRefresh& refresh, StoreView view,
-                      QuotaGate& quota, EngineRateLimiter& rate_limiter,
-                      fleet::EngineRegistry& registry,
-                      fleet::EngineLoads& loads, fleet::PeerTable& peer_table,
-                      EngineClients& clients, LoadGauges& gauges,
-                      const ReplicaFinder& finder, ModelLoader& loader,
-                      CrashWatch& crash_watch, const CallerWire& caller_wire,
-                      const EngineWire& engine_wire, FrontMetrics& metrics,
-                      const core::Clock& clock, const core::Logger& log) {
+DispatcherDependencies PartsOf(
+    const routing::ConfigurationHolder& configuration,
+    ConfigurationRefresh& refresh, StoreView view, QuotaGate& quota,
+    EngineRateLimiter& rate_limiter, fleet::EngineRegistry& registry,
+    fleet::EngineLoads& loads, fleet::PeerTable& peer_table,
+    EngineClients& clients, LoadGauges& gauges, const ReplicaFinder& finder,
+    ModelLoader& loader, CrashWatch& crash_watch, const CallerWire& caller_wire,
+    const EngineWire& engine_wire, FrontMetrics& metrics,
+    const core::Clock& clock, const core::Logger& log) {
   return {configuration, refresh,     std::move(view), quota,
           rate_limiter,  registry,    loads,           peer_table,
           clients,       gauges,      finder,          loader,
@@ -436,8 +435,8 @@
       engine_quota_client_.Forget();
       UpdateHeartbeats();
     }
-    const core::SteadyTime due = clock_.Now() + kHousekeeping;
-    co_await core::SleepFor(kHousekeeping);
+    const core::SteadyTime due = clock_.Now() + kHousekeepingInterval;
+    co_await core::SleepFor(kHousekeepingInterval);
     // Whatever blocked the thread meanwhile has delayed this timer too.
     stalls_.Note("any",
                  std::chrono::duration_cast<milliseconds>(clock_.Now() - due));
--- a/src/serving/front_base.h
+++ b/src/serving/front_base.h
@@ -62,7 +62,7 @@
   /** Address on which metrics are served. */
   std::string metrics_listen;
   Freshness freshness;
-  RevocationRule revocation;
+  RevocationOptions revocation;
   quota::QuotaRules quota;
   /** Leases of the engines that this entry controls. */
   orders::LeaseOptions leases;
--- a/src/serving/load_gauges.cc
+++ b/src/serving/load_gauges.cc
@@ -78,7 +78,7 @@
   const fleet::EngineEntry* engine = registry_.Find(instance);
   if (engine == nullptr) co_return;
   const std::shared_ptr<http::Client> client = clients_.Of(*engine);
-  http::Request question = wire_.StateQuestion(instance);
+  http::Request question = wire_.StateRequest(instance);
   const http::Response answer =
       co_await client->Fetch(std::move(question), kAnswerLimit);
   gauges_[instance] = LoadGauge{wire_.ReadState(answer), clock_.Now(),
--- a/src/serving/loader_rig_test.h
+++ b/src/serving/loader_rig_test.h
@@ -90,7 +90,7 @@
   [[nodiscard]] EngineAnswer Read(const http::ResponseHead&) const override {
     return {};
   }
-  [[nodiscard]] http::Request StateQuestion(
+  [[nodiscard]] http::Request StateRequest(
       const fleet::InstanceId&) const override {
     return {};
   }
