--- a/src/serving/silence_watch.cc
+++ b/src/serving/silence_watch.cc
@@ -7,9 +7,9 @@
 
 namespace {
 
-/** Pause between two calls of `give_up` during a silence: endpoints report a
- * loaded model within this time. */
-constexpr std::chrono::milliseconds kAskAgain{200};
+/** Pause between two calls of `should_give_up` during a silence: endpoints
+ * report a loaded model within this time. */
+constexpr std::chrono::milliseconds kRecheckInterval{200};
 
 }  // namespace
 
@@ -17,7 +17,9 @@
 struct SilenceWatch::State : std::enable_shared_from_this<State> {
   State(const core::Executor& executor, std::function<bool()> ask,
         std::function<void()> end)
-      : timer(executor), give_up(std::move(ask)), abort(std::move(end)) {}
+      : timer(executor),
+        should_give_up(std::move(ask)),
+        abort(std::move(end)) {}
 
   void Wait(std::chrono::milliseconds time) {
     timer.expires_after(time);
@@ -25,13 +27,13 @@
         [self = shared_from_this(), wait = ++waits](const auto& ec) {
           // A wait that has expired can't be cancelled any more, only ignored.
           const bool is_last = wait == self->waits;
-          if (!ec && !self->over && is_last) self->Ask();
+          if (!ec && !self->over && is_last) self->Check();
         });
   }
 
-  void Ask() {
-    if (!give_up()) {
-      Wait(kAskAgain);
+  void Check() {
+    if (!should_give_up()) {
+      Wait(kRecheckInterval);
       return;
     }
     over = true;
@@ -41,16 +43,16 @@
 
   boost::asio::steady_timer timer;
   int waits = 0;
-  const std::function<bool()> give_up;
+  const std::function<bool()> should_give_up;
   const std::function<void()> abort;
   bool over = false;
   bool gave_up = false;
 };
 
 SilenceWatch::SilenceWatch(const core::Executor& executor,
-                           std::function<bool()> give_up,
+                           std::function<bool()> should_give_up,
                            std::function<void()> abort)
-    : state_(std::make_shared<State>(executor, std::move(give_up),
+    : state_(std::make_shared<State>(executor, std::move(should_give_up),
                                      std::move(abort))) {}
 
 SilenceWatch::~SilenceWatch() {
--- a/src/serving/silence_watch_base.h
+++ b/src/serving/silence_watch_base.h
@@ -12,16 +12,17 @@
 namespace sapphire::serving {
 
 /**
- * Calls `give_up` while an engine is silent.
+ * Calls `should_give_up` while an engine is silent.
  *
  * Silence alone does not end a send: a busy engine may only pause. The call is
  * repeated until another engine can take over or the engine sends again.
  */
 class SilenceWatch {
  public:
-  /** @param give_up Called while the engine is silent. When it returns true,
-   * `abort` is called and the watch ends. */
-  SilenceWatch(const core::Executor& executor, std::function<bool()> give_up,
+  /** @param should_give_up Called while the engine is silent. When it returns
+   * true, `abort` is called and the watch ends. */
+  SilenceWatch(const core::Executor& executor,
+               std::function<bool()> should_give_up,
                std::function<void()> abort);
   ~SilenceWatch();
   SilenceWatch(const SilenceWatch&) = delete;
--- a/src/serving/silence_watch_test.cc
+++ b/src/serving/silence_watch_test.cc
@@ -17,7 +17,7 @@
 /** Guards against a stream that is cut as its engine begins to answer: on a
  * busy VM the expired silence and the answer are handled in one turn of the
  * event loop. */
-BOOST_AUTO_TEST_CASE(AnAnswerAtTheEndOfTheSilenceCounts) {
+BOOST_AUTO_TEST_CASE(AnswerAtTimerExpiryKeepsTheSend) {
   boost::asio::io_context io;
   int asked = 0;
   int aborted = 0;
