--- a/src/serving/configuration_refresh_base.h
+++ b/src/serving/configuration_refresh_base.h
@@ -27,8 +27,8 @@
 };
 
 enum class RefreshResult {
-  kRead,    ///< What is in force now was the newest during the call.
-  kRecent,  ///< It was read less than a pause ago.
+  kRead,    ///< The current configuration was the newest during the call.
+  kRecent,  ///< The last read was less than a pause ago.
   kFailed,  ///< The store did not answer; a newer one may exist.
 };
 
--- a/src/serving/dispatcher_identity_test.cc
+++ b/src/serving/dispatcher_identity_test.cc
@@ -121,7 +121,8 @@
   BOOST_TEST(rig.Status("/safe/", "k3") == kUnavailable);
 }
 
-/** Guards against a revoked key that costs calls, or is served. */
+/** Guards against a revoked key that causes calls to the store, or is served.
+ */
 BOOST_AUTO_TEST_CASE(RevokedKeyIsRejectedWithoutAStoreCall) {
   IdentityRig rig;
   TestEngine& engine = rig.AddEngine(kPlain, Answering(kOk, false, "x"));
--- a/src/serving/engine_chooser.cc
+++ b/src/serving/engine_chooser.cc
@@ -30,8 +30,8 @@
 constexpr int kMinWaitersToExtrapolate = 3;
 /**
  * Nearly all streams finish within this time: 57 events of three tokens take 2
- * s on an idle engine, up to 5 s on a busy one. With 8 s until the process
- * ends, streams are accepted for as long as load balancers may still open new
+ * s on an idle engine, up to 5 s on a busy one. As the entry has 8 s to stop,
+ * streams are accepted for as long as load balancers may still open new
  * connections.
  */
 constexpr milliseconds kUsualStreamTime{5200};
--- a/src/serving/exchange_base.h
+++ b/src/serving/exchange_base.h
@@ -30,7 +30,7 @@
 
 struct ExchangeResult {
   ExchangeEnd end = ExchangeEnd::kLost;
-  /** For the log. */
+  /** Reason of the end, for the log. */
   std::string reason;
   /** With kEngineFailed: the engine's own answer. */
   std::optional<http::Response> failure;
--- a/src/serving/front_metrics_base.h
+++ b/src/serving/front_metrics_base.h
@@ -37,7 +37,7 @@
 };
 
 /** No label's number of values grows with models, callers, organisations or
- * engines. Safe on several threads. */
+ * engines. Thread-safe. */
 class FrontMetrics {
  public:
   FrontMetrics();
--- a/src/serving/model_loader_test.cc
+++ b/src/serving/model_loader_test.cc
@@ -199,9 +199,9 @@
 }
 
 /**
- * Guards against loads from the weight store that take a minute instead of 13
- * s. The store serves only some loads at full speed and does not report how
- * many; each further load slows down those before it. A load that took much
+ * Guards against loads from the weight store that take a minute instead of
+ * thirteen seconds. The store serves one load at full speed and does not report
+ * that; each further load slows down those before it. A load that took much
  * longer than a single one shows that no other should begin, even for a model
  * that is requested often.
  */
