--- a/src/serving/engine_follower_test.cc
+++ b/src/serving/engine_follower_test.cc
@@ -15,7 +15,7 @@
 #include "entry/testing_loop.h"
 #include "fleet/instance_func.h"
 #include "serving/engine_follower_base.h"
-#include "serving/follow_func.h"
+#include "serving/store_follow_options_func.h"
 
 namespace sapphire::serving {
 
--- a/src/serving/front_base.h
+++ b/src/serving/front_base.h
@@ -36,13 +36,13 @@
 #include "serving/engine_rate_limiter_base.h"
 #include "serving/entry_follower_base.h"
 #include "serving/entry_presence_base.h"
-#include "serving/follow_func.h"
 #include "serving/holder_follower_base.h"
 #include "serving/load_broadcaster_base.h"
 #include "serving/model_loader_base.h"
 #include "serving/peer_channel_base.h"
 #include "serving/quota_gate_base.h"
 #include "serving/replica_finder_base.h"
+#include "serving/store_follow_options_func.h"
 #include "serving/store_layout_type.h"
 
 namespace sapphire::serving {
--- a/src/serving/follow.cc
+++ b/src/serving/store_follow_options.cc
@@ -1,7 +1,7 @@
-/** @file follow.cc Timing of how entries follow the store. */
+/** @file store_follow_options.cc Timing of how entries follow the store. */
 #include <algorithm>
 
-#include "serving/follow_func.h"
+#include "serving/store_follow_options_func.h"
 
 namespace sapphire::serving {
 
--- a/src/serving/follow_func.h
+++ b/src/serving/store_follow_options_func.h
@@ -1,6 +1,6 @@
-/** @file follow_func.h Timing of how entries follow the store. */
-#ifndef SAPPHIRE_SERVING_FOLLOW_FUNC_H_
-#define SAPPHIRE_SERVING_FOLLOW_FUNC_H_
+/** @file store_follow_options_func.h Timing of how entries follow the store. */
+#ifndef SAPPHIRE_SERVING_STORE_FOLLOW_OPTIONS_FUNC_H_
+#define SAPPHIRE_SERVING_STORE_FOLLOW_OPTIONS_FUNC_H_
 
 #include <chrono>
 
@@ -29,4 +29,4 @@
 
 }  // namespace sapphire::serving
 
-#endif  // SAPPHIRE_SERVING_FOLLOW_FUNC_H_
+#endif  // SAPPHIRE_SERVING_STORE_FOLLOW_OPTIONS_FUNC_H_
--- a/src/serving/follow_test.cc
+++ b/src/serving/store_follow_options_test.cc
@@ -1,10 +1,11 @@
-/** @file follow_test.cc Tests of the age limit of an entry's view of the store.
+/** @file store_follow_options_test.cc Tests of the age limit of an entry's view
+ * of the store.
  */
-#define BOOST_TEST_MODULE follow
+#define BOOST_TEST_MODULE store_follow_options
 #include <boost/test/unit_test.hpp>
 #include <chrono>
 
-#include "serving/follow_func.h"
+#include "serving/store_follow_options_func.h"
 
 namespace sapphire::serving {
 
