--- a/src/serving/dispatcher.cc
+++ b/src/serving/dispatcher.cc
@@ -125,7 +125,7 @@
   chooser_.CheckShutdown(work, milliseconds(0));
   CheckStoreView(work);
   work.deadline = std::min(work.deadline, work.arrived + work.route->timeout);
-  Resolve(work);
+  ResolveService(work);
   deps_.crash_watch.Check(work.fingerprint);
 }
 
@@ -141,7 +141,7 @@
  * moment ago, so the newest configuration is read before the request is
  * rejected; if that read fails, the caller is asked to retry later. */
 core::Task<> Dispatcher::Authenticate(RequestWork& work) {
-  Identify(work);
+  IdentifyOrganisation(work);
   const bool needs_key =
       work.table->HasOrganisations() && !work.route->is_public;
   if (!needs_key) co_return;
@@ -156,7 +156,7 @@
   if (!revoked) {
     const RefreshResult read = co_await deps_.refresh.Read();
     Check(work);
-    Identify(work);
+    IdentifyOrganisation(work);
     if (work.organisation != nullptr) co_return;
     if (read == RefreshResult::kFailed) {
       throw Error(ErrorCode::kConfigurationStale, "", kDefaultRetryAfter);
@@ -166,7 +166,7 @@
 }
 
 /** Looks the key up in the current configuration. */
-void Dispatcher::Identify(RequestWork& work) const {
+void Dispatcher::IdentifyOrganisation(RequestWork& work) const {
   work.identified_by = deps_.configuration.current();
   work.organisation =
       work.request.api_key
@@ -182,7 +182,7 @@
 /** Refuses the request if its key was revoked while it waited. */
 void Dispatcher::RecheckKey(RequestWork& work) const {
   if (work.identified_by == deps_.configuration.current()) return;
-  Identify(work);
+  IdentifyOrganisation(work);
   const bool needs_key =
       work.identified_by->HasOrganisations() && !work.route->is_public;
   if (!needs_key || work.organisation != nullptr) return;
@@ -238,7 +238,7 @@
 }
 
 /** Finds the service and checks that it serves the model. */
-void Dispatcher::Resolve(RequestWork& work) const {
+void Dispatcher::ResolveService(RequestWork& work) const {
   const double point =
       static_cast<double>(core::HashOf(work.request.id.value())) / kHashRange;
   const core::ServiceId& id = routing::ChooseService(*work.route, point);
--- a/src/serving/dispatcher_base.h
+++ b/src/serving/dispatcher_base.h
@@ -108,11 +108,11 @@
   void Check(RequestWork& work) const;
   void CheckStoreView(const RequestWork& work) const;
   core::Task<> Authenticate(RequestWork& work);
-  void Identify(RequestWork& work) const;
+  void IdentifyOrganisation(RequestWork& work) const;
   void RecheckKey(RequestWork& work) const;
   core::Task<> ChargeQuota(RequestWork& work);
   void RefundUnused(const RequestWork& work);
-  void Resolve(RequestWork& work) const;
+  void ResolveService(RequestWork& work) const;
   bool ShouldGiveUp(RequestWork& work);
   [[nodiscard]] bool MayRunAgain(const RequestWork& work) const;
   bool TakeRepeat(const RequestWork& work, double reserve);
--- a/src/serving/replica_finder.cc
+++ b/src/serving/replica_finder.cc
@@ -72,7 +72,7 @@
     if (loads_.limits().ThrottledFor(instance) > milliseconds(0)) continue;
     FoundReplica replica;
     replica.instance = instance;
-    replica.view = View(engine, request);
+    replica.view = MakeView(engine, request);
     if (!request.model.empty()) {
       const fleet::HeldModel* held = FindHeld(engine, request.model);
       replica.order_left = peer_table_.OrderLeft(instance);
@@ -100,7 +100,7 @@
   return first;
 }
 
-policy::ReplicaCandidate ReplicaFinder::View(
+policy::ReplicaCandidate ReplicaFinder::MakeView(
     const fleet::EngineEntry& engine, const CallerRequest& request) const {
   policy::ReplicaCandidate view;
   view.same_zone = engine.zone == zone_;
--- a/src/serving/replica_finder_base.h
+++ b/src/serving/replica_finder_base.h
@@ -91,7 +91,7 @@
                             const core::ServiceId& service,
                             const CallerRequest& request,
                             const std::set<fleet::InstanceId>& avoid) const;
-  [[nodiscard]] policy::ReplicaCandidate View(
+  [[nodiscard]] policy::ReplicaCandidate MakeView(
       const fleet::EngineEntry& engine, const CallerRequest& request) const;
 
   /** Cached load candidates of a service. */
