--- a/src/serving/model_loader.cc
+++ b/src/serving/model_loader.cc
@@ -265,12 +265,11 @@
                              policy::ReplicaNeed need, int at_once) {
   if (need == policy::ReplicaNeed::kNone) return;
   const LoadTarget target{service.id, model, core::AdapterId()};
-  const auto asked = last_replica_request_.find(target);
+  const auto asked = last_attempt_.find(target);
   const core::SteadyTime now = clock_.Now();
   const milliseconds pause = at_once > 1 ? kUrgentReplicaPause : kReplicaPause;
-  if (asked != last_replica_request_.end() && now - asked->second < pause)
-    return;
-  last_replica_request_[target] = now;
+  if (asked != last_attempt_.end() && now - asked->second < pause) return;
+  last_attempt_[target] = now;
   const std::vector<PendingModelLoad> coming = PendingLoadsOf(target);
   const auto soon = std::ranges::count_if(
       coming,
--- a/src/serving/model_loader_base.h
+++ b/src/serving/model_loader_base.h
@@ -171,7 +171,7 @@
   fleet::ModelUsage request_usage_;
   std::map<LoadKey, PendingLoad> pending_;
   std::map<LoadKey, core::SteadyTime> failures_;
-  std::map<LoadTarget, core::SteadyTime> last_replica_request_;
+  std::map<LoadTarget, core::SteadyTime> last_attempt_;
 };
 
 }  // namespace sapphire::serving
