--- a/src/crash/quarantine.cc
+++ b/src/crash/quarantine.cc
@@ -1,4 +1,4 @@
-/** @file quarantine.cc Requests that crash engines, by fingerprint. */
+/** @file quarantine.cc Tracks requests that crash engines, by fingerprint. */
 #include <algorithm>
 #include <boost/json.hpp>
 
--- a/src/crash/quarantine_base.h
+++ b/src/crash/quarantine_base.h
@@ -1,4 +1,5 @@
-/** @file quarantine_base.h Requests that crash engines, by fingerprint. */
+/** @file quarantine_base.h Tracks requests that crash engines, by fingerprint.
+ */
 #ifndef SAPPHIRE_CRASH_QUARANTINE_BASE_H_
 #define SAPPHIRE_CRASH_QUARANTINE_BASE_H_
 
@@ -14,27 +15,28 @@
 
 namespace sapphire::crash {
 
-/** The crashes seen under one fingerprint, as kept in the platform. */
+/** The crashes of one fingerprint, as stored in the key-value service. */
 struct CrashRecord {
   core::ModelId model;
-  /** One random id for each crash: adding one twice counts it once. */
+  /** One random id for each crash, so that merging a crash twice counts it
+   * once. */
   std::set<std::string> crashes;
   core::WallTime last_crash;
 
   friend bool operator==(const CrashRecord&, const CrashRecord&) = default;
 };
 
-/** @return The value of a `quarantine/` key. */
+/** @return The text stored under a `quarantine/` key. */
 std::string EncodeCrashes(const CrashRecord& record);
 
-/** @throws core::Error kInternal if the text isn't such a value. */
+/** @throws core::Error kInternal if the text isn't a valid value. */
 CrashRecord DecodeCrashes(const std::string& text);
 
-/** How a request may be placed. */
+/** Crash history of a fingerprint, and whether its requests may run. */
 struct Verdict {
   policy::DispatchDecision dispatch = policy::DispatchDecision::kRun;
   int crashes = 0;
-  /** Engines that run a copy of it now. */
+  /** Endpoints that currently run a request with the fingerprint. */
   std::set<core::EndpointId> copies;
 
   [[nodiscard]] bool IsSuspect() const { return crashes > 0; }
@@ -44,8 +46,8 @@
 };
 
 /**
- * policy::CrashTracker for several threads, with an id for each crash, so that
- * entries can share what they saw and count nothing twice.
+ * Thread-safe policy::CrashTracker with an id for each crash, so that entries
+ * can share their crashes without counting one twice.
  */
 class Quarantine {
  public:
@@ -54,32 +56,33 @@
 
   [[nodiscard]] Verdict Judge(std::int64_t fingerprint) const;
 
-  /** Notes that a request is placed; `slot_id` is new for each. */
+  /** Records the placement of a request; `slot_id` is unique to it. */
   void RecordDispatch(std::int64_t fingerprint, std::int64_t slot_id,
                       const core::EndpointId& endpoint);
 
   /**
-   * Notes that an engine died under a request.
-   * @return True if this crash was not yet counted: copies that ran together
-   *   on one engine saw the same one.
+   * Records that an engine crashed while it ran a request.
+   * @return True if the crash was not counted before: requests that ran
+   *   together on one engine report the same crash.
    */
   bool RecordCrash(std::int64_t fingerprint, std::int64_t slot_id,
                    const core::ModelId& model);
 
-  /** Notes an end without a crash. @return True if it cleared a suspect. */
+  /** Records an end without a crash.
+   * @return True if it cleared the fingerprint's crashes. */
   bool RecordEnd(std::int64_t fingerprint, std::int64_t slot_id,
                  bool completed);
 
-  /** @return What is known; no crashes if nothing is. */
+  /** @return The fingerprint's record; one without crashes if none is known. */
   [[nodiscard]] CrashRecord Find(std::int64_t fingerprint) const;
 
-  /** @return Every fingerprint with a crash. */
+  /** @return All fingerprints with a crash. */
   [[nodiscard]] std::set<std::int64_t> Fingerprints() const;
 
-  /** Adds what another entry saw. */
+  /** Adds the crashes that another entry recorded. */
   void Merge(std::int64_t fingerprint, const CrashRecord& record);
 
-  /** Forgets a fingerprint that another entry cleared. */
+  /** Removes the crashes of a fingerprint that another entry cleared. */
   void Drop(std::int64_t fingerprint);
 
  private:
--- a/src/crash/quarantine_store.cc
+++ b/src/crash/quarantine_store.cc
@@ -1,4 +1,5 @@
-/** @file quarantine_store.cc Keeps the quarantine in the platform. */
+/** @file quarantine_store.cc Shares the quarantine through the key-value
+ * service. */
 #include <algorithm>
 #include <charconv>
 #include <optional>
@@ -13,11 +14,12 @@
 
 namespace {
 
-/** Changes of one crash come together: they are gathered for this long. */
+/** The changes that a crash causes come in a burst; they are batched for this
+ * long. */
 constexpr core::Millis kGather{50};
-/** Without a change, the writer looks whether it has to stop this often. */
+/** How often an idle writer checks whether it has to stop. */
 constexpr core::Millis kIdleLook{5000};
-/** A fingerprint without a crash for this long is forgotten. */
+/** Fingerprints are deleted this long after their last crash. */
 constexpr std::chrono::hours kKeptFor{7 * 24};
 
 std::string KeyOf(std::int64_t fingerprint) {
@@ -99,8 +101,9 @@
 }
 
 core::Task<std::int64_t> QuarantineStore::ReadAll() {
-  // Failure: watching from revision 0 when nothing is kept yet asks for history
-  // that the store has dropped; it says so, and all is read again, for ever.
+  // The watch starts at the snapshot's revision. Failure: with nothing stored
+  // yet, a watch from revision 0 asked for history that the store had compacted
+  // away; the watch reported a gap and all was read again, in an endless loop.
   const external::KvSnapshot snapshot =
       co_await store_.Snapshot(std::string(kQuarantinePrefix));
   TakeListing(snapshot.entries);
@@ -115,8 +118,9 @@
     TakeEntry(entry.key, entry.value);
     if (const auto it = FingerprintIn(entry.key)) listed.insert(*it);
   }
-  // What was known before the read and is not in it was cleared elsewhere
-  // while no watch told of it, unless it is still to be written from here.
+  // A fingerprint that was known before the read but isn't listed was cleared
+  // by another entry while no watch was open, unless it is still to be written
+  // by this one.
   for (const std::int64_t fingerprint : known) {
     if (listed.contains(fingerprint) || IsDirty(fingerprint)) continue;
     quarantine_->Drop(fingerprint);
@@ -144,7 +148,7 @@
   while (!stopped_) {
     const external::WatchBatch batch = co_await store_.Watch(
         std::string(kQuarantinePrefix), revision, timing_.watch_wait);
-    // Failure: the watch skipped changes. It says so; all is read again.
+    // The watch missed changes, so everything is read again.
     if (batch.gap) co_return;
     for (const external::KvEvent& event : batch.events) TakeEvent(event);
     revision = std::max(revision, batch.revision);
@@ -165,7 +169,8 @@
   const auto fingerprint = FingerprintIn(key);
   if (!fingerprint) return;
   const bool nothing_here = quarantine_->Find(*fingerprint).crashes.empty();
-  // Cleared here and not yet deleted there: the clearing counts.
+  // This entry cleared the fingerprint and has not deleted the key yet; the
+  // stored value is outdated.
   if (nothing_here && IsDirty(*fingerprint)) return;
   try {
     quarantine_->Merge(*fingerprint, DecodeCrashes(value));
@@ -196,8 +201,8 @@
     CrashRecord record = quarantine_->Find(fingerprint);
     co_return co_await SwapIn(fingerprint, std::move(record));
   } catch (const core::Error& e) {
-    // Failure: the service is down, or a write's answer was lost after it took
-    // effect. Writing again adds the same crash ids, which count once.
+    // The service is down, or a write took effect and its answer was lost.
+    // Retrying is safe: the same crash ids count only once.
     log_.Event(core::LogLevel::kWarning, core::LogCategory::kPlatform,
                "quarantine_unsaved",
                {{"fingerprint", fingerprint}, {"error", e.what()}});
--- a/src/crash/quarantine_store_base.h
+++ b/src/crash/quarantine_store_base.h
@@ -1,4 +1,5 @@
-/** @file quarantine_store_base.h Keeps the quarantine in the platform. */
+/** @file quarantine_store_base.h Shares the quarantine through the key-value
+ * service. */
 #ifndef SAPPHIRE_CRASH_QUARANTINE_STORE_BASE_H_
 #define SAPPHIRE_CRASH_QUARANTINE_STORE_BASE_H_
 
@@ -21,21 +22,21 @@
 
 namespace sapphire::crash {
 
-/** Keys of all entries. */
+/** Key prefix of all quarantine values. */
 inline constexpr std::string_view kQuarantinePrefix = "quarantine/";
 
-/** How the store's entries are followed. */
+/** Timing of the watch on the key-value service. */
 struct QuarantineTiming {
   /** How long a watch waits for a change. */
   core::Millis watch_wait{10'000};
-  /** Between a failed call and the next. */
+  /** Pause between a failed call and its retry. */
   core::Millis retry_pause{1000};
 };
 
 /**
  * Shares the quarantine between entries through the key-value service, so that
- * it outlives a home and is known to the next one. While the service is down
- * each entry goes on with what it saw itself and writes it later.
+ * it survives the end of a model's scheduler and its successor knows it. While
+ * the service is down each entry uses its own records and writes them later.
  */
 class QuarantineStore : public std::enable_shared_from_this<QuarantineStore> {
  public:
@@ -45,23 +46,24 @@
                   QuarantineTiming timing, external::KeyValueStore& store,
                   const core::Clock& clock, const core::Logger& log);
 
-  /** Begins to follow and to write. */
+  /** Starts reading, watching and writing. */
   void Start();
-  /** Begins to write; what is to be followed is given from outside. */
+  /** Starts writing only; the owner passes in what it reads by TakeListing and
+   * TakeEvent. */
   void StartWriting();
   void Stop();
 
-  /** These are all entries under kQuarantinePrefix. */
+  /** Applies a complete listing of kQuarantinePrefix. */
   void TakeListing(const std::vector<external::KvEntry>& entries);
 
-  /** An entry under kQuarantinePrefix has changed. */
+  /** Applies a change of a key under kQuarantinePrefix. */
   void TakeEvent(const external::KvEvent& event);
 
-  /** Says that a fingerprint's crashes changed here. */
+  /** Marks a fingerprint whose crashes changed in this process for writing. */
   void NoteChanged(std::int64_t fingerprint);
 
-  /** @return True once the service has been asked for what is known, whether
-   * or not it answered. */
+  /** @return True once the first read of the service has ended, successfully or
+   * not. */
   [[nodiscard]] bool first_read_done() const { return first_read_done_; }
 
  private:
@@ -86,7 +88,7 @@
   std::atomic<bool> first_read_done_{false};
   core::Signal changed_;
   mutable std::mutex mutex_;
-  /** Fingerprints whose crashes here are not yet written. */
+  /** Fingerprints whose changes are not yet written. */
   std::set<std::int64_t> dirty_;
 };
 
