--- a/src/endpoint/attempt_table_test.cc
+++ b/src/endpoint/attempt_table_test.cc
@@ -1,4 +1,4 @@
-/** @file attempt_table_test.cc Each attempt runs at most once. */
+/** @file attempt_table_test.cc Tests that each attempt runs at most once. */
 #define BOOST_TEST_MODULE attempt_table
 #include <atomic>
 #include <boost/test/unit_test.hpp>
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-// An operator was told that a claim was "not run"; a minute later it was filed
-// after all. Cause: the entry gave the attempt up and voided it, and the first
-// copy of its message came out of a slow link afterwards.
+// Failure: a caller was answered "not run", and the request ran later. The
+// entry had given up and voided the attempt, and the first copy of its message
+// arrived over a slow link afterwards.
 BOOST_AUTO_TEST_CASE(LateCopyOfVoidedAttemptIsRefused) {
   const core::SystemClock clock;
   AttemptTable table({}, clock);
@@ -47,8 +47,8 @@
                         Is(ErrorCode::kAttemptVoided));
 }
 
-// Voiding and starting meet at the same moment on two threads: exactly one of
-// them may win, or the answer "not run" would be wrong.
+// If an attempt is voided and started on two threads at the same moment,
+// exactly one may succeed, or the answer "not run" could be wrong.
 BOOST_AUTO_TEST_CASE(StartAndVoidRaceHasOneWinner) {
   const core::SystemClock clock;
   AttemptTable table({}, clock);
@@ -76,8 +76,8 @@
   for (const auto& it : wins) BOOST_REQUIRE_EQUAL(it.load(), 1);
 }
 
-// Tombstones pile up while a service misbehaves. A full table must refuse new
-// attempts, not forget a tombstone whose copy may still be under way.
+// Voided attempts accumulate while a service misbehaves. A full table must
+// refuse new attempts rather than forget one whose copy may be in transit.
 BOOST_AUTO_TEST_CASE(FullTableRefusesAndForgetsOnlyByAge) {
   core::ManualClock clock;
   AttemptTableOptions options;
--- a/src/endpoint/endpoint_rig_test.h
+++ b/src/endpoint/endpoint_rig_test.h
@@ -18,7 +18,7 @@
 
 namespace sapphire::endpoint::test {
 
-/** The world that several endpoints share. */
+/** The clock, store and configuration that several endpoints share. */
 struct World {
   core::SystemClock clock;
   core::Logger log{
@@ -30,8 +30,8 @@
   std::shared_ptr<Judge> judge = std::make_shared<Judge>();
   contract::ConfigHolder config;
 
-  /** Puts a service with models m0..m4 in force, each of 40 bytes and with
-   * adapters x and y of 15 bytes. */
+  /** Applies a configuration with one service and models m0..m4, each of 40
+   * bytes and with adapters x and y of 15 bytes. */
   void Configure(std::int64_t version, int per_model, int per_service) {
     contract::Config next;
     next.version = version;
@@ -54,7 +54,7 @@
     config.Adopt(next);
   }
 
-  /** Runs a coroutine, and everything else, until it ends. */
+  /** Runs the event loop until the given coroutine ends. */
   void Run(std::function<Task<>()> task) {
     core::Spawn(context.get_executor(), log, "test",
                 [this, task = std::move(task)]() -> Task<> {
@@ -71,7 +71,7 @@
   }
 };
 
-/** All parts of one endpoint process but its links. */
+/** All parts of one endpoint process except its links. */
 struct EndpointRig {
   EndpointRig(World& its_world, FakeEngine& its_engine, const std::string& vm)
       : world(its_world),
@@ -107,7 +107,8 @@
     keeper.Start();
   }
 
-  /** Waits until `condition`; gives up after many looks. @return It. */
+  /** Polls until `condition` is true or the limit of polls is reached.
+   * @return The condition's last value. */
   Task<bool> Until(std::function<bool()> condition) {
     constexpr int kLooks = 4000;
     for (int i = 0; i < kLooks && !condition(); ++i) {
@@ -123,7 +124,7 @@
     return options;
   }
 
-  /** What a killed process leaves: no more orders, no more looks. */
+  /** Stops polling and sweeping, as if the process was killed. */
   void Kill() {
     follower.Stop();
     keeper.Stop();
@@ -192,7 +193,8 @@
   [[nodiscard]] bool ended() const override { return cancelled; }
   [[nodiscard]] link::PeerInfo peer() const override { return {}; }
 
-  /** @return All chunks together, if the answer is whole. */
+  /** @return The concatenated chunks, or nothing if the answer is incomplete.
+   */
   [[nodiscard]] std::optional<std::string> Whole() const {
     std::string body;
     std::int64_t chunks = 0;
--- a/src/endpoint/fake_platform_test.h
+++ b/src/endpoint/fake_platform_test.h
@@ -1,5 +1,5 @@
-/** @file fake_platform_test.h Test code: a key-value service and an engine in
- * memory, with switches for the failures that tests cause. */
+/** @file fake_platform_test.h Test code: in-memory key-value service and engine
+ * with fault injection. */
 #ifndef SAPPHIRE_ENDPOINT_FAKE_PLATFORM_TEST_H_
 #define SAPPHIRE_ENDPOINT_FAKE_PLATFORM_TEST_H_
 
@@ -27,14 +27,14 @@
 using core::Millis;
 using core::Task;
 
-/** Compare-and-swap store whose next writes can go wrong. */
+/** Compare-and-swap store with injected write faults. */
 class FakeStore final : public external::KeyValueStore {
  public:
   enum class Fault { kNone, kAnswerLost, kNeverArrived, kLandsLate };
 
   /** Every call fails without effect. */
   bool down = false;
-  /** What happens to each write; by default nothing. */
+  /** Returns the fault of each write; none by default. */
   std::function<Fault()> fault = [] { return Fault::kNone; };
   /** Called after each change. */
   std::function<void()> on_change = [] {};
@@ -77,14 +77,14 @@
     co_return result;
   }
 
-  /** Writes that timed out reach the store now. */
+  /** Applies the writes that timed out and were still in transit. */
   void LandLateWrites() {
     for (const auto& it : std::exchange(late_, {})) {
       Apply(it.key, it.expected, it.value);
     }
   }
 
-  /** Somebody else's write. */
+  /** Writes unconditionally, as another process. */
   void Overwrite(const std::string& key, const std::string& value) {
     const auto it = entries_.find(key);
     Apply(key, it == entries_.end() ? 0 : it->second.revision, value);
@@ -141,7 +141,7 @@
   std::int64_t revision_ = 0;
 };
 
-/** Counts replicas at all engines: the judge of the replica limit. */
+/** Counts the replicas of all engines, to check the replica limits. */
 struct Judge {
   std::map<core::ModelId, int> loaded;
   int most_of_a_model = 0;
@@ -158,7 +158,7 @@
   }
 };
 
-/** An answer in parts; `broken` ends it with a cut. */
+/** An answer in parts; a `broken` one ends with a transport error. */
 class FakeStream final : public http::ResponseStream {
  public:
   FakeStream(std::vector<std::string> parts, bool broken)
@@ -183,16 +183,16 @@
   std::size_t next_ = 0;
 };
 
-/** A model engine that keeps count of what it was made to do. */
+/** A model engine that records its orders and runs, with injected faults. */
 class FakeEngine final : public external::Engine {
  public:
   enum class Fault {
     kNone,
-    kAnswerLost,    ///< Carried out, the answer never came.
-    kNeverArrived,  ///< Not carried out, no answer.
-    kArrivesLate,   ///< Carried out by LandLateOrders, no answer.
+    kAnswerLost,    ///< Carried out, but without an answer.
+    kNeverArrived,  ///< Not carried out, and without an answer.
+    kArrivesLate,   ///< Carried out by LandLateOrders, without an answer.
     kLoadFails,
-    kCrash,  ///< The engine dies and restarts while carrying it out.
+    kCrash,  ///< The engine crashes and restarts while carrying it out.
   };
 
   explicit FakeEngine(std::shared_ptr<Judge> judge_of_limits = nullptr)
@@ -210,7 +210,7 @@
   bool orders_overlapped = false;
   int orders = 0;
   std::vector<std::string> ran;
-  /** The engine dies in the middle of the next answer. */
+  /** The engine crashes in the middle of the next answer. */
   bool crash_next_run = false;
 
   Task<external::EngineStatus> Status() override {
@@ -256,14 +256,14 @@
     co_return MakeAnswer(crash);
   }
 
-  /** Orders that were under way arrive now. */
+  /** Delivers the orders that were still in transit. */
   void LandLateOrders() {
     for (const auto& it : std::exchange(late_, {})) {
       if (PassesFence(it)) Carry(it);
     }
   }
 
-  /** Dies and comes up again, empty. */
+  /** Restarts with no model loaded. */
   void Crash() {
     for (const auto& it : std::exchange(status.models, {})) {
       if (judge) judge->Count(it.model, -1);
--- a/src/endpoint/grant_ledger_test.cc
+++ b/src/endpoint/grant_ledger_test.cc
@@ -1,4 +1,5 @@
-/** @file grant_ledger_test.cc The replica limit under failing writes. */
+/** @file grant_ledger_test.cc Tests of the replica limits with failing writes.
+ */
 #define BOOST_TEST_MODULE grant_ledger
 #include <boost/asio/io_context.hpp>
 #include <boost/test/unit_test.hpp>
@@ -105,8 +106,9 @@
   BOOST_TEST((rig.Take(third, "nope") == ErrorCode::kUnknownModel));
 }
 
-// A model could not be woken anywhere: its one grant was held by a VM that had
-// been told "failed". Cause: the swap took effect and its answer was lost.
+// Failure: a model could not be loaded on any VM, because its only grant
+// belonged to a VM whose Take had failed. The swap had taken effect and its
+// answer was lost.
 BOOST_AUTO_TEST_CASE(LostAnswerIsReadBackAsTaken) {
   Rig rig;
   FailNextWrite(rig.store, Fault::kAnswerLost);
@@ -115,8 +117,8 @@
   BOOST_TEST(rig.ledger.pending() == 0);
 }
 
-// Two grants for one model at one VM, or one that nobody uses. Cause: a swap
-// timed out, the next try went through, and then the first one landed.
+// Failure: one VM holds two grants of a model, or one that it doesn't use. A
+// swap timed out, the retry succeeded, and then the first swap took effect.
 BOOST_AUTO_TEST_CASE(LateLandingWriteOfASettledTakeHasNoEffect) {
   Rig rig;
   FailNextWrite(rig.store, Fault::kLandsLate);
@@ -127,8 +129,8 @@
   BOOST_TEST(before.grants.size() == 1U);
 }
 
-// The key-value service fails while a swap is under way; the caller is refused.
-// An hour later nobody can load the model, because that swap has landed.
+// Failure: the key-value service fails during a swap, and the caller is
+// refused. The swap takes effect later, and no VM can load the model any more.
 BOOST_AUTO_TEST_CASE(GivenUpTakeIsVoidedBeforeItCanLand) {
   Rig rig;
   rig.store.fault = [&] {
@@ -146,8 +148,8 @@
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
 }
 
-// The same, but the swap lands while the service is still down for us: the
-// grant stands in the ledger and has to be ended, not voided.
+// As above, but the swap takes effect while the service is still unreachable
+// from this VM: the grant is in the ledger and has to be ended, not voided.
 BOOST_AUTO_TEST_CASE(GivenUpTakeThatLandedIsEnded) {
   Rig rig;
   rig.store.fault = [&] {
@@ -163,8 +165,8 @@
   BOOST_TEST(rig.Stands().grants.empty());
 }
 
-// The key-value service is down for an hour: a model put to sleep meanwhile
-// must wake up at the VM that still has its grant, and nowhere else.
+// A model that is unloaded during an outage of the key-value service must still
+// be loadable on the VM that has its grant, and on no other.
 BOOST_AUTO_TEST_CASE(UnsentReleaseIsTakenBackInAnOutage) {
   Rig rig;
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
@@ -178,8 +180,9 @@
   BOOST_TEST((rig.Take(other, "a") == ErrorCode::kPlatformUnavailable));
 }
 
-// The release was sent and its answer lost in an outage. Were the grant taken
-// back now, the release could land under a loaded model.
+// Failure: a release was sent and its answer was lost in an outage. If the
+// grant was reclaimed, the release could still take effect while the model is
+// loaded.
 BOOST_AUTO_TEST_CASE(SentReleaseIsNotTakenBack) {
   Rig rig;
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
@@ -192,8 +195,8 @@
   BOOST_TEST((rig.Take(rig.ledger, "a") == ErrorCode::kPlatformUnavailable));
 }
 
-// A guest asks for a model in the very moment its grant goes back. With the
-// key-value service up, that is no reason to refuse.
+// A request for a model at the moment when its grant is released must not be
+// refused while the key-value service is up.
 BOOST_AUTO_TEST_CASE(WakeWhileTheGrantGoesBackWaitsForIt) {
   Rig rig;
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
@@ -206,8 +209,8 @@
   BOOST_TEST(rig.Stands().grants.at(0).fence > fence);
 }
 
-// An operator lowered the limit; an endpoint that had not heard of it yet
-// took a grant under the old one.
+// Failure: an operator lowered the limit, and an endpoint that didn't have the
+// new configuration yet took a grant under the old limit.
 BOOST_AUTO_TEST_CASE(OlderConfigurationCanNotTakeAGrant) {
   Rig rig;
   rig.config->version = 5;
@@ -230,7 +233,7 @@
 };
 using Racers = std::vector<std::unique_ptr<Racer>>;
 
-/** @return True if all beliefs together keep the limits. */
+/** @return True if the grants of all racers together are within the limits. */
 bool WithinLimits(const Racers& racers) {
   std::map<ModelId, int> held;
   int all = 0;
@@ -243,7 +246,7 @@
   return all <= kPerService;
 }
 
-/** Takes and hands back at random. */
+/** Takes and releases grants at random. */
 Task<> Race(Rig& rig, const Racers& racers, Racer& self, std::mt19937& random) {
   for (int i = 0; i < 10; ++i) {
     const ModelId model(std::string(1, static_cast<char>('a' + random() % 3)));
@@ -265,7 +268,7 @@
   }
 }
 
-/** Three in ten writes go wrong, each in its own way. */
+/** @return A fault for three of ten writes, each kind equally likely. */
 Fault RandomFault(std::mt19937& random) {
   switch (random() % 10) {
     case 0:
@@ -281,9 +284,9 @@
 
 }  // namespace
 
-// Booths open: every VM wants the same models at the same moment, while the
-// key-value service loses answers and lets timed-out writes land late. No
-// moment may show more holders than decided, and no grant may be left behind.
+// All VMs take grants of the same models at the same time, while the key-value
+// service loses answers and applies timed-out writes late. The limits may never
+// be exceeded, and no grant may remain without a holder.
 BOOST_AUTO_TEST_CASE(RacingVmsKeepTheLimitsUnderFailingWrites) {
   for (unsigned seed = 0; seed < 60; ++seed) {
     std::mt19937 random(seed);
--- a/src/endpoint/lane_test.cc
+++ b/src/endpoint/lane_test.cc
@@ -1,4 +1,4 @@
-/** @file lane_test.cc The weight store's lanes: few at once, urgent first. */
+/** @file lane_test.cc Tests of the weight store's lanes. */
 #define BOOST_TEST_MODULE lane
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
@@ -25,8 +25,9 @@
 
 }  // namespace
 
-// Booths open: twelve VMs want to load at once and all loads crawl, because the
-// store is shared by all. At most four may load, and the most urgent go first.
+// Failure: all VMs load at the same moment and all loads are slow, because they
+// share the store. The number of concurrent loads is limited, and the load with
+// the earliest deadline goes first.
 BOOST_AUTO_TEST_CASE(FewAtOnceAndEarliestDeadlineFirst) {
   LanesValue lanes;
   BOOST_TEST(BidOrTake(lanes, Bid(0, 900, 1000), 1, At(0)));
@@ -37,8 +38,8 @@
   BOOST_TEST(BidOrTake(lanes, Bid(2, 700, 1000), 1, At(1)));
 }
 
-// A VM is reclaimed while it loads, and another while it waits for a lane.
-// Neither may keep a lane for ever.
+// Failure: a VM is reclaimed while it holds a lane, or while it waits for one,
+// and blocks the lane for ever.
 BOOST_AUTO_TEST_CASE(LapsedHoldersAndBidsCountNoMore) {
   LanesValue lanes;
   BOOST_TEST(BidOrTake(lanes, Bid(0, 900, 100), 1, At(0)));
@@ -72,8 +73,8 @@
   BOOST_TEST(DecodeLanes("{\"holders\":[1]}").bids.empty());
 }
 
-// The key-value service is down. Loads that need no new grant (a parked one is
-// taken back) must go on; lanes are only about speed.
+// While the key-value service is down, loads that need no new grant (because an
+// unsent release is reclaimed) must continue; lanes only affect speed.
 BOOST_AUTO_TEST_CASE(OutageNeverStopsALoad) {
   boost::asio::io_context context;
   const core::SystemClock clock;
--- a/src/endpoint/memory_ledger_test.cc
+++ b/src/endpoint/memory_ledger_test.cc
@@ -1,4 +1,4 @@
-/** @file memory_ledger_test.cc The memory ledger against a naive one. */
+/** @file memory_ledger_test.cc Compares the memory ledger with a naive one. */
 #define BOOST_TEST_MODULE memory_ledger
 #include <boost/test/unit_test.hpp>
 #include <random>
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** The naive version: a list, summed up anew for every question. */
+/** Naive version: a list that is summed up for every query. */
 struct NaiveLedger {
   std::int64_t capacity = 0;
   std::vector<std::pair<MemoryHolder, std::int64_t>> held;
@@ -47,9 +47,9 @@
 
 }  // namespace
 
-// A guest's request dies with its engine because a second model was loaded
-// into memory that an adapter already used. Cause: the running total drifts
-// from what is held, over any sequence of loads, unloads and refusals.
+// Failure: an engine crashes because a second model is loaded into memory that
+// an adapter already uses. The running total had drifted from the reservations
+// over a sequence of loads, unloads and refusals.
 BOOST_AUTO_TEST_CASE(AgreesWithNaiveLedgerOverRandomSequences) {
   for (unsigned seed = 0; seed < 200; ++seed) {
     std::mt19937 random(seed);
@@ -72,8 +72,8 @@
   }
 }
 
-// After a restart the engine shows more than it has room for by our books.
-// What is there must count, and nothing more may be put beside it.
+// After a restart the engine may hold more than the ledger's capacity. All of
+// it must be counted, and nothing more may be reserved.
 BOOST_AUTO_TEST_CASE(WhatIsHeldIsBookedEvenOverCapacity) {
   MemoryLedger ledger;
   ledger.capacity_bytes = 100;
--- a/src/endpoint/replica_life_test.cc
+++ b/src/endpoint/replica_life_test.cc
@@ -1,4 +1,4 @@
-/** @file replica_life_test.cc The transitions of a replica. */
+/** @file replica_life_test.cc Tests of a replica's state machine. */
 #define BOOST_TEST_MODULE replica_life
 #include <boost/test/unit_test.hpp>
 #include <utility>
@@ -34,8 +34,9 @@
   }
 }
 
-// The grant went back while the model might still be loaded, so another VM
-// loaded one replica too many. Cause: an event taken in the wrong phase.
+// Failure: a grant was released while the model might still be loaded, so that
+// another VM loaded one replica too many. An event was accepted in a wrong
+// phase.
 BOOST_AUTO_TEST_CASE(GrantCanNotGoBackBeforeAbsenceIsShown) {
   ReplicaLife life;
   const auto refuses = [&life] {
--- a/src/endpoint/replicas_test.cc
+++ b/src/endpoint/replicas_test.cc
@@ -1,4 +1,4 @@
-/** @file replicas_test.cc Loads and unloads while parts fail. */
+/** @file replicas_test.cc Tests of loads and unloads with injected faults. */
 #define BOOST_TEST_MODULE replicas
 #include <boost/test/unit_test.hpp>
 #include <memory>
@@ -21,14 +21,14 @@
   };
 }
 
-/** One endpoint before one engine. */
+/** One endpoint with one engine. */
 struct Single {
   explicit Single(int per_model = 1, int per_service = 9) {
     world.Configure(1, per_model, per_service);
     rig = std::make_unique<EndpointRig>(world, engine, "vm1");
   }
 
-  /** A new process beside the same engine. */
+  /** Replaces the endpoint process; the engine stays. */
   void Restart() {
     rig->Kill();
     killed.push_back(std::move(rig));
@@ -38,7 +38,7 @@
   World world;
   FakeEngine engine{world.judge};
   std::unique_ptr<EndpointRig> rig;
-  /** Their last coroutines may still end. */
+  /** Killed endpoints, kept alive because their coroutines may still run. */
   std::vector<std::unique_ptr<EndpointRig>> killed;
 };
 
@@ -58,9 +58,9 @@
   BOOST_TEST(one.rig->table.Memory().reserved_bytes == 0);
 }
 
-// A guest's request was refused although the model had been loaded: the
-// engine carried the order out and its answer was lost. The endpoint has to
-// look before it decides.
+// Failure: a request was refused although the model had been loaded. The engine
+// carried the order out and its answer was lost; the endpoint must read the
+// engine's status before it decides.
 BOOST_AUTO_TEST_CASE(LostAnswerOfALoadIsFoundOut) {
   Single one;
   FailNextOrder(one.engine, Fault::kAnswerLost);
@@ -70,8 +70,8 @@
   BOOST_TEST(one.world.Ledger().grants.size() == 1U);
 }
 
-// The order never reached the engine. Memory and grant must come free again,
-// or the model could never be loaded anywhere.
+// If an order never reaches the engine, its memory and grant must be freed, or
+// the model could never be loaded on any VM.
 BOOST_AUTO_TEST_CASE(LoadThatNeverArrivedLeavesNothingBehind) {
   Single one;
   FailNextOrder(one.engine, Fault::kNeverArrived);
@@ -84,9 +84,10 @@
   });
 }
 
-// The load was given up, its grant handed back and taken by another VM; then
-// the order arrived after all, and the fleet held one replica too many. An
-// engine that honours fencing refuses it; on one that doesn't it is unloaded.
+// Failure: a load was given up and its grant released and taken by another VM;
+// then the order arrived, and the fleet held one replica too many. An engine
+// that honours fencing must refuse the order; on one that doesn't, the model
+// must be unloaded.
 BOOST_AUTO_TEST_CASE(LateOrderIsRefusedOrUndone) {
   for (const bool fencing : {true, false}) {
     Single one;
@@ -105,8 +106,8 @@
   }
 }
 
-// The engine dies while it loads. The caller is told, the books are emptied,
-// and the next wish finds room and a grant.
+// If the engine crashes during a load, the caller must get an error, all memory
+// and grants must be freed, and the next load must succeed.
 BOOST_AUTO_TEST_CASE(EngineCrashDuringALoad) {
   Single one;
   one.world.Run([&]() -> Task<> {
@@ -122,8 +123,8 @@
   BOOST_TEST(one.world.judge->most_of_a_model == 1);
 }
 
-// The endpoint process is killed while its engine loads a model. The new one
-// must neither order the same load again nor forget the memory.
+// An endpoint process is killed while its engine loads a model. The new process
+// must neither order the same load again nor lose track of the memory.
 BOOST_AUTO_TEST_CASE(RestartTakesOverWhatTheEngineHolds) {
   Single one;
   one.world.Run(
@@ -147,10 +148,10 @@
   BOOST_TEST(!one.engine.orders_overlapped);
 }
 
-// An endpoint process restarted and left again soon after; its model could be
-// loaded nowhere else, because the grant stayed in the ledger. Cause: the model
-// was found loaded before the configuration had come, so its service, and with
-// it the ledger, was not known.
+// Failure: an endpoint process restarted and was drained soon after, but its
+// grant stayed in the ledger, so that no other VM could load the model. The
+// model was found loaded before the first configuration arrived, so its
+// service, which selects the ledger, was not known.
 BOOST_AUTO_TEST_CASE(GrantOfAModelFoundBeforeTheConfigurationIsEnded) {
   World earlier;
   earlier.Configure(1, 1, 9);
@@ -183,8 +184,8 @@
   BOOST_TEST(world.Ledger().grants.empty());
 }
 
-// The endpoint process dies between taking a grant and ordering the load. Its
-// successor ends the grant, or the model could be loaded nowhere.
+// Failure: an endpoint process crashes between taking a grant and ordering the
+// load, and no VM can load the model. The successor must release the grant.
 BOOST_AUTO_TEST_CASE(RestartEndsGrantsOfModelsThatAreNotLoaded) {
   Single one;
   one.world.Run([&]() -> Task<> {
@@ -199,8 +200,8 @@
   });
 }
 
-// A model is loaded for which another VM holds the only grant (this VM's own
-// was ended while the platform's list did not show it). It has to go.
+// A loaded model must be unloaded if another VM holds the only grant, because
+// this VM's grant was ended while the platform's list did not show the VM.
 BOOST_AUTO_TEST_CASE(LoadedModelWithoutAGrantIsUnloaded) {
   Single one;
   GrantLedger other(core::VmId("vm2"), one.world.store, one.world.clock,
@@ -219,8 +220,8 @@
   BOOST_TEST(one.world.Ledger().grants.size() == 1U);
 }
 
-// An operator lowers a limit: the surplus replica goes once its request is
-// done, not before, and the oldest stays.
+// After an operator lowers a limit, the oldest replica must stay, and the
+// surplus replica must be unloaded once its request has ended, not before.
 BOOST_AUTO_TEST_CASE(LoweredLimitDrainsTheNewestReplica) {
   Single one(2, 9);
   FakeEngine second_engine(one.world.judge);
@@ -246,8 +247,8 @@
   BOOST_TEST(one.engine.Holds("m0"));
 }
 
-// The key-value service is down: nothing new is loaded, what is loaded stays
-// although it is idle, and a refused wish names a time to come back.
+// While the key-value service is down, no model is newly loaded, and loaded
+// models stay loaded even if they are idle.
 BOOST_AUTO_TEST_CASE(OutageLoadsNothingAndKeepsWhatIsLoaded) {
   Single one;
   one.world.Run([&]() -> Task<> {
@@ -264,9 +265,9 @@
   });
 }
 
-// A model moves from one VM to another: it is idle at the first, whose unload
-// is slow, and whose first unload order gets lost. The second VM may load it
-// only after the first engine has really let go of it.
+// A model moves from one VM to another. It is idle at the first VM, where the
+// unload is slow and the first unload order may be lost. The second VM may load
+// it only after the first engine has actually unloaded it.
 BOOST_AUTO_TEST_CASE(GrantMovesOnlyAfterTheUnloadIsConfirmed) {
   for (const auto fault :
        {Fault::kNone, Fault::kNeverArrived, Fault::kAnswerLost}) {
@@ -290,9 +291,9 @@
   }
 }
 
-// An endpoint process is stopped between its grant and its order. The platform
-// shows its VM as gone, an entry ends the grant, another VM takes it and loads.
-// The process continues: it must not load a second replica.
+// Failure: an endpoint process is suspended between its grant and its order.
+// The platform lists its VM as gone, an entry ends the grant, and another VM
+// takes it and loads the model. The process resumes and loads a second replica.
 BOOST_AUTO_TEST_CASE(GrantLostWhileStoppedIsNotUsed) {
   Single one;
   FakeEngine second_engine(one.world.judge);
@@ -321,8 +322,8 @@
   BOOST_TEST(one.world.judge->most_of_a_model == 1);
 }
 
-// A ship docks: two VMs want the last replica of a model at the same moment.
-// Counted at the engines, there is never more than one.
+// Two VMs take the last grant of a model at the same time. The engines may
+// never hold more than one replica.
 BOOST_AUTO_TEST_CASE(TwoEndpointsRaceForTheLastGrant) {
   for (unsigned seed = 0; seed < 25; ++seed) {
     std::mt19937 random(seed);
@@ -351,8 +352,8 @@
   }
 }
 
-// Random wishes, evictions, adapters, lost and late orders: the engine itself
-// counts what it holds, and it is never more than it has.
+// Random loads with evictions, adapters and faulty orders must never use more
+// memory than the engine has, as counted by the engine itself.
 BOOST_AUTO_TEST_CASE(MemoryIsNeverOvercommitted) {
   for (unsigned seed = 0; seed < 12; ++seed) {
     std::mt19937 random(seed);
@@ -383,8 +384,8 @@
   }
 }
 
-// An adapter needs the room that an idle model takes, which the home allows to
-// be unloaded for it.
+// An adapter needs the memory of an idle model that the scheduler allows to be
+// evicted.
 BOOST_AUTO_TEST_CASE(IdleModelMakesRoomForAnAdapter) {
   Single one;
   const std::vector<std::string> may_go(1, "m1");
@@ -400,8 +401,8 @@
   BOOST_TEST(!one.engine.overcommitted);
 }
 
-// A model was unloaded and reloaded for the sake of a few bytes that an adapter
-// nobody used had taken.
+// Failure: a model was evicted, and loaded again later, although evicting an
+// idle adapter would have freed enough memory.
 BOOST_AUTO_TEST_CASE(IdleAdapterGoesBeforeAModel) {
   Single one;
   const std::vector<std::string> may_go(1, "m0");
@@ -415,9 +416,9 @@
   BOOST_TEST(one.rig->table.Memory().reserved_bytes == 95);
 }
 
-// Guests want four adapters where there is room for one. Each load pushed out
-// the adapter just loaded before its waiter had woken up; all loads began anew,
-// and nobody got anywhere while the model counted as in use.
+// Failure: four adapters are requested where there is room for one. Each load
+// evicted the adapter loaded before it, before its waiter had resumed; all
+// loads started again and none was used, while the model counted as in use.
 BOOST_AUTO_TEST_CASE(AdaptersInTurnsServeSomebodyWithEachLoad) {
   Single one;
   constexpr int kWishes = 4;
@@ -437,12 +438,11 @@
     }
     BOOST_TEST(co_await one.rig->Until([&] { return ended == kWishes; }));
   });
-  // The models, and for each wish at most one load and one unload.
+  // Two model loads, and at most one load and one unload for each request.
   BOOST_TEST(one.engine.orders <= 2 + 2 * kWishes);
 }
 
-// SIGTERM: everything is unloaded and every grant handed back, also when the
-// key-value service is slow to come back.
+// Leaving must unload all models and release all grants.
 BOOST_AUTO_TEST_CASE(LeavingUnloadsAndHandsEveryGrantBack) {
   Single one;
   one.world.Run([&]() -> Task<> {
--- a/src/endpoint/runner_test.cc
+++ b/src/endpoint/runner_test.cc
@@ -1,4 +1,5 @@
-/** @file runner_test.cc Requests at the engine: once, whole, or refused. */
+/** @file runner_test.cc Tests that requests run once, completely, or are
+ * refused. */
 #define BOOST_TEST_MODULE runner
 #include <boost/test/unit_test.hpp>
 #include <memory>
@@ -61,8 +62,8 @@
   BOOST_TEST(scene.engine.ran.size() == 1U);
 }
 
-// The entry gave an attempt up and told its caller "not run". The first copy
-// of the message then came out of a slow link.
+// Failure: the entry gave up an attempt and answered its caller "not run"; then
+// the message arrived over a slow link and the request ran.
 BOOST_AUTO_TEST_CASE(VoidedAttemptNeverReachesTheEngine) {
   Scene scene;
   BOOST_TEST(!scene.rig->attempts.Void(core::AttemptId("1")));
@@ -73,8 +74,8 @@
   BOOST_TEST(scene.engine.ran.empty());
 }
 
-// The engine dies in the middle of an answer: an explicit error, never a short
-// answer that looks whole, and never "not run".
+// If the engine crashes in the middle of an answer, the caller must get an
+// error, never a truncated answer that looks complete, and never "not run".
 BOOST_AUTO_TEST_CASE(EngineCrashCutsTheAnswerWithAnError) {
   Scene scene;
   scene.engine.crash_next_run = true;
@@ -85,8 +86,8 @@
   BOOST_TEST(!scene.call->Whole());
 }
 
-// Nobody listens at the engine's address: certainly not run, and no copy of
-// the attempt may run later.
+// If the connection to the engine is refused, the request has certainly not
+// run, and no copy of the attempt may run later.
 BOOST_AUTO_TEST_CASE(UnreachableEngineMeansNotRun) {
   Scene scene;
   scene.engine.down = true;
@@ -119,8 +120,8 @@
   BOOST_TEST(scene.engine.ran.empty());
 }
 
-// A guest closes the page while the adapter of the request is being loaded.
-// The request ends; the order it started must be seen through to its end.
+// A caller cancels while the adapter of its request is being loaded. The
+// request ends, but the order that it started must complete.
 BOOST_AUTO_TEST_CASE(CancelDuringAdapterLoadLeavesTheOrderAlone) {
   Scene scene;
   scene.engine.order_time = Millis(60);
