--- a/src/endpoint/adapter_worker.cc
+++ b/src/endpoint/adapter_worker.cc
@@ -42,12 +42,12 @@
 }
 
 /**
- * Counts somebody who waits for an adapter, while in scope.
- * Failure: memory has room for one adapter and several are wanted. Each load
- * unloaded the adapter just loaded before its waiter had woken up to use it;
- * the waiter then began the same load anew, and none got anywhere until all
- * their deadlines had passed, with their models held in memory as in use. An
- * adapter that is waited for is not unloaded, so each load serves somebody.
+ * Counts a waiter of an adapter while in scope. An adapter with waiters is not
+ * evicted, so that each load serves at least one request.
+ * Failure: memory has room for one adapter and several are requested. Each load
+ * evicted the adapter loaded before it, before its waiter had resumed and used
+ * it; the waiter then started the same load again. This livelock lasted until
+ * all deadlines had passed, and meanwhile the models counted as in use.
  */
 class AdapterWait {
  public:
@@ -69,7 +69,7 @@
   const core::AdapterId adapter_;
 };
 
-/** @return True if nobody uses or waits for a loaded adapter.
+/** @return True if the adapter is loaded and has no users or waiters.
  * @pre The replica's lock is held. */
 bool IsIdle(const Replica& replica, const core::AdapterId& adapter,
             const AdapterSlot& slot) {
@@ -102,9 +102,9 @@
 }
 
 /**
- * Counts a use of an adapter that is loaded, or starts its load.
- * @return True if the use is counted.
- * @throws Error what a load failed with since `failures_before`.
+ * Increments the use count of a loaded adapter, or starts its load.
+ * @return True if the adapter is loaded.
+ * @throws Error of the last load, if one failed since `failures_before`.
  * @pre The replica's lock is held.
  */
 bool ReplicaWorker::UseAdapter(Replica& replica, const contract::Adapter& spec,
@@ -119,8 +119,8 @@
     return true;
   }
   if (!added) return false;
-  // In a task of its own: a caller that gives up must not cut short an order
-  // whose outcome has to be known.
+  // The load runs in its own task, because a caller that gives up must not
+  // cancel an order whose outcome has to be known.
   const std::vector<core::ModelId> evict = wish.evict;
   const ReplicaPtr held = parts_.table.Find(replica.model);
   StartTask("load_adapter", [this, held, spec, evict] {
@@ -166,7 +166,7 @@
                    {{"model", replica->model}, {"adapter", spec.name}});
 }
 
-/** @return True if `bytes` fit once every adapter that isn't in use is gone. */
+/** @return True if `bytes` fit once every idle adapter is unloaded. */
 bool ReplicaWorker::IdleAdaptersMakeRoomFor(std::int64_t bytes) const {
   const MemoryLedger memory = parts_.table.Memory();
   std::int64_t possible = FreeBytes(memory);
@@ -181,8 +181,8 @@
   return bytes <= possible;
 }
 
-/** Unloads the adapter not used for longest, of any model.
- * @return False if there is none that isn't in use. */
+/** Unloads the least recently used idle adapter of all models.
+ * @return False if there is none or its unload failed. */
 Task<bool> ReplicaWorker::EvictAdapter() {
   ReplicaPtr owner;
   core::AdapterId victim;
--- a/src/endpoint/admission_base.h
+++ b/src/endpoint/admission_base.h
@@ -1,4 +1,4 @@
-/** @file admission_base.h Who may run at this endpoint now. */
+/** @file admission_base.h Interface for admitting requests at an endpoint. */
 #ifndef SAPPHIRE_ENDPOINT_ADMISSION_BASE_H_
 #define SAPPHIRE_ENDPOINT_ADMISSION_BASE_H_
 
@@ -10,7 +10,7 @@
 
 namespace sapphire::endpoint {
 
-/** One request's place at the engine; freed when the last copy is dropped. */
+/** One request's slot at the engine; freed when the last copy is dropped. */
 using RunSlot = std::shared_ptr<void>;
 
 class Admission {
@@ -18,13 +18,13 @@
   virtual ~Admission() = default;
 
   /**
-   * Gives the request a place, or refuses it at once.
-   * @throws core::Error; the request did not run.
+   * Gives the request a slot, or refuses it at once.
+   * @throws core::Error if refused; the request did not run.
    */
   virtual core::Task<RunSlot> Admit(const gen::Run& run,
                                     core::SteadyTime deadline) = 0;
 
-  /** Takes no new work from now on. */
+  /** Refuses all new work from now on. */
   virtual void Leave() = 0;
 
   /** Fills in replicas, memory and the number of running requests. */
--- a/src/endpoint/attempt_table.cc
+++ b/src/endpoint/attempt_table.cc
@@ -1,4 +1,4 @@
-/** @file attempt_table.cc Each attempt runs at most once. */
+/** @file attempt_table.cc Ensures that each attempt runs at most once. */
 #include "core/error_type.h"
 #include "core/random_func.h"
 #include "endpoint/attempt_table_base.h"
@@ -32,8 +32,8 @@
     shard.fates.erase(shard.by_age.front().second);
     shard.by_age.pop_front();
   }
-  // Forgetting a younger attempt to make room would let a late copy of it run
-  // a second time; refusing the new one is certain.
+  // Evicting a younger attempt to make room would let a late copy of it run a
+  // second time, so the new one is refused instead.
   if (shard.fates.size() >= options_.max_attempts / options_.shards) {
     throw Error(ErrorCode::kQueueFull, "too many attempts are remembered",
                 kFullRetryAfter);
--- a/src/endpoint/attempt_table_base.h
+++ b/src/endpoint/attempt_table_base.h
@@ -1,4 +1,4 @@
-/** @file attempt_table_base.h Each attempt runs at most once. */
+/** @file attempt_table_base.h Ensures that each attempt runs at most once. */
 #ifndef SAPPHIRE_ENDPOINT_ATTEMPT_TABLE_BASE_H_
 #define SAPPHIRE_ENDPOINT_ATTEMPT_TABLE_BASE_H_
 
@@ -17,36 +17,38 @@
 namespace sapphire::endpoint {
 
 struct AttemptTableOptions {
-  /** How long an attempt is remembered: longer than any copy of it can be
-   * under way. */
+  /** How long an attempt is remembered; longer than any copy of it can be in
+   * transit. */
   std::chrono::milliseconds remember_for{900'000};
-  /** Attempts remembered at once; beyond it new ones are refused. */
+  /** Most attempts remembered at a time; further ones are refused. */
   std::size_t max_attempts = 65'536;
   std::size_t shards = 8;
 };
 
-/** The attempts this process started or promised never to start. Safe on
- * several threads: each shard has its own lock. */
+/** The attempts that this process started or promised never to start.
+ * Thread-safe; each shard has its own lock. */
 class AttemptTable {
  public:
   /** @pre `clock` outlives the table. */
   AttemptTable(AttemptTableOptions options, const core::Clock& clock);
 
   /**
-   * Notes that an attempt starts now.
+   * Records that an attempt starts now.
    * @throws core::Error kAttemptVoided if it was voided; kAlreadyRan if it
-   *   started before; kQueueFull if too many are remembered to promise that a
-   *   copy would be known.
+   *   started before; kQueueFull if the table is full, so that a later copy of
+   *   it could not be recognised.
    */
   void Start(const core::AttemptId& attempt);
 
-  /** Takes a Start back that reached no engine; a copy stays refused. */
+  /** Reverts the Start of an attempt that reached no engine; it counts as
+   * voided, so copies stay refused. */
   void NeverStarted(const core::AttemptId& attempt);
 
   /**
-   * Voids an attempt unless it started.
-   * @return True if it started.
-   * @throws core::Error kQueueFull if the promise can't be kept.
+   * Voids an attempt unless it has started.
+   * @return True if it has started.
+   * @throws core::Error kQueueFull if the table is full, so that the void could
+   *   not be remembered.
    */
   bool Void(const core::AttemptId& attempt);
 
--- a/src/endpoint/endpoint.cc
+++ b/src/endpoint/endpoint.cc
@@ -1,4 +1,4 @@
-/** @file endpoint.cc The process beside one endpoint. */
+/** @file endpoint.cc The agent process of one endpoint. */
 #include <algorithm>
 #include <utility>
 
@@ -17,9 +17,10 @@
 
 namespace {
 
-/** A wake-up that got lost costs this much. */
+/** Longest delay caused by a missed notification. */
 constexpr Millis kRecheck{500};
-/** A queued request reaches the endpoint that its load was for within this. */
+/** Within this time a queued request reaches the endpoint that loaded the model
+ * for it. */
 constexpr Millis kLeastKeepAlive{1000};
 
 link::LinkOptions LinkOptionsOf(const EndpointOptions& options) {
@@ -142,7 +143,8 @@
     gen::Message message;
     message.__set_endpoint_report(Report());
     co_await call->Send(std::move(message));
-    // A busy endpoint changes with every request: reports are spaced out.
+    // A busy endpoint changes with every request, so the report rate is
+    // limited.
     co_await core::SleepFor(options_.report_gap);
     co_await table_.changed().Wait(epoch, options_.report_interval);
   }
@@ -209,8 +211,9 @@
       co_await ledger_.Settle();
     }
     if (!audited && Idle()) {
-      // A model found loaded by this process may have gone before its grant
-      // was looked up: the ledger tells of grants that nobody here knows.
+      // A model that this process found loaded may have been unloaded before
+      // its grant was looked up. Only the ledger lists such a grant, so an
+      // audit has to release it.
       co_await keeper_.TryAudit();
       audited = true;
       continue;
@@ -235,7 +238,7 @@
       gone ? LogLevel::kInfo : LogLevel::kWarning, LogCategory::kProcess,
       gone ? "left" : "left_unfinished",
       {{"running", Report().running}, {"grants_pending", ledger_.pending()}});
-  // The last report, and the last answers, leave before the links close.
+  // The last report and the last answers must be sent before the links close.
   co_await core::SleepFor(options_.farewell);
   follower_.Stop();
   co_return gone;
--- a/src/endpoint/endpoint_base.h
+++ b/src/endpoint/endpoint_base.h
@@ -1,4 +1,4 @@
-/** @file endpoint_base.h The process beside one endpoint. */
+/** @file endpoint_base.h The agent process of one endpoint. */
 #ifndef SAPPHIRE_ENDPOINT_ENDPOINT_BASE_H_
 #define SAPPHIRE_ENDPOINT_ENDPOINT_BASE_H_
 
@@ -33,19 +33,20 @@
   core::VmId vm;
   core::ZoneId zone;
   std::int64_t incarnation = 0;
-  /** Empty beside a model engine; else the plain service's name. */
+  /** Name of the plain service; empty for a model engine. */
   core::ServiceId plain_service;
   std::string listen_address;
   std::chrono::milliseconds heartbeat_interval{500};
   std::chrono::milliseconds dead_after{2000};
-  /** Reports go out at least this often. */
+  /** Longest time between two reports to a subscriber. */
   std::chrono::milliseconds report_interval{1000};
-  /** Changes closer together than this share one report. */
+  /** Shortest time between two reports; changes within it share one. */
   std::chrono::milliseconds report_gap{20};
   std::chrono::milliseconds engine_poll{250};
-  /** Longest time that leaving waits for runs and unloads. */
+  /** Longest time that Leave waits for runs and unloads. */
   std::chrono::milliseconds drain_limit{60'000};
-  /** How long links stay up after the last change: reports get out. */
+  /** How long links stay open after the last change, so that the final reports
+   * are sent. */
   std::chrono::milliseconds farewell{200};
   OrderDeskOptions orders;
   ReplicaKeeperOptions keeper;
@@ -53,7 +54,7 @@
   LaneQueueOptions lanes;
 };
 
-/** All parts of one endpoint process, and the calls it answers. */
+/** Owns all parts of one endpoint process and answers its link calls. */
 class Endpoint {
  public:
   /** @pre All references outlive the endpoint. */
@@ -61,13 +62,14 @@
            external::Engine& engine, external::KeyValueStore& store,
            const core::Clock& clock, const core::Logger& log, Metrics& metrics);
 
-  /** Listens and begins to work. @return "ip:port" as bound.
-   * @throws core::Error kBadSettings. */
+  /** Opens the link listener and starts the background tasks.
+   * @return The bound address, "ip:port". @throws core::Error kBadSettings. */
   std::string Start();
 
   /**
-   * Leaves: says so, takes no new work, lets runs end, unloads, hands grants
-   * back. @return True if all of that was done within the drain limit.
+   * Drains the endpoint: reports that it is leaving, refuses new work, waits
+   * for runs to end, unloads all models and releases their grants.
+   * @return True if that was complete within the drain limit.
    * @pre The calling coroutine runs on a strand.
    */
   core::Task<bool> Leave();
@@ -81,7 +83,7 @@
   [[nodiscard]] gen::EndpointReport Report() const;
   [[nodiscard]] Levels CurrentLevels() const;
 
-  /** Completes when an operator's Drain call has asked the VM to leave. */
+  /** Completes once an operator has sent a Drain call. */
   core::Task<> WaitForDrain();
 
  private:
--- a/src/endpoint/endpoint_settings_base.h
+++ b/src/endpoint/endpoint_settings_base.h
@@ -12,7 +12,7 @@
 /** @return Every setting of the program. */
 std::span<const core::SettingDef> SettingsTable();
 
-/** @throws core::Error kBadSettings where settings don't go together. */
+/** @throws core::Error kBadSettings if settings contradict each other. */
 EndpointOptions OptionsFrom(const core::Settings& settings);
 
 }  // namespace sapphire::endpoint
--- a/src/endpoint/engine_follower.cc
+++ b/src/endpoint/engine_follower.cc
@@ -13,7 +13,7 @@
 using core::Task;
 
 namespace {
-/** Shortest pause between two reads, also when somebody waits. */
+/** Shortest pause between two reads, even if a caller waits for one. */
 constexpr std::chrono::milliseconds kShortestPause{10};
 }  // namespace
 
@@ -74,7 +74,7 @@
     status = std::make_shared<const external::EngineStatus>(
         co_await engine_.Status());
   } catch (const core::Error&) {
-    // Note below tells of it.
+    // Note below logs it.
   }
   Note(status, number);
   if (status && listener_) listener_(*status, mark);
--- a/src/endpoint/engine_follower_base.h
+++ b/src/endpoint/engine_follower_base.h
@@ -1,4 +1,4 @@
-/** @file engine_follower_base.h Follows the engine by reading its status. */
+/** @file engine_follower_base.h Polls the engine's status. */
 #ifndef SAPPHIRE_ENDPOINT_ENGINE_FOLLOWER_BASE_H_
 #define SAPPHIRE_ENDPOINT_ENGINE_FOLLOWER_BASE_H_
 
@@ -16,13 +16,14 @@
 namespace sapphire::endpoint {
 
 /**
- * The one reader of the engine's status. Because nobody else reads it, what it
- * shows never goes back in time. Safe on several threads.
+ * The only reader of the engine's status. As there is no other reader, the
+ * status it returns never goes back in time. Thread-safe.
  */
 class EngineFollower {
  public:
   using StatusPtr = std::shared_ptr<const external::EngineStatus>;
-  /** Gives a number at the start of a read; it comes back with the status. */
+  /** Called at the start of a read; the listener gets its result along with the
+   * status. */
   using Marker = std::function<std::uint64_t()>;
   using Listener =
       std::function<void(const external::EngineStatus&, std::uint64_t mark)>;
@@ -31,14 +32,14 @@
   EngineFollower(external::Engine& engine, std::chrono::milliseconds interval,
                  const core::Logger& log);
 
-  /** @pre Called before Start. */
+  /** Sets the callbacks of every read. @pre Called before Start. */
   void Listen(Marker marker, Listener listener);
 
-  /** Reads the status now and then, until Stop. */
+  /** Starts reading the status periodically, until Stop. */
   void Start(const core::Executor& executor);
   void Stop();
 
-  /** @return What was shown last; null before the first. */
+  /** @return The latest status; null before the first. */
   [[nodiscard]] StatusPtr Latest() const;
 
   /** @return True if the last read was answered. */
@@ -51,7 +52,7 @@
    */
   core::Task<StatusPtr> Fresh(std::chrono::milliseconds timeout);
 
-  /** Notified whenever the engine comes up or goes down. */
+  /** Notified whenever the engine comes up, goes down or restarts. */
   [[nodiscard]] core::Signal& changed() { return changed_; }
 
  private:
@@ -64,7 +65,7 @@
   const core::Logger& log_;
   Marker marker_;
   Listener listener_;
-  /** Somebody waits for a fresh status. */
+  /** Notified when a caller waits for a new status. */
   core::Signal asked_;
   core::Signal answered_;
   core::Signal changed_;
--- a/src/endpoint/grant.cc
+++ b/src/endpoint/grant.cc
@@ -1,4 +1,4 @@
-/** @file grant.cc Reading, writing and checking ledgers of grants. */
+/** @file grant.cc Encodes, decodes and checks ledgers of grants. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -16,9 +16,10 @@
 
 namespace {
 
-/** A limit is reached: how soon another replica may have gone idle. */
+/** Retry time when a limit is reached: another replica may be idle by then. */
 constexpr std::chrono::milliseconds kLimitRetryAfter{2000};
-/** The newer configuration is usually here within one heartbeat. */
+/** Retry time when the ledger's configuration is newer, which usually arrives
+ * within one heartbeat. */
 constexpr std::chrono::milliseconds kConfigRetryAfter{1000};
 
 Grant GrantFrom(const json::object& object) {
--- a/src/endpoint/grant_func.h
+++ b/src/endpoint/grant_func.h
@@ -1,4 +1,4 @@
-/** @file grant_func.h Reading, writing and checking ledgers of grants. */
+/** @file grant_func.h Encodes, decodes and checks ledgers of grants. */
 #ifndef SAPPHIRE_ENDPOINT_GRANT_FUNC_H_
 #define SAPPHIRE_ENDPOINT_GRANT_FUNC_H_
 
@@ -11,19 +11,19 @@
 
 namespace sapphire::endpoint {
 
-/** All ledgers lie under this prefix of the key-value service. */
+/** Key prefix of all ledgers in the key-value service. */
 inline constexpr std::string_view kLedgerPrefix = "ledger/";
 
 /** @return The key of a service's ledger. */
 std::string LedgerKey(const core::ServiceId& service);
 
-/** @return The service whose ledger `key` is. */
+/** @return The service that the ledger under `key` belongs to. */
 core::ServiceId ServiceOfLedgerKey(std::string_view key);
 
 /** @return The ledger's JSON text. */
 std::string EncodeLedger(const LedgerValue& ledger);
 
-/** @throws core::Error kInternal if the text is no ledger. */
+/** @throws core::Error kInternal if the text isn't a valid ledger. */
 LedgerValue DecodeLedger(std::string_view text);
 
 /** @return The grant of `model` at `vm`, or null. */
@@ -31,17 +31,17 @@
                        const core::ModelId& model);
 
 /**
- * Checks that one more replica of `model` keeps the limits.
+ * Checks that one more replica of `model` is within the limits.
  * @throws core::Error kUnknownModel, kReplicaLimit, or kNotConfigured if the
- *   ledger was last written under a configuration newer than `config`: its
- *   limits may be lower than the ones known here.
+ *   ledger was last written under a configuration newer than `config`, whose
+ *   limits may be lower.
  */
 void CheckLimits(const LedgerValue& ledger, const contract::Config& config,
                  const core::ModelId& model);
 
 /**
- * @return The grants that are over the limits. Every endpoint comes to the
- *   same answer: the oldest grants, by fence, stay.
+ * @return The grants that exceed the limits. The oldest grants, by fence, are
+ *   kept, so that every endpoint gets the same result.
  */
 std::vector<Grant> SurplusGrants(const LedgerValue& ledger,
                                  const contract::Intent& intent,
--- a/src/endpoint/grant_ledger.cc
+++ b/src/endpoint/grant_ledger.cc
@@ -1,4 +1,4 @@
-/** @file grant_ledger.cc Takes and gives back this VM's replica grants. */
+/** @file grant_ledger.cc Takes and releases this VM's replica grants. */
 #include <algorithm>
 #include <exception>
 #include <utility>
@@ -20,11 +20,11 @@
 namespace {
 
 constexpr std::chrono::milliseconds kOutageRetryAfter{3000};
-/** Swaps that lost a race before the ledger counts as too contended. */
+/** Swaps tried before the ledger counts as too contended. */
 constexpr int kMaxSwaps = 32;
-/** Between two looks whether an earlier grant has ended. */
+/** Time between two checks whether an earlier grant has ended. */
 constexpr std::chrono::milliseconds kEndPause{5};
-/** Longest wait between two swaps that lost a race. */
+/** Upper bound of the wait after a swap that lost a race. */
 constexpr int kMaxBackoffMillis = 16;
 
 Error Outage(const std::string& detail) {
@@ -39,7 +39,8 @@
   return entry ? entry->revision : 0;
 }
 
-/** A short random pause, so that racing endpoints don't race in step. */
+/** Waits for a short random time, so that racing endpoints don't retry at the
+ * same moment. */
 Task<> BackOff(int lost_races) {
   const int most = std::min(kMaxBackoffMillis, 1 << std::min(lost_races, 8));
   co_await core::SleepFor(core::Millis(core::RandomPositive() % most));
@@ -96,8 +97,9 @@
     failure = e;
   }
   if (attempt->late_write) {
-    // The swap may still land after we have said "no grant". It would hold
-    // capacity that nobody uses, so a further swap of the key voids it.
+    // The swap may still take effect after this call has failed. Its grant
+    // would hold capacity that nobody uses, so another swap of the key voids
+    // it.
     const std::lock_guard lock(mutex_);
     endings_.push_back(std::make_shared<Ending>(
         Ending{attempt->service, attempt->grant, attempt->late_write}));
@@ -116,8 +118,9 @@
   });
 }
 
-/** A model woken in the very moment its grant goes back waits for that
- * moment; in an outage it would wait for long, and is refused. */
+/** Waits while the release of an earlier grant of the model is in progress.
+ * @throws Error kPlatformUnavailable in an outage, when the wait would be long,
+ *   and at the deadline. */
 Task<> GrantLedger::AwaitEnd(core::ServiceId service, core::ModelId model,
                              core::SteadyTime deadline) {
   while (IsEnding(service, model)) {
@@ -131,10 +134,12 @@
 }
 
 /**
- * A grant whose release was never sent is still ours. This is what lets a
- * model wake at the endpoint that had it while the key-value service is down.
- * @throws Error kPlatformUnavailable if its end was sent and isn't settled: a
- *   grant taken now could be ended by that write.
+ * Takes back a grant whose release was not sent yet: it is still held. This
+ * allows the endpoint that held a model to load it again while the key-value
+ * service is down.
+ * @return Nothing if no release of a grant of the model is pending.
+ * @throws Error kPlatformUnavailable if the release was sent and its outcome is
+ *   unknown: that write could end a grant taken now.
  */
 std::optional<Grant> GrantLedger::Reclaim(const core::ServiceId& service,
                                           const core::ModelId& model) {
@@ -161,12 +166,13 @@
   for (int i = 0; i < kMaxSwaps; ++i) {
     LedgerValue ledger = LedgerOf(entry);
     if (const Grant* ours = FindGrant(ledger, vm_, grant.model)) {
-      // A swap whose answer was lost, or a predecessor on this VM.
+      // This grant is from a swap whose answer was lost, or from a predecessor
+      // of this process on the VM.
       attempt->late_write.reset();
       co_return *ours;
     }
     const std::int64_t revision = RevisionOf(entry);
-    // Revisions only grow: a swap against an older one can't land any more.
+    // Revisions only grow: a swap against an older one can't succeed any more.
     if (attempt->late_write != revision) attempt->late_write.reset();
     CheckLimits(ledger, *config, grant.model);
     if (clock_.Now() >= deadline) throw Outage("no grant in time");
@@ -174,8 +180,8 @@
     ledger.grants.push_back(grant);
     ledger.next_fence = grant.fence + 1;
     ledger.config_version = config->version;
-    // Of all swaps against one revision at most one takes effect, so trying
-    // again after an unknown outcome can't take two grants.
+    // At most one of all swaps against the same revision takes effect, so a
+    // retry after an unknown outcome can't take two grants.
     const auto result = co_await Swap(key, revision, EncodeLedger(ledger));
     if (!result) {
       attempt->late_write = revision;
@@ -250,8 +256,8 @@
           {{"model", ending->grant.model}, {"fence", ending->grant.fence}});
       co_return;
     }
-    // The late write could land against this very revision: any swap that
-    // moves the revision on makes that impossible.
+    // The late write could still succeed against this revision; any swap that
+    // changes the revision prevents that.
     ledger.next_fence = std::max(ledger.next_fence, ending->grant.fence + 1);
     const auto result = co_await Swap(key, revision, EncodeLedger(ledger));
     if (!result) {
@@ -276,8 +282,8 @@
     LedgerValue ledger = LedgerOf(entry);
     if (ledger.config_version >= version) co_return;
     ledger.config_version = version;
-    // Whether and when an unanswered swap lands makes no difference: it leaves
-    // the grants of its own revision as they are.
+    // An unanswered swap is harmless whether and whenever it takes effect: it
+    // doesn't change the grants of its revision.
     const auto result =
         co_await Swap(key, RevisionOf(entry), EncodeLedger(ledger));
     if (result && result->swapped) co_return;
--- a/src/endpoint/grant_ledger_base.h
+++ b/src/endpoint/grant_ledger_base.h
@@ -1,4 +1,4 @@
-/** @file grant_ledger_base.h Takes and gives back this VM's replica grants. */
+/** @file grant_ledger_base.h Takes and releases this VM's replica grants. */
 #ifndef SAPPHIRE_ENDPOINT_GRANT_LEDGER_BASE_H_
 #define SAPPHIRE_ENDPOINT_GRANT_LEDGER_BASE_H_
 
@@ -19,11 +19,11 @@
 namespace sapphire::endpoint {
 
 /**
- * The replica limit, kept by compare-and-swap on one key per service.
+ * Enforces the replica limits by compare-and-swap on one key per service.
  * A grant has no time to live: it ends only by Release, which the owner calls
  * after a confirmed unload. This VM's process is the only writer of grants
- * with this VM's name, so a grant of this VM found in a ledger is ours.
- * Safe on several threads, with one Take at a time for each model.
+ * with this VM's name, so a grant of this VM found in a ledger is its own.
+ * Thread-safe, but with only one Take at a time for each model.
  */
 class GrantLedger {
  public:
@@ -32,9 +32,9 @@
               const core::Clock& clock, const core::Logger& log);
 
   /**
-   * Takes the grant to hold a replica of `model`, with both limits of
-   * `config` checked in the same swap.
-   * @param min_fence The grant's fence is at least this.
+   * Takes the grant to hold a replica of `model`. The same swap checks the
+   * model's and the service's limit in `config`.
+   * @param min_fence Lower bound of the grant's fence.
    * @throws core::Error kReplicaLimit, kUnknownModel, kNotConfigured, or
    *   kPlatformUnavailable; no grant is held then, or Settle will end it.
    */
@@ -42,18 +42,18 @@
                          core::ModelId model, std::int64_t min_fence,
                          core::SteadyTime deadline);
 
-  /** Hands a grant back: Settle ends it. @pre The unload is confirmed. */
+  /** Queues a grant for its release by Settle. @pre The unload is confirmed. */
   void Release(const core::ServiceId& service, const Grant& grant);
 
   /**
-   * Tries to end the grants handed back and to void writes of unknown outcome.
+   * Tries to end all released grants and to void all writes of unknown outcome.
    * @return True if none is left.
    */
   core::Task<bool> Settle();
 
   /**
-   * Notes in a service's ledger that `version` has been confirmed: no endpoint
-   * that goes by an older one takes a grant from then on.
+   * Writes a configuration version to a service's ledger; from then on no
+   * endpoint with an older configuration can take a grant.
    * @throws core::Error kPlatformUnavailable.
    */
   core::Task<> NoteVersion(core::ServiceId service, std::int64_t version);
@@ -62,22 +62,24 @@
    */
   core::Task<std::map<core::ServiceId, LedgerValue>> ReadAll();
 
-  /** @return Grants handed back and not yet ended. */
+  /** @return The number of released grants, and of writes to void, that Settle
+   * has not ended yet. */
   [[nodiscard]] int pending() const;
 
   /** @return True if the last call to the key-value service was answered. */
   [[nodiscard]] bool reachable() const;
 
  private:
-  /** A grant to end, or a write of one to void. */
+  /** A grant to end, or a write of a grant to void. */
   struct Ending {
     core::ServiceId service;
     Grant grant;
-    /** Set: a swap against this revision (0: key absent) may still land. */
+    /** Set if a swap against this revision (0: key absent) may still take
+     * effect. */
     std::optional<std::int64_t> late_write;
     /** True once a swap that ends the grant may have taken effect. */
     bool sent = false;
-    /** True while Settle works on it. */
+    /** True while a call of Settle processes it. */
     bool busy = false;
   };
 
--- a/src/endpoint/lane.cc
+++ b/src/endpoint/lane.cc
@@ -1,4 +1,4 @@
-/** @file lane.cc Reading, writing and granting the weight store's lanes. */
+/** @file lane.cc Encodes, decodes and grants the weight store's lanes. */
 #include <algorithm>
 #include <boost/json.hpp>
 #include <exception>
@@ -57,12 +57,12 @@
   });
 }
 
-/** @return How many bids go before the last one. */
+/** @return How many bids are ranked before the last one. */
 std::size_t PlaceOfLast(const std::vector<LaneEntry>& bids) {
   std::vector<policy::LoadBid> ranked;
   ranked.reserve(bids.size());
   for (const LaneEntry& it : bids) {
-    // Only their order counts, so any common origin of time will do.
+    // Only the order of the deadlines matters, so any common epoch will do.
     const core::SteadyTime deadline(
         std::chrono::duration_cast<core::SteadyTime::duration>(
             it.deadline.time_since_epoch()));
--- a/src/endpoint/lane_queue.cc
+++ b/src/endpoint/lane_queue.cc
@@ -1,4 +1,4 @@
-/** @file lane_queue.cc Waits for a lane of the weight store. */
+/** @file lane_queue.cc Waits for a lane (load slot) of the weight store. */
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -17,7 +17,7 @@
 using core::Task;
 
 namespace {
-/** Swaps lost to others before the lane is left to lapse. */
+/** Swaps tried to free a lane before it is left to lapse. */
 constexpr int kDropTries = 8;
 }  // namespace
 
@@ -43,8 +43,8 @@
   }
 }
 
-/** One look at the lanes, and one swap if it changes anything. A lost race or
- * an unknown outcome counts as waiting: the next look shows what stands. */
+/** Reads the lanes once and swaps them if that changes anything. A lost race or
+ * an unknown outcome counts as waiting; the next read shows the result. */
 Task<LaneQueue::Answer> LaneQueue::Try(core::ModelId model, int lanes_at_once,
                                        core::WallTime deadline) {
   const core::WallTime now = clock_.WallNow();
@@ -80,7 +80,7 @@
   }
 }
 
-/** @return True if there is no more to do. */
+/** @return True if no further try is needed. */
 Task<bool> LaneQueue::Drop(core::ModelId model) {
   try {
     const std::string key(kLanesKey);
--- a/src/endpoint/lane_queue_base.h
+++ b/src/endpoint/lane_queue_base.h
@@ -1,4 +1,4 @@
-/** @file lane_queue_base.h Waits for a lane of the weight store. */
+/** @file lane_queue_base.h Waits for a lane (load slot) of the weight store. */
 #ifndef SAPPHIRE_ENDPOINT_LANE_QUEUE_BASE_H_
 #define SAPPHIRE_ENDPOINT_LANE_QUEUE_BASE_H_
 
@@ -15,17 +15,17 @@
 
 struct LaneQueueOptions {
   core::VmId vm;
-  /** A holder that does not say so has ended its load by then. */
+  /** Time until a lane lapses if its holder doesn't free it. */
   std::chrono::milliseconds hold_time{30'000};
-  /** A bid that isn't renewed lapses. */
+  /** Time until a bid lapses if it isn't renewed. */
   std::chrono::milliseconds bid_time{2000};
   std::chrono::milliseconds poll{200};
 };
 
 /**
- * Spreads remote loads over the fleet, so that the weight store serves each at
- * full speed and the earliest deadline first. Lanes lapse by wall time: a skew
- * of clocks, a paused holder or an outage makes loads slower, never unsafe.
+ * Limits the fleet's concurrent remote loads, so that the weight store serves
+ * each at full speed and the earliest deadline first. Lanes lapse by wall time:
+ * clock skew, a paused holder or an outage makes loads slower, never unsafe.
  */
 class LaneQueue {
  public:
@@ -34,15 +34,15 @@
             const core::Clock& clock, const core::Logger& log);
 
   /**
-   * Waits for a lane. With the key-value service down it gives up waiting: the
-   * endpoint loads one model at a time anyway, which is its fixed share.
+   * Waits for a lane. If the key-value service is down it returns true without
+   * one: the endpoint loads one model at a time anyway, its fixed share.
    * @param lanes_at_once How many loads the store serves at full speed.
-   * @return False if there was none until `deadline`.
+   * @return False if no lane was free before `deadline`.
    */
   core::Task<bool> Enter(core::ModelId model, int lanes_at_once,
                          core::SteadyTime deadline);
 
-  /** Frees the lane; if that fails, it lapses. */
+  /** Frees the lane; if that fails, the lane lapses later. */
   core::Task<> Leave(core::ModelId model);
 
  private:
--- a/src/endpoint/lane_type.h
+++ b/src/endpoint/lane_type.h
@@ -1,4 +1,4 @@
-/** @file lane_type.h Who loads from the weight store, and who waits for it. */
+/** @file lane_type.h Holders of, and bids for, the weight store's lanes. */
 #ifndef SAPPHIRE_ENDPOINT_LANE_TYPE_H_
 #define SAPPHIRE_ENDPOINT_LANE_TYPE_H_
 
@@ -13,9 +13,9 @@
 struct LaneEntry {
   core::VmId vm;
   core::ModelId model;
-  /** Bids: the earlier goes first. */
+  /** Of several bids the one with the earliest deadline goes first. */
   core::WallTime deadline;
-  /** Counts no more from then on: its process may be gone. */
+  /** When the entry lapses, because its process may have ended. */
   core::WallTime until;
 };
 
--- a/src/endpoint/memory_ledger.cc
+++ b/src/endpoint/memory_ledger.cc
@@ -1,4 +1,4 @@
-/** @file memory_ledger.cc Reserving and releasing an engine's memory. */
+/** @file memory_ledger.cc Reserves and releases an engine's memory. */
 #include <algorithm>
 
 #include "endpoint/memory_ledger_func.h"
--- a/src/endpoint/memory_ledger_func.h
+++ b/src/endpoint/memory_ledger_func.h
@@ -1,4 +1,4 @@
-/** @file memory_ledger_func.h Reserving and releasing an engine's memory. */
+/** @file memory_ledger_func.h Reserves and releases an engine's memory. */
 #ifndef SAPPHIRE_ENDPOINT_MEMORY_LEDGER_FUNC_H_
 #define SAPPHIRE_ENDPOINT_MEMORY_LEDGER_FUNC_H_
 
@@ -20,9 +20,9 @@
              std::int64_t bytes);
 
 /**
- * Books what the engine was seen to hold although nobody here ordered it: the
- * memory is gone whether it fits or not, and nothing else is to be put there.
- * Replaces an earlier reservation of the holder if that was smaller.
+ * Records memory that the engine uses without an order of this process. It is
+ * reserved even if that exceeds the capacity, so that nothing else is loaded
+ * there. Replaces an earlier reservation of the holder if that was smaller.
  */
 void BookHeld(MemoryLedger& ledger, const MemoryHolder& holder,
               std::int64_t bytes);
--- a/src/endpoint/memory_ledger_type.h
+++ b/src/endpoint/memory_ledger_type.h
@@ -1,4 +1,4 @@
-/** @file memory_ledger_type.h What an engine's memory is spoken for. */
+/** @file memory_ledger_type.h Reservations of an engine's memory. */
 #ifndef SAPPHIRE_ENDPOINT_MEMORY_LEDGER_TYPE_H_
 #define SAPPHIRE_ENDPOINT_MEMORY_LEDGER_TYPE_H_
 
@@ -10,10 +10,10 @@
 
 namespace sapphire::endpoint {
 
-/** Something that takes memory: a model, or one of its adapters. */
+/** Owner of a reservation: a model, or one of its adapters. */
 struct MemoryHolder {
   core::ModelId model;
-  /** Empty: the model's own weights and KV cache budget. */
+  /** Empty for the model's own weights and KV cache budget. */
   core::AdapterId adapter;
 
   friend bool operator==(const MemoryHolder&, const MemoryHolder&) = default;
@@ -25,7 +25,7 @@
 /**
  * Reservations of one engine's memory. A reservation is made before the order
  * that takes the memory and ends after a confirmed unload, so the engine never
- * holds more than is reserved, whatever became of an order in between.
+ * holds more than is reserved, whatever the outcome of the orders.
  */
 struct MemoryLedger {
   std::int64_t capacity_bytes = 0;
--- a/src/endpoint/metrics.cc
+++ b/src/endpoint/metrics.cc
@@ -1,4 +1,4 @@
-/** @file metrics.cc What an endpoint process counts, with prometheus-cpp. */
+/** @file metrics.cc Metrics of an endpoint process, with prometheus-cpp. */
 #include <prometheus/counter.h>
 #include <prometheus/gauge.h>
 #include <prometheus/histogram.h>
--- a/src/endpoint/metrics_base.h
+++ b/src/endpoint/metrics_base.h
@@ -1,4 +1,4 @@
-/** @file metrics_base.h What an endpoint process counts. */
+/** @file metrics_base.h Metrics of an endpoint process. */
 #ifndef SAPPHIRE_ENDPOINT_METRICS_BASE_H_
 #define SAPPHIRE_ENDPOINT_METRICS_BASE_H_
 
@@ -12,7 +12,7 @@
 
 namespace sapphire::endpoint {
 
-/** Levels read when the metrics are asked for. */
+/** Gauge values, read at each scrape. */
 struct Levels {
   std::int64_t config_version = 0;
   std::int64_t memory_bytes = 0;
@@ -24,7 +24,7 @@
   bool leaving = false;
 };
 
-/** Counters, histograms and their text form. Safe on several threads. */
+/** Counters, histograms and their text format. Thread-safe. */
 class Metrics {
  public:
   Metrics();
@@ -32,17 +32,18 @@
   Metrics(const Metrics&) = delete;
   Metrics& operator=(const Metrics&) = delete;
 
-  /** A load from wanted to ready. @param tier "memory", "disk" or "remote". */
+  /** Records the time of a load, from its request until the replica is ready.
+   * @param tier "memory", "disk" or "remote". */
   void ColdLoad(std::string_view tier, std::chrono::milliseconds took);
   void LoadFailed(core::ErrorCode code);
   void Unloaded();
   void RunEnded(std::string_view result);
   void Refused(core::ErrorCode code);
-  /** Accelerator time that a loaded replica spent without a request. */
+  /** Adds time that a loaded replica spent without a request. */
   void Idle(std::chrono::milliseconds time);
   void KeyValueCall(std::string_view kind, std::string_view outcome);
 
-  /** @return Everything, in the Prometheus text format. */
+  /** @return All metrics in the Prometheus text format. */
   std::string Text(const Levels& levels);
 
  private:
--- a/src/endpoint/order_desk.cc
+++ b/src/endpoint/order_desk.cc
@@ -1,4 +1,5 @@
-/** @file order_desk.cc Gives the engine its orders, one at a time. */
+/** @file order_desk.cc Sends load and unload orders to the engine, one at a
+ * time. */
 #include <algorithm>
 #include <array>
 #include <string_view>
@@ -22,12 +23,11 @@
 
 namespace {
 
-/** How long one look at the engine may take before it is logged and tried
- * again. */
+/** How long to wait for one engine status before the wait starts again. */
 constexpr std::chrono::milliseconds kLookTimeout{5000};
-/** A wake-up that got lost costs this much. */
+/** Longest delay caused by a missed notification. */
 constexpr std::chrono::milliseconds kTurnRecheck{1000};
-/** Tries of an order that the engine refuses. */
+/** How often an order that the engine refuses is sent in all. */
 constexpr int kMaxTries = 3;
 
 std::string_view NameOf(OrderKind kind) {
@@ -42,7 +42,7 @@
   return it == status.models.end() ? nullptr : &*it;
 }
 
-/** @return True if the engine shows what the order asked for. */
+/** @return True if the status shows the order's effect. */
 bool ShowsEffect(const EngineStatus& status, const EngineOrder& order) {
   const EngineModel* model = FindModel(status, order.model);
   const bool adapter_held =
@@ -63,7 +63,7 @@
   return false;
 }
 
-/** @return True while a model of the engine is between two states. */
+/** @return True while the engine loads or unloads the model. */
 bool InTransit(const EngineStatus& status, const core::ModelId& model) {
   const EngineModel* it = FindModel(status, model);
   return it != nullptr && it->state != EngineModelState::kReady;
@@ -164,7 +164,7 @@
   co_return std::nullopt;
 }
 
-/** Waits until the engine answers and carries nothing out. */
+/** Waits for a status that shows no order in progress. */
 Task<EngineFollower::StatusPtr> OrderDesk::QuietStatus() {
   while (true) {
     const auto status = co_await follower_.Fresh(kLookTimeout);
@@ -173,9 +173,10 @@
 }
 
 /**
- * A refusal means another order was in progress (a predecessor's, on this VM)
- * or that the fence is too small (the predecessor's were larger). Both pass:
- * once the engine is quiet its fence is known, and the next try is above it.
+ * Prepares the retry of a refused order. The engine refuses an order while
+ * another is in progress (of this process's predecessor on the VM), or if the
+ * fence is too small (the predecessor's were larger). Once the engine is idle
+ * its fence is known, and the next try uses a larger one.
  */
 Task<OrderResult> OrderDesk::AfterRefusal(EngineOrder order, Error error) {
   const auto status = co_await QuietStatus();
@@ -184,10 +185,11 @@
 }
 
 /**
- * The answer is lost: the engine may have carried the order out, may be about
- * to, or may not have received it yet. Until it is certain, the memory and the
- * grant stay taken. The effect, once shown, settles it; its absence does so
- * only after the engine has been quiet for longer than an order travels.
+ * Determines the outcome of an order whose answer was lost. The engine may have
+ * carried the order out, may still do so, or may not have received it yet; the
+ * memory and the grant stay taken until that is certain. The order counts as
+ * carried out once the status shows its effect, and as not carried out once the
+ * engine has been idle without it for longer than an order can be in transit.
  */
 Task<OrderResult> OrderDesk::FindOut(EngineOrder order, Error error) {
   std::optional<core::SteadyTime> quiet_since;
--- a/src/endpoint/order_desk_base.h
+++ b/src/endpoint/order_desk_base.h
@@ -1,4 +1,5 @@
-/** @file order_desk_base.h Gives the engine its orders, one at a time. */
+/** @file order_desk_base.h Sends load and unload orders to the engine, one at a
+ * time. */
 #ifndef SAPPHIRE_ENDPOINT_ORDER_DESK_BASE_H_
 #define SAPPHIRE_ENDPOINT_ORDER_DESK_BASE_H_
 
@@ -28,20 +29,20 @@
   std::chrono::milliseconds settle_time{1000};
 };
 
-/** What became of an order; nothing is left open. */
+/** The final outcome of an order. */
 struct OrderResult {
   bool carried_out = false;
-  /** Why not. */
+  /** Why it was not carried out. */
   std::optional<core::Error> error;
 };
 
-/** The right to give orders; ends when the last copy is dropped. */
+/** Exclusive right to send orders; released when the last copy is dropped. */
 using OrderTurn = std::shared_ptr<void>;
 
 /**
- * The one sender of orders to the engine. Each order's fence is larger than
+ * The only sender of orders to the engine. Each order's fence is larger than
  * all before it, so that an engine which honours fencing refuses a copy that
- * arrives late. Safe on several threads.
+ * arrives late. Thread-safe.
  */
 class OrderDesk {
  public:
@@ -50,24 +51,24 @@
             EngineFollower& follower, const core::Clock& clock,
             const core::Logger& log);
 
-  /** Waits for the turn. @pre The calling coroutine runs on a strand. */
+  /** Waits for the order lock. @pre The calling coroutine runs on a strand. */
   core::Task<OrderTurn> Enter();
 
   /**
-   * Gives an order and waits until its outcome is certain, however long that
-   * takes.
+   * Sends an order and waits, without a time limit, until its outcome is
+   * certain.
    * @param outcome_lost Called if the answer did not arrive.
-   * @pre The caller holds a turn.
+   * @pre The caller holds the order lock.
    */
   core::Task<OrderResult> Give(external::EngineOrder order,
                                std::function<void()> outcome_lost);
 
-  /** @return Turns taken so far; 0 while one is held. For EngineFollower: a
-   * status is consistent with our books if this was, at both ends of its read,
-   * the same and not 0. */
+  /** @return How often the order lock was taken so far; 0 while it is held. A
+   * status read is consistent with this process's records if the value was the
+   * same, and not 0, at both ends of the read. */
   [[nodiscard]] std::uint64_t QuietMark() const;
 
-  /** @return The fence that the next grant must reach. */
+  /** @return The lowest fence that the next grant may have. */
   [[nodiscard]] std::int64_t NextFence() const;
 
   /** Makes the next order's fence larger than `fence`. */
--- a/src/endpoint/plain_admission.cc
+++ b/src/endpoint/plain_admission.cc
@@ -1,4 +1,4 @@
-/** @file plain_admission.cc Places of requests at a plain service. */
+/** @file plain_admission.cc Admits requests at a plain service. */
 #include <chrono>
 #include <utility>
 
@@ -34,8 +34,8 @@
   if (!config_.Current()) {
     throw Error(ErrorCode::kNotConfigured, "", kStartRetryAfter);
   }
-  // A link address may be given to another VM: a request for another service
-  // must not reach this one.
+  // A link address may be reassigned to another VM, so a request for another
+  // service can arrive here and must be refused.
   if (run.service_id != service_.value()) {
     throw Error(
         ErrorCode::kNoEndpoint,
--- a/src/endpoint/plain_admission_base.h
+++ b/src/endpoint/plain_admission_base.h
@@ -1,4 +1,4 @@
-/** @file plain_admission_base.h Places of requests at a plain service. */
+/** @file plain_admission_base.h Admits requests at a plain service. */
 #ifndef SAPPHIRE_ENDPOINT_PLAIN_ADMISSION_BASE_H_
 #define SAPPHIRE_ENDPOINT_PLAIN_ADMISSION_BASE_H_
 
@@ -11,7 +11,7 @@
 
 namespace sapphire::endpoint {
 
-/** Admits as many requests as the configuration allows the service at once. */
+/** Admits requests up to the service's configured concurrency limit. */
 class PlainAdmission final : public Admission {
  public:
   /** @pre `config` and `changed` outlive this. */
--- a/src/endpoint/replica_keeper.cc
+++ b/src/endpoint/replica_keeper.cc
@@ -1,4 +1,5 @@
-/** @file replica_keeper.cc Keeps the books true and idle replicas few. */
+/** @file replica_keeper.cc Reconciles replicas with the engine and the ledgers,
+ * and unloads idle ones. */
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -19,8 +20,8 @@
 
 namespace {
 
-/** @return The replica as the policy sees it: one on its way in counts as in
- * use, one on its way out as gone long ago. */
+/** Converts a replica for the keep-alive policy: one that is being loaded
+ * counts as in use, one that is being unloaded as past its keep-alive time. */
 policy::LoadedReplica HeldAt(Replica& replica, core::SteadyTime now) {
   const std::lock_guard lock(replica.mutex);
   const ReplicaPhase phase = replica.life.phase();
@@ -45,9 +46,9 @@
 
 void ReplicaKeeper::Reconcile(const EngineStatus& status, std::uint64_t mark) {
   parts_.table.SetCapacity(status.memory_bytes);
-  // While an order is under way, ours or a predecessor's, the status may show
-  // the engine before or after it: acting on that could drop the books of a
-  // model that is just being loaded.
+  // While an order is in progress, from this process or its predecessor, the
+  // status may show the engine before or after it. Acting on it could drop the
+  // records of a model that is being loaded.
   const bool quiet = mark != 0 && mark == parts_.desk.QuietMark();
   if (!quiet || status.order_in_progress) return;
   parts_.desk.RaiseFence(status.fence);
@@ -64,8 +65,8 @@
   parts_.table.changed().Notify();
 }
 
-/** Books a model that is loaded though nobody here ordered it: a predecessor
- * of this process did, or an order arrived late. */
+/** Records a loaded model that this process has no replica of: a predecessor of
+ * this process loaded it, or an order arrived late. */
 void ReplicaKeeper::AdoptModel(const EngineModel& model) {
   const ReplicaPtr replica = parts_.table.FindOrAdd(model.model);
   const std::lock_guard lock(replica->mutex);
@@ -100,8 +101,8 @@
   }
 }
 
-/** The engine restarted, or dropped a model on its own: what it doesn't show
- * isn't held, and the memory and grant are free again. */
+/** Frees the memory and grants of replicas that the status doesn't list: the
+ * engine restarted, or dropped a model on its own. */
 void ReplicaKeeper::DropMissing(const EngineStatus& status) {
   for (const ReplicaPtr& it : parts_.table.All()) {
     if (std::ranges::find(status.models, it->model, &EngineModel::model) !=
@@ -162,7 +163,7 @@
   co_return true;
 }
 
-/** Grants handed back in an outage are ended once it is over. */
+/** Retries the release of grants, such as those handed back in an outage. */
 Task<> ReplicaKeeper::SettleIfDue() {
   const core::SteadyTime now = parts_.clock.Now();
   if (parts_.ledger.pending() == 0 || now < next_settle_) co_return;
@@ -176,8 +177,8 @@
   for (const ReplicaPtr& it : all) SweepOne(it, unwanted.contains(it));
 }
 
-/** @return Those whose keep-alive is over, by the policy for replicas that
- * share this accelerator. */
+/** @return The replicas whose keep-alive has expired, by the policy for
+ * replicas that share an accelerator. */
 std::set<ReplicaPtr> ReplicaKeeper::IdleToUnload(
     const std::vector<ReplicaPtr>& all) const {
   const core::SteadyTime now = parts_.clock.Now();
@@ -198,13 +199,14 @@
     if (MayStay(*replica, unwanted)) return;
     replica->life.Apply(ReplicaEvent::kDrainStarted);
   }
-  // A drain whose unload failed is begun again here.
+  // An unload that failed leaves the replica draining; it is retried here.
   if (replica->life.phase() != ReplicaPhase::kDraining) return;
   replica->working = true;
   worker_.StartUnload(replica);
 }
 
-/** @pre The replica's lock is held. */
+/** Updates the replica from the configuration and decides whether it stays
+ * loaded. @pre The replica's lock is held. */
 bool ReplicaKeeper::MayStay(Replica& replica, bool unwanted) const {
   const auto config = parts_.config.Current();
   if (config) {
@@ -219,19 +221,20 @@
   if (parts_.table.leaving) replica.must_go = true;
   if (replica.must_go) return false;
   if (replica.running > 0) return true;
-  // While the key-value service is down, an unloaded model could be woken
-  // nowhere else: it stays until the memory is needed.
+  // While the key-value service is down, an unloaded model could not be loaded
+  // on any other VM, so it stays loaded until its memory is needed.
   if (!parts_.ledger.reachable()) return true;
   if (!unwanted) return true;
-  // It may have served a request since the policy was asked.
+  // The replica may have served a request since the policy ran.
   return parts_.clock.Now() - replica.idle_since < replica.keep_alive;
 }
 
-// Guards against a lowered limit being loaded over by those who missed it: an
-// endpoint and an entry that were frozen, or start anew and are shown the older
-// head, agree on the limit from before. It would show as one replica too many.
-// The first endpoint that knows of the newer version writes it to the ledger;
-// a grant is taken by a swap of the same key, so it can't pass unseen.
+// Writes the configuration's version to each model service's ledger, unless a
+// version at least as new is there. Without it a lowered replica limit could be
+// exceeded: an endpoint and an entry that were suspended, or have restarted and
+// read the older head, would still agree on the earlier limit. The first
+// endpoint with the newer configuration writes its version; grants are taken by
+// a swap of the same key, so no endpoint can miss it.
 Task<> ReplicaKeeper::NoteVersions(
     std::map<core::ServiceId, LedgerValue> ledgers) {
   const auto config = parts_.config.Current();
@@ -264,16 +267,16 @@
   }
 }
 
-/** Ends this VM's grants of models that aren't loaded here: a predecessor took
- * them, or a swap landed after it was given up. */
+/** Releases this VM's grants of models that aren't loaded here: a predecessor
+ * took them, or a swap took effect after it was given up. */
 void ReplicaKeeper::ReleaseOrphans(const core::ServiceId& service,
                                    const LedgerValue& ledger) {
   for (const Grant& it : ledger.grants) {
     if (it.vm != options_.vm) continue;
     const ReplicaPtr replica = parts_.table.FindOrAdd(it.model);
     const std::lock_guard lock(replica->mutex);
-    // The ledger was read some time ago; a grant taken since has another
-    // fence, so ending the one that was read can't end it.
+    // A grant taken since the ledger was read has another fence, so releasing
+    // the one that was read doesn't release it.
     if (replica->working || replica->life.phase() != ReplicaPhase::kAbsent) {
       continue;
     }
@@ -283,15 +286,16 @@
   }
 }
 
-/** A grant that was ended because the platform showed this VM as gone is not
- * ours any more, though the model is still loaded: it is asked for anew, and
- * the replica goes if the limit has been used up meanwhile. */
+/** Clears grants that are no longer in the ledger: they were ended because the
+ * platform listed this VM as gone, though the model is still loaded. The audit
+ * takes new grants, and replicas that are over the limit by then are unloaded.
+ */
 void ReplicaKeeper::ForgetLostGrants(const core::ServiceId& service,
                                      const LedgerValue& ledger) {
   for (const ReplicaPtr& it : parts_.table.All()) {
     const std::lock_guard lock(it->mutex);
     if (!it->grant || it->service != service || it->working) continue;
-    // A grant from after the read isn't in it.
+    // A grant taken after the ledger was read can't be in it.
     if (it->grant->fence >= ledger.next_fence) continue;
     if (std::ranges::find(ledger.grants, *it->grant) != ledger.grants.end()) {
       continue;
--- a/src/endpoint/replica_keeper_base.h
+++ b/src/endpoint/replica_keeper_base.h
@@ -1,4 +1,5 @@
-/** @file replica_keeper_base.h Keeps the books true and idle replicas few. */
+/** @file replica_keeper_base.h Reconciles replicas with the engine and the
+ * ledgers, and unloads idle ones. */
 #ifndef SAPPHIRE_ENDPOINT_REPLICA_KEEPER_BASE_H_
 #define SAPPHIRE_ENDPOINT_REPLICA_KEEPER_BASE_H_
 
@@ -15,19 +16,19 @@
 
 struct ReplicaKeeperOptions {
   core::VmId vm;
-  /** Of replicas found loaded, until a caller names another. */
+  /** Keep-alive time of replicas found loaded, until a caller sets another. */
   std::chrono::milliseconds keep_alive{60'000};
-  /** Between two looks at idle replicas. */
+  /** Time between two checks for replicas to unload. */
   std::chrono::milliseconds sweep_interval{250};
-  /** Between two comparisons with the ledgers. */
+  /** Time between two comparisons with the ledgers. */
   std::chrono::milliseconds audit_interval{30'000};
-  /** After an audit or a settlement that failed. */
+  /** Time until the retry of a failed audit or grant release. */
   std::chrono::milliseconds audit_retry{2000};
 };
 
 /**
- * Compares the books with what the engine shows and with the ledgers, and
- * unloads what is idle, over a limit or not configured any more.
+ * Compares the replica table with the engine's status and with the ledgers, and
+ * unloads replicas that are idle, over a limit or no longer configured.
  */
 class ReplicaKeeper {
  public:
@@ -35,28 +36,29 @@
   ReplicaKeeper(EndpointParts parts, ReplicaKeeperOptions options,
                 ReplicaWorker& worker);
 
-  /** Takes over what the engine shows. For EngineFollower.
+  /** Updates the replica table from a status of the engine; the listener of
+   * EngineFollower.
    * @param mark OrderDesk::QuietMark at the start of the read. */
   void Reconcile(const external::EngineStatus& status, std::uint64_t mark);
 
-  /** Sweeps and audits until Stop. */
+  /** Starts periodic sweeps and audits, which run until Stop. */
   void Start();
   void Stop();
 
-  /** Has the ledgers compared at the next sweep. */
+  /** Requests an audit with the next sweep. */
   void AuditSoon() { audit_due_ = true; }
 
-  /** One look at every replica: starts the unloads that are due. */
+  /** Checks every replica and starts the unloads that are due. */
   void Sweep();
 
   /** Compares this VM's grants with the replicas, and both with the limits.
    * @throws core::Error kPlatformUnavailable. */
   core::Task<> Audit();
 
-  /** Audit, with its failure logged. @return True if it was done. */
+  /** Runs Audit and logs its failure. @return True if it succeeded. */
   core::Task<bool> TryAudit();
 
-  /** @return True if nothing is loaded, granted or under way. */
+  /** @return True if nothing is loaded, granted or in progress. */
   [[nodiscard]] bool Empty() const;
 
  private:
--- a/src/endpoint/replica_life.cc
+++ b/src/endpoint/replica_life.cc
@@ -1,5 +1,5 @@
-/** @file replica_life.cc The life of one replica as a Boost.MSM machine. */
-// The replica's table has more rows than MSM's default of 20.
+/** @file replica_life.cc Boost.MSM state machine of one replica's lifecycle. */
+// The transition table has more rows than MSM's default limit of 20.
 #define BOOST_MPL_CFG_NO_PREPROCESSED_HEADERS
 #define BOOST_MPL_LIMIT_VECTOR_SIZE 30
 
@@ -43,7 +43,7 @@
   using Row = msm::front::Row<From, Event, To, none, none>;
 
   // clang-format off
-  // MSM looks for this name.
+  // MSM requires this name.
   // NOLINTNEXTLINE(readability-identifier-naming)
   struct transition_table : boost::mpl::vector<
       Row<Absent,    Wanted,          Granted>,
@@ -67,12 +67,13 @@
   > {};
   // clang-format on
 
-  /** An event without a row is refused by Apply; nothing is thrown. */
+  /** Does nothing, so that Apply can return false for an event without a row;
+   * MSM's default asserts. */
   template <typename Fsm, typename Event>
   void no_transition(const Event& /*event*/, Fsm& /*fsm*/, int /*state*/) {}
 };
 
-/** In the order in which MSM numbers the states: by their first rows. */
+/** Phases by MSM state id; MSM numbers the states by their first rows. */
 constexpr std::array kPhasesById = {
     ReplicaPhase::kAbsent, ReplicaPhase::kGranted,  ReplicaPhase::kLoading,
     ReplicaPhase::kReady,  ReplicaPhase::kDraining, ReplicaPhase::kUnloading,
--- a/src/endpoint/replica_life_base.h
+++ b/src/endpoint/replica_life_base.h
@@ -1,4 +1,4 @@
-/** @file replica_life_base.h The life of one replica as a state machine. */
+/** @file replica_life_base.h State machine of one replica's lifecycle. */
 #ifndef SAPPHIRE_ENDPOINT_REPLICA_LIFE_BASE_H_
 #define SAPPHIRE_ENDPOINT_REPLICA_LIFE_BASE_H_
 
@@ -12,27 +12,27 @@
   kGranted,    ///< A grant is held or being taken; nothing is loaded.
   kLoading,    ///< A load order may be with the engine.
   kReady,      ///< Loaded; serves requests.
-  kDraining,   ///< Loaded; finishes what runs, takes no new work.
+  kDraining,   ///< Loaded; finishes its runs, refuses new ones.
   kUnloading,  ///< An unload order may be with the engine.
-  kUnknown,    ///< An order's outcome is unknown: counts as loaded.
+  kUnknown,    ///< An order's outcome is unknown; counts as loaded.
 };
 
 enum class ReplicaEvent {
   kWanted,           ///< A grant is being taken.
-  kFoundLoaded,      ///< The engine shows the model, nobody here ordered it.
+  kFoundLoaded,      ///< The engine holds the model without an order from here.
   kLoadOrdered,      ///< The load order is about to be sent.
   kShownLoaded,      ///< The engine confirmed, or shows, the model loaded.
-  kShownAbsent,      ///< The engine confirmed, or shows, that it isn't held.
+  kShownAbsent,      ///< The engine confirmed, or shows, the model absent.
   kOutcomeLost,      ///< An order's answer didn't arrive.
-  kDrainStarted,     ///< It has to go, or may go.
-  kDrainCalledOff,   ///< It is wanted again before the unload was ordered.
+  kDrainStarted,     ///< The replica must or may be unloaded.
+  kDrainCalledOff,   ///< It is needed again before the unload was ordered.
   kUnloadOrdered,    ///< The unload order is about to be sent.
-  kGrantHandedBack,  ///< The grant went back to the ledger.
+  kGrantHandedBack,  ///< The grant was released.
 };
 
 std::string_view NameOf(ReplicaPhase phase);
 
-/** The transitions that a replica may take. Not safe on several threads. */
+/** Allows only the valid transitions of a replica. Not thread-safe. */
 class ReplicaLife {
  public:
   ReplicaLife();
@@ -42,7 +42,7 @@
 
   [[nodiscard]] ReplicaPhase phase() const;
 
-  /** @return False, and nothing changes, if the event has no place in this
+  /** @return False, and changes nothing, if the event isn't valid in this
    * phase. */
   bool Apply(ReplicaEvent event);
 
--- a/src/endpoint/replica_table_base.h
+++ b/src/endpoint/replica_table_base.h
@@ -18,15 +18,15 @@
 using ReplicaPtr = std::shared_ptr<Replica>;
 
 /**
- * The books of one engine. Each replica has a lock of its own, the memory
- * ledger another; a replica's lock may be held while the memory's is taken,
- * never the other way round.
+ * The replicas and memory reservations of one engine. Each replica has its own
+ * lock and the memory ledger another. Lock order: a replica's lock before the
+ * memory ledger's.
  */
 class ReplicaTable {
  public:
-  /** @return The replica's entry, added if it is new; it is never removed. */
+  /** @return The model's replica, added if it is new; never removed. */
   ReplicaPtr FindOrAdd(const core::ModelId& model);
-  /** @return Null if the model was never wanted here. */
+  /** @return The model's replica, or null if there is none. */
   [[nodiscard]] ReplicaPtr Find(const core::ModelId& model) const;
   [[nodiscard]] std::vector<ReplicaPtr> All() const;
 
@@ -42,9 +42,9 @@
     return changed_;
   }
 
-  /** The VM is leaving: nothing new is loaded or run. */
+  /** True once the VM is leaving: new loads and runs are refused. */
   std::atomic<bool> leaving = false;
-  /** What the engine held at the start of this process is known. */
+  /** True once the models that the engine held at process start are known. */
   std::atomic<bool> recovered = false;
 
  private:
--- a/src/endpoint/replica_type.h
+++ b/src/endpoint/replica_type.h
@@ -18,15 +18,15 @@
 
 namespace sapphire::endpoint {
 
-/** An adapter held beside its model. */
+/** An adapter at its model's replica. */
 struct AdapterSlot {
-  /** False while its load order is with the engine. */
+  /** False while it is being loaded or unloaded. */
   bool loaded = false;
   int running = 0;
   core::SteadyTime last_used;
 };
 
-/** Everything but `model` is read and written under `mutex`. */
+/** State of one replica. `mutex` guards all members but `model`. */
 struct Replica {
   explicit Replica(core::ModelId id) : model(std::move(id)) {}
 
@@ -36,25 +36,27 @@
   ReplicaLife life;
   core::ServiceId service;
   std::string version;
-  /** Not set in phase kReady: found loaded, and not yet checked. */
+  /** Not set in phase kReady if the replica was found loaded and its grant has
+   * not been checked yet. */
   std::optional<Grant> grant;
-  /** When `grant` was last seen in the ledger, or taken back unsent. */
+  /** When `grant` was last seen in the ledger, or reclaimed before its release
+   * was sent. */
   core::SteadyTime grant_seen;
-  /** A load, unload or grant check is at work on it. */
+  /** True while a load, unload or grant check runs for it. */
   bool working = false;
-  /** It is not wanted here any more: a drain can't be called off. */
+  /** The replica must be unloaded; its drain can't be cancelled. */
   bool must_go = false;
   int running = 0;
   int max_concurrent = 1;
   core::SteadyTime idle_since;
   std::chrono::milliseconds keep_alive{0};
   std::map<core::AdapterId, AdapterSlot> adapters;
-  /** Adapter loads that failed, and how the last one did. */
-  /** Requests and wishes that wait for an adapter to be loaded. */
+  /** Number of requests and load calls that wait for each adapter. */
   std::map<core::AdapterId, int> adapter_waiters;
+  /** Number of failed adapter loads, and the error of the last one. */
   int adapter_failures = 0;
   std::optional<core::Error> last_adapter_failure;
-  /** Loads that failed, and how the last one did. */
+  /** Number of failed loads, and the error of the last one. */
   int failures = 0;
   std::optional<core::Error> last_failure;
 };
--- a/src/endpoint/replica_worker.cc
+++ b/src/endpoint/replica_worker.cc
@@ -20,20 +20,20 @@
 
 namespace {
 
-/** A wake-up that got lost costs this much. */
+/** Longest delay caused by a missed notification. */
 constexpr Millis kRecheck{1000};
 constexpr Millis kRoomRetryAfter{2000};
 constexpr Millis kLaneRetryAfter{3000};
 constexpr std::string_view kRemote = "remote";
-/** Time for the check of a grant; nobody waits for it. */
+/** Time limit of a background grant check. */
 constexpr Millis kGrantCheckTime{5000};
 
 Millis Between(core::SteadyTime from, core::SteadyTime to) {
   return std::chrono::duration_cast<Millis>(to - from);
 }
 
-/** Named, not a lambda inside a co_await: GCC 12 destroys such a temporary
- * twice, and with it the replica. */
+/** A separate function, because GCC 12 destroys a lambda that is a temporary
+ * inside a co_await twice, and the replica with it. */
 std::function<void()> OutcomeLostHook(const ReplicaPtr& replica) {
   return [replica] {
     const std::lock_guard lock(replica->mutex);
@@ -63,8 +63,9 @@
   return kRemote;
 }
 
-/** Callers hold a replica's lock, and core::Spawn may run a task's first steps
- * before it returns: the task would wait for the lock for ever. */
+/** Posts the spawn, because callers hold a replica's lock and core::Spawn may
+ * run a task's first steps before it returns: the task would deadlock on that
+ * lock. */
 void ReplicaWorker::StartTask(std::string_view name,
                               std::function<Task<>()> task) {
   boost::asio::post(parts_.executor, [this, name, task = std::move(task)] {
@@ -98,7 +99,8 @@
     replica->working = false;
   }
   parts_.table.changed().Notify();
-  // Its own grant if it failed, and those of models unloaded to make room.
+  // Ends the replica's own grant if its load failed, and the grants of models
+  // that were evicted for it.
   co_await parts_.ledger.Settle();
 }
 
@@ -138,7 +140,7 @@
       {{"model", replica->model}, {"tier", tier}, {"took_ms", took}});
 }
 
-/** Remote loads share the weight store's lanes with the whole fleet. */
+/** Loads from the weight store, whose lanes are shared by the whole fleet. */
 Task<> ReplicaWorker::LoadThroughLane(ReplicaPtr replica, contract::Model spec,
                                       LoadWish wish) {
   const auto config = parts_.config.Current();
@@ -156,7 +158,8 @@
   } catch (const Error& e) {
     failure = e;
   }
-  // In the background: the replica is ready, and its caller need not wait.
+  // The lane is freed in the background, so that the caller need not wait for
+  // it.
   StartTask("leave_lane", [this, model = replica->model] {
     return parts_.lanes.Leave(model);
   });
@@ -172,16 +175,17 @@
   const std::lock_guard lock(replica->mutex);
   replica->grant = grant;
   replica->grant_seen = parts_.clock.Now();
-  // A model that was found loaded before the configuration came has no service
-  // yet; its grant would be "ended" in a ledger that doesn't exist.
+  // A model that was found loaded before the first configuration arrived has no
+  // service yet; without one its grant would be released in a ledger that
+  // doesn't exist.
   replica->service = config->intent.models.at(replica->model).service;
 }
 
 /**
- * A process that is stopped for long between its grant and its order, and whose
- * VM the platform shows as gone meanwhile, loses the grant to another VM. It
- * would come back and load one replica too many; a second look at the ledger
- * finds the grant gone and asks for a new one.
+ * Takes the grant again if it is older than grant_trust_. If the process is
+ * suspended between its grant and its order, the platform may list its VM as
+ * gone and another VM may get the grant. On resuming, the process would load
+ * one replica too many.
  */
 Task<> ReplicaWorker::RenewTrust(ReplicaPtr replica,
                                  core::SteadyTime deadline) {
@@ -226,7 +230,8 @@
     throw *result.error;
   }
   replica->life.Apply(ReplicaEvent::kShownLoaded);
-  // From kUnknown the machine goes to kDraining; the load is wanted still.
+  // From kUnknown the state machine goes to kDraining, but the replica is still
+  // needed.
   replica->life.Apply(ReplicaEvent::kDrainCalledOff);
   replica->idle_since = parts_.clock.Now();
 }
@@ -266,7 +271,7 @@
   co_await parts_.ledger.Settle();
 }
 
-/** @return False if the drain was called off, or somebody else unloaded it. */
+/** @return False if the drain was cancelled or another task unloaded it. */
 Task<bool> ReplicaWorker::WaitUntilIdle(ReplicaPtr replica) {
   while (true) {
     const auto epoch = parts_.table.changed().epoch();
@@ -282,7 +287,7 @@
 /**
  * Unloads a replica that is draining and idle.
  * @return True if the unload is confirmed.
- * @pre The caller holds the turn at the desk.
+ * @pre The caller holds the engine's order lock.
  */
 Task<bool> ReplicaWorker::OrderUnload(ReplicaPtr replica) {
   {
@@ -330,9 +335,10 @@
   {
     const std::lock_guard lock(replica->mutex);
     replica->working = false;
-    // The engine lost the model meanwhile: its grant is of no use.
+    // The engine has lost the model in the meantime, so the grant is released.
     if (replica->life.phase() == ReplicaPhase::kAbsent) HandBack(*replica);
-    // An outage says nothing of the limit: it is asked again later.
+    // Other errors, such as an outage, say nothing about the limit; the next
+    // audit checks again.
     if (failure && (failure->code() == ErrorCode::kReplicaLimit ||
                     failure->code() == ErrorCode::kUnknownModel)) {
       replica->must_go = true;
@@ -341,8 +347,8 @@
   parts_.table.changed().Notify();
 }
 
-/** @throws Error kOverMemory if room can't be made even by eviction: known
- * before a grant is taken or anything is unloaded. */
+/** Checks the memory before a grant is taken or anything is unloaded.
+ * @throws Error kOverMemory if even eviction can't free enough. */
 void ReplicaWorker::CheckRoom(const contract::Model& spec,
                               const std::vector<core::ModelId>& evict) const {
   const MemoryLedger memory = parts_.table.Memory();
@@ -365,14 +371,14 @@
  * Reserves memory, unloading idle adapters and the idle models of `evict` as
  * far as needed.
  * @throws Error kOverMemory
- * @pre The caller holds the turn at the desk.
+ * @pre The caller holds the engine's order lock.
  */
 Task<> ReplicaWorker::MakeRoom(MemoryHolder holder, std::int64_t bytes,
                                std::vector<core::ModelId> evict) {
   std::set<core::ModelId> tried;
   while (!parts_.table.ReserveMemory(holder, bytes)) {
-    // Adapters load far faster than models, but unloading them is of no use
-    // if a model has to go all the same.
+    // Adapters are evicted first, because they load far faster than models, but
+    // only if that frees enough without evicting a model as well.
     if (IdleAdaptersMakeRoomFor(bytes) && co_await EvictAdapter()) continue;
     if (co_await EvictModel(evict, holder.model, tried)) continue;
     if (co_await EvictAdapter()) continue;
@@ -380,8 +386,8 @@
   }
 }
 
-/** Unloads one idle model: one that has to go, or the longest idle of `evict`.
- * @return False if there is none. */
+/** Unloads the longest idle of the models that are draining or listed in
+ * `evict`. @return False if there is none. */
 Task<bool> ReplicaWorker::EvictModel(std::vector<core::ModelId> evict,
                                      core::ModelId keep,
                                      std::set<core::ModelId>& tried) {
--- a/src/endpoint/replica_worker_base.h
+++ b/src/endpoint/replica_worker_base.h
@@ -24,14 +24,15 @@
 
 namespace sapphire::endpoint {
 
-/** Until when, and at what cost, a model or adapter is to be loaded. */
+/** Deadline of a model or adapter load, and what it may evict. */
 struct LoadWish {
   core::SteadyTime deadline;
   /** Idle models that may be unloaded to make room. */
   std::vector<core::ModelId> evict;
 };
 
-/** Everything the endpoint's parts work on. All references outlive them. */
+/** Dependencies shared by the endpoint's parts. All references outlive the
+ * parts. */
 struct EndpointParts {
   core::Executor executor;
   contract::ConfigHolder& config;
@@ -46,20 +47,20 @@
 };
 
 /**
- * Carries a replica from absent to ready and back. The order of steps is what
- * keeps the promises: grant, then memory, then the order; and backwards,
- * confirmed unload, then memory, then grant.
+ * Loads and unloads replicas. The sequence of steps upholds the replica limit
+ * and the memory limit: a load takes the grant, reserves memory, then sends the
+ * order; an unload is confirmed, then frees the memory, then the grant.
  */
 class ReplicaWorker {
  public:
-  /** @param grant_trust A grant taken longer ago than this is looked up again
-   * before the load is ordered. */
+  /** @param grant_trust Age from which a grant is looked up again before the
+   * load is ordered. */
   explicit ReplicaWorker(EndpointParts parts,
                          std::chrono::milliseconds grant_trust = kGrantTrust)
       : parts_(parts), grant_trust_(grant_trust) {}
 
-  /** Well below the time after which a VM missing from the platform's list
-   * counts as gone. */
+  /** Well below the time after which a VM that is missing from the platform's
+   * list counts as lost and its grants are ended. */
   static constexpr std::chrono::milliseconds kGrantTrust{5000};
 
   /** Loads in the background. @pre The caller set `working`. */
@@ -69,21 +70,23 @@
    * `working` and applied kDrainStarted. */
   void StartUnload(const ReplicaPtr& replica);
 
-  /** Takes the grant of a replica that was found loaded; one that is over the
-   * limit has to go. @pre The caller set `working`. */
+  /** Takes a grant in the background for a replica that was found loaded; if it
+   * is over the limit, the replica is marked for unloading.
+   * @pre The caller set `working`. */
   void StartGrantCheck(const ReplicaPtr& replica);
 
   /**
-   * Has an adapter loaded beside its model and counts one more use of it, which
-   * keeps it from being evicted; the caller ends the use.
+   * Loads an adapter if needed and increments its use count, which keeps it
+   * from being evicted; the caller decrements the count.
    * @throws core::Error kOverMemory, kTimedOut, kLoadFailed, all "not run".
-   * @pre The caller holds a run slot of the replica, which keeps the model.
+   * @pre The caller holds a run slot of the replica, which keeps the model
+   * loaded.
    */
   core::Task<> EnsureAdapter(ReplicaPtr replica, core::AdapterId adapter,
                              LoadWish wish);
 
-  /** Books a replica as gone that the engine shows not to hold.
-   * @pre Its lock is held; phase kReady, kDraining or kUnloading. */
+  /** Frees the memory and the grant of a replica that the engine no longer
+   * holds. @pre Its lock is held; phase kReady, kDraining or kUnloading. */
   void NoteGone(Replica& replica);
 
  private:
--- a/src/endpoint/replicas.cc
+++ b/src/endpoint/replicas.cc
@@ -1,4 +1,5 @@
-/** @file replicas.cc The replicas of a model engine, as others ask for them. */
+/** @file replicas.cc Load requests and request admission for the replicas of a
+ * model engine. */
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -18,14 +19,15 @@
 
 constexpr Millis kStartRetryAfter{1000};
 constexpr Millis kBusyRetryAfter{500};
-/** A wake-up that got lost costs this much. */
+/** Longest delay caused by a missed notification. */
 constexpr Millis kRecheck{1000};
 
 Millis Between(core::SteadyTime from, core::SteadyTime to) {
   return std::chrono::duration_cast<Millis>(to - from);
 }
 
-/** @return The state as reported; none if nothing is, or will be, loaded. */
+/** @return The state to report; none if the model is neither loaded nor being
+ * loaded. */
 std::optional<gen::ReplicaState::type> Reported(const Replica& replica) {
   switch (replica.life.phase()) {
     case ReplicaPhase::kAbsent:
@@ -113,7 +115,7 @@
 
 /**
  * @return True if the replica is ready.
- * @throws Error what the load failed with that this wish waited for.
+ * @throws Error of the load that this request waited for, if it failed.
  */
 bool Replicas::StartOrCheck(const ReplicaPtr& replica, const LoadWish& wish,
                             int failures_before) {
@@ -123,8 +125,8 @@
     case ReplicaPhase::kReady:
       return true;
     case ReplicaPhase::kDraining:
-      // A loaded model that is wanted again need not go first; not so if it
-      // has no right to be here.
+      // The drain is cancelled if the model is needed again, unless the model
+      // must be unloaded (no grant, over a limit or no longer configured).
       if (replica->must_go) {
         throw Error(ErrorCode::kNoCapacity, replica->model.value(),
                     kBusyRetryAfter);
@@ -188,8 +190,8 @@
     }
   }
   parts_.table.changed().Notify();
-  // The slot may outlive this object at the end of the process: it holds what
-  // it touches.
+  // The slot may outlive this object at process exit, so it shares ownership
+  // of the replica and the signal.
   return RunSlot(nullptr, [replica, &clock = parts_.clock,
                            changed = parts_.table.shared_changed()](void*) {
     {
--- a/src/endpoint/replicas_base.h
+++ b/src/endpoint/replicas_base.h
@@ -1,5 +1,5 @@
-/** @file replicas_base.h The replicas of a model engine, as others ask for
- * them. */
+/** @file replicas_base.h Load requests and request admission for the replicas
+ * of a model engine. */
 #ifndef SAPPHIRE_ENDPOINT_REPLICAS_BASE_H_
 #define SAPPHIRE_ENDPOINT_REPLICAS_BASE_H_
 
@@ -11,12 +11,13 @@
 
 namespace sapphire::endpoint {
 
-/** Answers EnsureModel, admits runs and describes what is loaded. */
+/** Handles EnsureModel calls, admits runs and reports the loaded replicas. */
 class Replicas final : public Admission {
  public:
-  /** @param keep_alive Of replicas whose caller named none.
-   * @param least_keep_alive A replica just loaded waits this long for the
-   *   requests that it was loaded for: they are on their way from its home.
+  /** @param keep_alive Default for calls that set no keep-alive time.
+   * @param least_keep_alive Lower bound of keep-alive times set by callers: the
+   *   requests that a replica was loaded for are still on their way from the
+   *   scheduler when the load ends.
    * @pre `worker` outlives this. */
   Replicas(EndpointParts parts, ReplicaWorker& worker,
            std::chrono::milliseconds keep_alive,
@@ -27,8 +28,8 @@
         least_keep_alive_(least_keep_alive) {}
 
   /**
-   * Has a model, and an adapter if one is named, loaded.
-   * @throws core::Error why not; nothing was run.
+   * Returns once a model, and its adapter if one is given, is loaded.
+   * @throws core::Error if the load failed; no request was run.
    * @pre The calling coroutine runs on a strand.
    */
   core::Task<> Ensure(gen::EnsureModel wish);
@@ -46,8 +47,8 @@
   RunSlot TakeAdapterSlot(const ReplicaPtr& replica, RunSlot slot,
                           const core::AdapterId& adapter) const;
   void KeepFor(const ReplicaPtr& replica, core::Millis wanted) const;
-  /** @return How long an idle replica stays. @param wanted Negative: by this
-   * endpoint's setting. */
+  /** @return How long an idle replica stays loaded.
+   * @param wanted Negative for this endpoint's setting. */
   [[nodiscard]] core::Millis KeepAliveFor(core::Millis wanted) const;
 
   EndpointParts parts_;
--- a/src/endpoint/runner.cc
+++ b/src/endpoint/runner.cc
@@ -20,7 +20,8 @@
 
 constexpr int kNotFound = 404;
 constexpr Millis kBusyRetryAfter{500};
-/** How long a broken answer may wait to learn whether the engine died. */
+/** How long a broken answer waits for a status that shows whether the engine
+ * crashed. */
 constexpr Millis kExplainTime{1000};
 
 http::Request ToHttp(const gen::Run& run) {
@@ -98,7 +99,7 @@
   trip->deadline = clock_.Now() + Millis(run.remaining_ms);
   trip->run = std::move(run);
   // A caller that gives up must not keep the engine busy: whichever of the two
-  // ends first calls the other off, and with it the engine's connection.
+  // ends first cancels the other, which closes the connection to the engine.
   using boost::asio::experimental::awaitable_operators::operator||;
   co_await (Pump(trip) || WatchCaller(trip));
   LogEnd(*trip);
@@ -124,8 +125,8 @@
               {"bytes", trip.bytes}});
 }
 
-/** Ends only when the caller gave up: a Run call's opener sends nothing more.
- */
+/** Waits until the caller gives up or the deadline passes; a Run call's opener
+ * sends no further messages. */
 Task<> Runner::WatchCaller(TripPtr trip) {
   std::optional<Error> gone;
   while (!gone) {
@@ -134,7 +135,7 @@
     } catch (const Error& e) {
       gone = e;
     }
-    // The time is up for the answer as well: Pump tells of that.
+    // A timeout before the deadline doesn't mean that the caller gave up.
     if (gone && gone->code() == ErrorCode::kTimedOut) {
       if (clock_.Now() < trip->deadline) gone.reset();
     }
@@ -149,9 +150,9 @@
       Error(trip->started ? may_have_run : not_run, trip->run.request_id);
 }
 
-/** Forward, with its failure kept in the trip: an operand of || that throws
- * would not end the other. If WatchCaller ended first, what is thrown here is
- * only the echo of being called off. */
+/** Runs Forward and stores its failure in the trip, because an operand of ||
+ * that throws would not end the other. If WatchCaller ended first, the error
+ * here only results from the cancellation and is dropped. */
 Task<> Runner::Pump(TripPtr trip) {
   std::optional<Error> failure;
   try {
@@ -166,14 +167,14 @@
 
 Task<> Runner::Forward(TripPtr trip) {
   const RunSlot slot = co_await admission_.Admit(trip->run, trip->deadline);
-  // From here on the attempt counts as started: VoidAttempt can't promise any
-  // more that it never runs.
+  // From here on the attempt counts as started, and VoidAttempt can no longer
+  // prevent it.
   attempts_.Start(core::AttemptId(trip->run.attempt_id));
   trip->started = true;
   const auto answer = co_await OpenAtEngine(trip);
   if (follower_ != nullptr && answer->head().status == kNotFound) {
-    // An engine that restarted a moment ago doesn't know the model: it hasn't
-    // run the request, and the caller's request isn't at fault.
+    // An engine that has just restarted doesn't know the model. It has not run
+    // the request, and the caller's request is not at fault.
     attempts_.NeverStarted(core::AttemptId(trip->run.attempt_id));
     throw Error(ErrorCode::kNoCapacity, "the engine lost " + trip->run.model,
                 kBusyRetryAfter);
@@ -223,8 +224,8 @@
   co_await trip->call->Send(EndMessage(trip->chunks, trip->bytes));
 }
 
-/** Tells an engine that died from one connection that broke: only the first
- * counts against the request. Never says "not run". */
+/** Distinguishes a crashed engine from a broken connection: only a crash counts
+ * against the request. @return A code whose outcome is never "not run". */
 Task<ErrorCode> Runner::ExplainBreak(TripPtr trip, bool timed_out) {
   if (timed_out && clock_.Now() >= trip->deadline) {
     co_return ErrorCode::kTimedOut;
--- a/src/endpoint/runner_base.h
+++ b/src/endpoint/runner_base.h
@@ -25,7 +25,7 @@
  * back. */
 class Runner {
  public:
-  /** @param follower Null beside a plain service.
+  /** @param follower Null for a plain service.
    * @pre All references outlive the runner. */
   Runner(external::Engine& engine, EngineFollower* follower,
          Admission& admission, AttemptTable& attempts, const core::Clock& clock,
@@ -33,19 +33,19 @@
 
   /**
    * Answers a Run call.
-   * @throws core::Error a refusal, or why the answer isn't whole.
+   * @throws core::Error if the request is refused or the answer is incomplete.
    */
   core::Task<> Serve(std::shared_ptr<link::Call> call, gen::Run run);
 
  private:
-  /** One request on its way. */
+  /** State of one request. */
   struct Trip {
     std::shared_ptr<link::Call> call;
     gen::Run run;
     core::SteadyTime deadline;
-    /** The engine that the request was sent to. */
+    /** Incarnation of the engine when the request was sent. */
     std::int64_t engine_incarnation = 0;
-    /** The request may have reached the engine. */
+    /** True if the request may have reached the engine. */
     bool started = false;
     bool head_sent = false;
     std::int64_t chunks = 0;
--- a/src/endpoint/sapphire_endpoint_main.cc
+++ b/src/endpoint/sapphire_endpoint_main.cc
@@ -1,4 +1,4 @@
-/** @file sapphire_endpoint_main.cc The program beside one endpoint. */
+/** @file sapphire_endpoint_main.cc The agent program of one endpoint. */
 #include <fmt/format.h>
 
 #include <atomic>
@@ -49,7 +49,7 @@
   }
 }
 
-/** The running process: leaves once, on a signal or an operator's drain. */
+/** The running process; it drains and exits on a signal or a Drain call. */
 class Process {
  public:
   Process(const core::Settings& settings, const core::Logger& log,
