--- a/src/endpoint/engine_follower.cc
+++ b/src/endpoint/engine_follower.cc
@@ -1,4 +1,4 @@
-/** @file engine_follower.cc Follows the engine by reading its status. */
+/** @file engine_follower.cc Polls the engine's status. */
 #include <algorithm>
 #include <utility>
 
--- a/src/endpoint/engine_follower_base.h
+++ b/src/endpoint/engine_follower_base.h
@@ -28,7 +28,7 @@
   using Listener =
       std::function<void(const external::EngineStatus&, std::uint64_t mark)>;
 
-  /** @pre All references outlive the follower. */
+  /** @pre All references outlive the object. */
   EngineFollower(external::Engine& engine, std::chrono::milliseconds interval,
                  const core::Logger& log);
 
--- a/src/endpoint/order_desk_base.h
+++ b/src/endpoint/order_desk_base.h
@@ -23,9 +23,9 @@
 struct OrderDeskOptions {
   /** Longest time one order may take. */
   std::chrono::milliseconds order_timeout{60'000};
-  /** After an order of unknown outcome: how long the engine must show neither
-   * the order's effect nor any order in progress before it counts as not
-   * carried out. Longer than an order can be under way to the engine. */
+  /** How long the engine must show neither the effect of an order of unknown
+   * outcome nor any order in progress, before the order counts as not carried
+   * out. Longer than an order can be in transit to the engine. */
   std::chrono::milliseconds settle_time{1000};
 };
 
@@ -46,7 +46,7 @@
  */
 class OrderDesk {
  public:
-  /** @pre All references outlive the desk. */
+  /** @pre All references outlive the object. */
   OrderDesk(OrderDeskOptions options, external::Engine& engine,
             EngineFollower& follower, const core::Clock& clock,
             const core::Logger& log);
--- a/src/endpoint/replica_keeper_base.h
+++ b/src/endpoint/replica_keeper_base.h
@@ -32,7 +32,7 @@
  */
 class ReplicaKeeper {
  public:
-  /** @pre `worker` outlives the keeper. */
+  /** @pre `worker` outlives the object. */
   ReplicaKeeper(EndpointParts parts, ReplicaKeeperOptions options,
                 ReplicaWorker& worker);
 
--- a/src/endpoint/runner.cc
+++ b/src/endpoint/runner.cc
@@ -150,9 +150,9 @@
       Error(trip->started ? may_have_run : not_run, trip->run.request_id);
 }
 
-/** Runs Forward and stores its failure in the trip, because an operand of ||
- * that throws would not end the other. If WatchCaller ended first, the error
- * here only results from the cancellation and is dropped. */
+/** Runs Forward and stores its failure as the request's error, because an
+ * operand of || that throws would not end the other. If WatchCaller ended
+ * first, the error here only results from the cancellation and is dropped. */
 Task<> Runner::Pump(TripPtr trip) {
   std::optional<Error> failure;
   try {
