--- a/src/endpoint/endpoint_settings.cc
+++ b/src/endpoint/endpoint_settings.cc
@@ -78,7 +78,7 @@
   }
   if (plain == settings.String("service").empty()) {
     throw core::Error(core::ErrorCode::kBadSettings,
-                      "service: is for kind = \"plain\", and needed there");
+                      "service: must be set if, and only if, kind is plain");
   }
 }
 
