--- a/src/endpoint/endpoint_rig_test.h
+++ b/src/endpoint/endpoint_rig_test.h
@@ -12,7 +12,7 @@
 
 #include "endpoint/fake_platform_test.h"
 #include "endpoint/grant_func.h"
-#include "endpoint/replica_keeper_base.h"
+#include "endpoint/replica_reconciler_base.h"
 #include "endpoint/replicas_base.h"
 #include "endpoint/runner_base.h"
 
--- a/src/endpoint/engine_follower.cc
+++ b/src/endpoint/engine_status_poller.cc
@@ -1,10 +1,10 @@
-/** @file engine_follower.cc Polls the engine's status. */
+/** @file engine_status_poller.cc Polls the engine's status. */
 #include <algorithm>
 #include <utility>
 
 #include "core/error_type.h"
 #include "core/task_func.h"
-#include "endpoint/engine_follower_base.h"
+#include "endpoint/engine_status_poller_base.h"
 
 namespace sapphire::endpoint {
 
--- a/src/endpoint/engine_follower_base.h
+++ b/src/endpoint/engine_status_poller_base.h
@@ -1,6 +1,6 @@
-/** @file engine_follower_base.h Polls the engine's status. */
-#ifndef SAPPHIRE_ENDPOINT_ENGINE_FOLLOWER_BASE_H_
-#define SAPPHIRE_ENDPOINT_ENGINE_FOLLOWER_BASE_H_
+/** @file engine_status_poller_base.h Polls the engine's status. */
+#ifndef SAPPHIRE_ENDPOINT_ENGINE_STATUS_POLLER_BASE_H_
+#define SAPPHIRE_ENDPOINT_ENGINE_STATUS_POLLER_BASE_H_
 
 #include <chrono>
 #include <cstdint>
@@ -79,4 +79,4 @@
 
 }  // namespace sapphire::endpoint
 
-#endif  // SAPPHIRE_ENDPOINT_ENGINE_FOLLOWER_BASE_H_
+#endif  // SAPPHIRE_ENDPOINT_ENGINE_STATUS_POLLER_BASE_H_
--- a/src/endpoint/order_desk.cc
+++ b/src/endpoint/order_sender.cc
@@ -1,4 +1,4 @@
-/** @file order_desk.cc Sends load and unload orders to the engine, one at a
+/** @file order_sender.cc Sends load and unload orders to the engine, one at a
  * time. */
 #include <algorithm>
 #include <array>
@@ -6,7 +6,7 @@
 #include <utility>
 
 #include "core/task_func.h"
-#include "endpoint/order_desk_base.h"
+#include "endpoint/order_sender_base.h"
 
 namespace sapphire::endpoint {
 
--- a/src/endpoint/order_desk_base.h
+++ b/src/endpoint/order_sender_base.h
@@ -1,7 +1,7 @@
-/** @file order_desk_base.h Sends load and unload orders to the engine, one at a
- * time. */
-#ifndef SAPPHIRE_ENDPOINT_ORDER_DESK_BASE_H_
-#define SAPPHIRE_ENDPOINT_ORDER_DESK_BASE_H_
+/** @file order_sender_base.h Sends load and unload orders to the engine, one at
+ * a time. */
+#ifndef SAPPHIRE_ENDPOINT_ORDER_SENDER_BASE_H_
+#define SAPPHIRE_ENDPOINT_ORDER_SENDER_BASE_H_
 
 #include <chrono>
 #include <cstdint>
@@ -15,7 +15,7 @@
 #include "core/log_base.h"
 #include "core/signal_base.h"
 #include "core/task_type.h"
-#include "endpoint/engine_follower_base.h"
+#include "endpoint/engine_status_poller_base.h"
 #include "external/engine_base.h"
 
 namespace sapphire::endpoint {
@@ -102,4 +102,4 @@
 
 }  // namespace sapphire::endpoint
 
-#endif  // SAPPHIRE_ENDPOINT_ORDER_DESK_BASE_H_
+#endif  // SAPPHIRE_ENDPOINT_ORDER_SENDER_BASE_H_
--- a/src/endpoint/replica_keeper.cc
+++ b/src/endpoint/replica_reconciler.cc
@@ -1,5 +1,5 @@
-/** @file replica_keeper.cc Reconciles replicas with the engine and the ledgers,
- * and unloads idle ones. */
+/** @file replica_reconciler.cc Reconciles replicas with the engine and the
+ * ledgers, and unloads idle ones. */
 #include <algorithm>
 #include <string>
 #include <utility>
@@ -7,7 +7,7 @@
 #include "core/error_type.h"
 #include "core/task_func.h"
 #include "endpoint/grant_func.h"
-#include "endpoint/replica_keeper_base.h"
+#include "endpoint/replica_reconciler_base.h"
 #include "policy/keep_alive_func.h"
 
 namespace sapphire::endpoint {
--- a/src/endpoint/replica_keeper_base.h
+++ b/src/endpoint/replica_reconciler_base.h
@@ -1,7 +1,7 @@
-/** @file replica_keeper_base.h Reconciles replicas with the engine and the
+/** @file replica_reconciler_base.h Reconciles replicas with the engine and the
  * ledgers, and unloads idle ones. */
-#ifndef SAPPHIRE_ENDPOINT_REPLICA_KEEPER_BASE_H_
-#define SAPPHIRE_ENDPOINT_REPLICA_KEEPER_BASE_H_
+#ifndef SAPPHIRE_ENDPOINT_REPLICA_RECONCILER_BASE_H_
+#define SAPPHIRE_ENDPOINT_REPLICA_RECONCILER_BASE_H_
 
 #include <atomic>
 #include <chrono>
@@ -90,4 +90,4 @@
 
 }  // namespace sapphire::endpoint
 
-#endif  // SAPPHIRE_ENDPOINT_REPLICA_KEEPER_BASE_H_
+#endif  // SAPPHIRE_ENDPOINT_REPLICA_RECONCILER_BASE_H_
--- a/src/endpoint/replica_worker_base.h
+++ b/src/endpoint/replica_worker_base.h
@@ -15,11 +15,11 @@
 #include "core/clock_base.h"
 #include "core/log_base.h"
 #include "core/task_type.h"
-#include "endpoint/engine_follower_base.h"
+#include "endpoint/engine_status_poller_base.h"
 #include "endpoint/grant_ledger_base.h"
 #include "endpoint/lane_queue_base.h"
 #include "endpoint/metrics_base.h"
-#include "endpoint/order_desk_base.h"
+#include "endpoint/order_sender_base.h"
 #include "endpoint/replica_table_base.h"
 
 namespace sapphire::endpoint {
--- a/src/endpoint/runner_base.h
+++ b/src/endpoint/runner_base.h
@@ -13,7 +13,7 @@
 #include "core/task_type.h"
 #include "endpoint/admission_base.h"
 #include "endpoint/attempt_table_base.h"
-#include "endpoint/engine_follower_base.h"
+#include "endpoint/engine_status_poller_base.h"
 #include "endpoint/metrics_base.h"
 #include "external/engine_base.h"
 #include "gen/link_types.h"
