--- a/src/crash/quarantine.cc
+++ b/src/crash/quarantine.cc
@@ -53,7 +53,7 @@
 
 }  // namespace
 
-Verdict Quarantine::Judge(std::int64_t fingerprint) const {
+QuarantineStatus Quarantine::StatusOf(std::int64_t fingerprint) const {
   const std::lock_guard lock(mutex_);
   return {.dispatch = policy::DecideDispatch(tracker_, fingerprint),
           .crashes = CrashesOf(tracker_, fingerprint),
@@ -114,7 +114,7 @@
                           static_cast<int>(own.crashes.size()), clock_.Now());
 }
 
-void Quarantine::Drop(std::int64_t fingerprint) {
+void Quarantine::Erase(std::int64_t fingerprint) {
   const std::lock_guard lock(mutex_);
   records_.erase(fingerprint);
   const auto it = tracker_.records.find(fingerprint);
--- a/src/crash/quarantine_base.h
+++ b/src/crash/quarantine_base.h
@@ -33,7 +33,7 @@
 CrashRecord DecodeCrashes(const std::string& text);
 
 /** Crash history of a fingerprint, and whether its requests may run. */
-struct Verdict {
+struct QuarantineStatus {
   policy::DispatchDecision dispatch = policy::DispatchDecision::kRun;
   int crashes = 0;
   /** Endpoints that currently run a request with the fingerprint. */
@@ -54,7 +54,7 @@
   /** @pre `clock` outlives the object. */
   explicit Quarantine(const core::Clock& clock) : clock_(clock) {}
 
-  [[nodiscard]] Verdict Judge(std::int64_t fingerprint) const;
+  [[nodiscard]] QuarantineStatus StatusOf(std::int64_t fingerprint) const;
 
   /** Records the placement of a request; `slot_id` is unique to it. */
   void RecordDispatch(std::int64_t fingerprint, std::int64_t slot_id,
@@ -83,7 +83,7 @@
   void Merge(std::int64_t fingerprint, const CrashRecord& record);
 
   /** Removes the crashes of a fingerprint that another entry cleared. */
-  void Drop(std::int64_t fingerprint);
+  void Erase(std::int64_t fingerprint);
 
  private:
   const core::Clock& clock_;
--- a/src/crash/quarantine_store.cc
+++ b/src/crash/quarantine_store.cc
@@ -16,17 +16,17 @@
 
 /** The changes that a crash causes come in a burst; they are batched for this
  * long. */
-constexpr core::Millis kGather{50};
+constexpr core::Millis kBatchDelay{50};
 /** How often an idle writer checks whether it has to stop. */
-constexpr core::Millis kIdleLook{5000};
+constexpr core::Millis kStopCheckInterval{5000};
 /** Fingerprints are deleted this long after their last crash. */
-constexpr std::chrono::hours kKeptFor{7 * 24};
+constexpr std::chrono::hours kRetention{7 * 24};
 
-std::string KeyOf(std::int64_t fingerprint) {
+std::string KeyOfFingerprint(std::int64_t fingerprint) {
   return std::string(kQuarantinePrefix) + std::to_string(fingerprint);
 }
 
-std::optional<std::int64_t> FingerprintIn(std::string_view key) {
+std::optional<std::int64_t> FingerprintOfKey(std::string_view key) {
   if (!key.starts_with(kQuarantinePrefix)) return std::nullopt;
   key.remove_prefix(kQuarantinePrefix.size());
   std::int64_t fingerprint = 0;
@@ -53,13 +53,13 @@
 
 void QuarantineStore::Start() {
   core::Spawn(executor_, log_, "quarantine_follow",
-              [self = shared_from_this()] { return self->Follow(); });
+              [self = shared_from_this()] { return self->ReadAndWatch(); });
   StartWriting();
 }
 
 void QuarantineStore::StartWriting() {
   core::Spawn(executor_, log_, "quarantine_flush",
-              [self = shared_from_this()] { return self->Flush(); });
+              [self = shared_from_this()] { return self->WriteChanges(); });
 }
 
 void QuarantineStore::Stop() {
@@ -67,7 +67,7 @@
   changed_.Notify();
 }
 
-void QuarantineStore::NoteChanged(std::int64_t fingerprint) {
+void QuarantineStore::MarkDirty(std::int64_t fingerprint) {
   {
     const std::lock_guard lock(mutex_);
     dirty_.insert(fingerprint);
@@ -75,7 +75,7 @@
   changed_.Notify();
 }
 
-std::set<std::int64_t> QuarantineStore::TakeDirty() {
+std::set<std::int64_t> QuarantineStore::FetchDirty() {
   const std::lock_guard lock(mutex_);
   return std::exchange(dirty_, {});
 }
@@ -85,7 +85,7 @@
   return dirty_.contains(fingerprint);
 }
 
-core::Task<> QuarantineStore::Follow() {
+core::Task<> QuarantineStore::ReadAndWatch() {
   while (!stopped_) {
     try {
       const std::int64_t revision = co_await ReadAll();
@@ -106,24 +106,24 @@
   // away; the watch reported a gap and all was read again, in an endless loop.
   const external::KvSnapshot snapshot =
       co_await store_.Snapshot(std::string(kQuarantinePrefix));
-  TakeListing(snapshot.entries);
+  ApplyListing(snapshot.entries);
   co_return snapshot.revision;
 }
 
-void QuarantineStore::TakeListing(
+void QuarantineStore::ApplyListing(
     const std::vector<external::KvEntry>& entries) {
   const std::set<std::int64_t> known = quarantine_->Fingerprints();
   std::set<std::int64_t> listed;
   for (const external::KvEntry& entry : entries) {
-    TakeEntry(entry.key, entry.value);
-    if (const auto it = FingerprintIn(entry.key)) listed.insert(*it);
+    MergeEntry(entry.key, entry.value);
+    if (const auto it = FingerprintOfKey(entry.key)) listed.insert(*it);
   }
   // A fingerprint that was known before the read but isn't listed was cleared
   // by another entry while no watch was open, unless it is still to be written
   // by this one.
   for (const std::int64_t fingerprint : known) {
     if (listed.contains(fingerprint) || IsDirty(fingerprint)) continue;
-    quarantine_->Drop(fingerprint);
+    quarantine_->Erase(fingerprint);
   }
   core::Spawn(executor_, log_, "quarantine_expire",
               [self = shared_from_this(), entries] {
@@ -134,12 +134,12 @@
 core::Task<> QuarantineStore::DeleteExpired(
     std::vector<external::KvEntry> entries) {
   for (const external::KvEntry& entry : entries) {
-    const auto fingerprint = FingerprintIn(entry.key);
+    const auto fingerprint = FingerprintOfKey(entry.key);
     if (!fingerprint) continue;
     const core::WallTime last = quarantine_->Find(*fingerprint).last_crash;
-    if (clock_.WallNow() - last < kKeptFor) continue;
+    if (clock_.WallNow() - last < kRetention) continue;
     if (co_await store_.DeleteIf(entry.key, entry.revision)) {
-      quarantine_->Drop(*fingerprint);
+      quarantine_->Erase(*fingerprint);
     }
   }
 }
@@ -150,23 +150,23 @@
         std::string(kQuarantinePrefix), revision, timing_.watch_wait);
     // The watch missed changes, so everything is read again.
     if (batch.gap) co_return;
-    for (const external::KvEvent& event : batch.events) TakeEvent(event);
+    for (const external::KvEvent& event : batch.events) ApplyEvent(event);
     revision = std::max(revision, batch.revision);
   }
 }
 
-void QuarantineStore::TakeEvent(const external::KvEvent& event) {
+void QuarantineStore::ApplyEvent(const external::KvEvent& event) {
   if (event.value) {
-    TakeEntry(event.key, *event.value);
+    MergeEntry(event.key, *event.value);
     return;
   }
-  const auto fingerprint = FingerprintIn(event.key);
-  if (fingerprint && !IsDirty(*fingerprint)) quarantine_->Drop(*fingerprint);
+  const auto fingerprint = FingerprintOfKey(event.key);
+  if (fingerprint && !IsDirty(*fingerprint)) quarantine_->Erase(*fingerprint);
 }
 
-void QuarantineStore::TakeEntry(const std::string& key,
-                                const std::string& value) {
-  const auto fingerprint = FingerprintIn(key);
+void QuarantineStore::MergeEntry(const std::string& key,
+                                 const std::string& value) {
+  const auto fingerprint = FingerprintOfKey(key);
   if (!fingerprint) return;
   const bool nothing_here = quarantine_->Find(*fingerprint).crashes.empty();
   // This entry cleared the fingerprint and has not deleted the key yet; the
@@ -180,26 +180,26 @@
   }
 }
 
-core::Task<> QuarantineStore::Flush() {
+core::Task<> QuarantineStore::WriteChanges() {
   while (!stopped_) {
     const std::uint64_t seen = changed_.epoch();
     bool failed = false;
-    for (const std::int64_t fingerprint : TakeDirty()) {
+    for (const std::int64_t fingerprint : FetchDirty()) {
       if (co_await SaveOne(fingerprint)) continue;
-      NoteChanged(fingerprint);
+      MarkDirty(fingerprint);
       failed = true;
     }
     if (!failed) {
-      co_await changed_.Wait(seen, kIdleLook);
+      co_await changed_.Wait(seen, kStopCheckInterval);
     }
-    co_await core::SleepFor(failed ? timing_.retry_pause : kGather);
+    co_await core::SleepFor(failed ? timing_.retry_pause : kBatchDelay);
   }
 }
 
 core::Task<bool> QuarantineStore::SaveOne(std::int64_t fingerprint) {
   try {
     CrashRecord record = quarantine_->Find(fingerprint);
-    co_return co_await SwapIn(fingerprint, std::move(record));
+    co_return co_await MergeIntoStore(fingerprint, std::move(record));
   } catch (const core::Error& e) {
     // The service is down, or a write took effect and its answer was lost.
     // Retrying is safe: the same crash ids count only once.
@@ -210,17 +210,17 @@
   co_return false;
 }
 
-core::Task<bool> QuarantineStore::SwapIn(std::int64_t fingerprint,
-                                         CrashRecord record) {
-  const std::string key = KeyOf(fingerprint);
+core::Task<bool> QuarantineStore::MergeIntoStore(std::int64_t fingerprint,
+                                                 CrashRecord record) {
+  const std::string key = KeyOfFingerprint(fingerprint);
   const auto stored = co_await store_.Get(key);
   CrashRecord merged = record;
   if (stored) {
     const CrashRecord there = DecodeCrashes(stored->value);
     if (record.crashes.empty()) {
-      const bool convicted = static_cast<int>(there.crashes.size()) >=
-                             policy::kCrashesToQuarantine;
-      if (convicted) {
+      const bool quarantined = static_cast<int>(there.crashes.size()) >=
+                               policy::kCrashesToQuarantine;
+      if (quarantined) {
         quarantine_->Merge(fingerprint, there);
         co_return true;
       }
--- a/src/crash/quarantine_store_base.h
+++ b/src/crash/quarantine_store_base.h
@@ -48,34 +48,34 @@
 
   /** Starts reading, watching and writing. */
   void Start();
-  /** Starts writing only; the owner passes in what it reads by TakeListing and
-   * TakeEvent. */
+  /** Starts writing only; the owner passes in what it reads by ApplyListing and
+   * ApplyEvent. */
   void StartWriting();
   void Stop();
 
   /** Applies a complete listing of kQuarantinePrefix. */
-  void TakeListing(const std::vector<external::KvEntry>& entries);
+  void ApplyListing(const std::vector<external::KvEntry>& entries);
 
   /** Applies a change of a key under kQuarantinePrefix. */
-  void TakeEvent(const external::KvEvent& event);
+  void ApplyEvent(const external::KvEvent& event);
 
   /** Marks a fingerprint whose crashes changed in this process for writing. */
-  void NoteChanged(std::int64_t fingerprint);
+  void MarkDirty(std::int64_t fingerprint);
 
   /** @return True once the first read of the service has ended, successfully or
    * not. */
   [[nodiscard]] bool first_read_done() const { return first_read_done_; }
 
  private:
-  core::Task<> Follow();
+  core::Task<> ReadAndWatch();
   core::Task<std::int64_t> ReadAll();
   core::Task<> WatchFrom(std::int64_t revision);
-  void TakeEntry(const std::string& key, const std::string& value);
-  core::Task<> Flush();
+  void MergeEntry(const std::string& key, const std::string& value);
+  core::Task<> WriteChanges();
   core::Task<bool> SaveOne(std::int64_t fingerprint);
-  core::Task<bool> SwapIn(std::int64_t fingerprint, CrashRecord record);
+  core::Task<bool> MergeIntoStore(std::int64_t fingerprint, CrashRecord record);
   core::Task<> DeleteExpired(std::vector<external::KvEntry> entries);
-  std::set<std::int64_t> TakeDirty();
+  std::set<std::int64_t> FetchDirty();
   [[nodiscard]] bool IsDirty(std::int64_t fingerprint) const;
 
   const core::Executor executor_;
--- a/src/entry/scheduler.cc
+++ b/src/entry/scheduler.cc
@@ -212,7 +212,7 @@
 }
 
 void Scheduler::State::CheckQuarantine(std::int64_t fingerprint) {
-  if (!quarantine->Judge(fingerprint).IsQuarantined()) return;
+  if (!quarantine->StatusOf(fingerprint).IsQuarantined()) return;
   throw core::Error(ErrorCode::kQuarantined,
                     "this request has crashed two engines");
 }
@@ -220,8 +220,8 @@
 void Scheduler::State::CheckQueueLimits(const ModelQueue& queue,
                                         const core::OwnerId& owner) {
   const auto refusal =
-      policy::CheckQueueAdmission(WaitingByOwner(queue, options.max_queue), owner,
-                            UsageByOwner(queue, clock.Now()));
+      policy::CheckQueueAdmission(WaitingByOwner(queue, options.max_queue),
+                                  owner, UsageByOwner(queue, clock.Now()));
   if (refusal) throw core::Error(*refusal, "", kRetryAfter);
 }
 
@@ -330,20 +330,20 @@
   }
   if (result != gen::RunResult::ENGINE_CRASHED) {
     if (quarantine->RecordEnd(run.fingerprint, slot_id, completed)) {
-      quarantine_store->NoteChanged(run.fingerprint);
+      quarantine_store->MarkDirty(run.fingerprint);
     }
     return;
   }
   queue.harmless.erase(run.fingerprint);
   if (quarantine->RecordCrash(run.fingerprint, slot_id, run.slot.model)) {
-    quarantine_store->NoteChanged(run.fingerprint);
+    quarantine_store->MarkDirty(run.fingerprint);
   }
   log.Event(core::LogLevel::kWarning, core::LogCategory::kFault,
             "engine_crashed_under_request",
             {{"model", run.slot.model},
              {"endpoint", run.slot.endpoint},
              {"fingerprint", run.fingerprint},
-             {"crashes", quarantine->Judge(run.fingerprint).crashes}});
+             {"crashes", quarantine->StatusOf(run.fingerprint).crashes}});
 }
 
 void Scheduler::State::Release(const core::ModelId& model, std::int64_t slot_id,
--- a/src/entry/scheduler_decide.cc
+++ b/src/entry/scheduler_decide.cc
@@ -73,7 +73,7 @@
 }
 
 bool Scheduler::State::IsSuspect(const Waiter& waiter) const {
-  return quarantine->Judge(waiter.request().fingerprint).IsSuspect();
+  return quarantine->StatusOf(waiter.request().fingerprint).IsSuspect();
 }
 
 void Scheduler::State::Evaluate(const core::ModelId& id) {
@@ -122,7 +122,7 @@
       Refuse(queue, waiter,
              core::Error(ErrorCode::kDeadlineTooShort,
                          "its time ran out in the queue", kRetryAfter));
-    } else if (quarantine->Judge(waiter->request().fingerprint)
+    } else if (quarantine->StatusOf(waiter->request().fingerprint)
                    .IsQuarantined()) {
       Refuse(queue, waiter,
              core::Error(ErrorCode::kQuarantined,
@@ -282,7 +282,8 @@
   }
   const auto address = fleet.AddressOf(decision.endpoint);
   if (!address) return DecisionOutcome::kClassWaits;
-  const crash::Verdict verdict = quarantine->Judge(request.fingerprint);
+  const crash::QuarantineStatus verdict =
+      quarantine->StatusOf(request.fingerprint);
   // Failure: copies of one request are sent at once and each crashes an engine
   // before the first crash is known. Until one copy has completed, copies run
   // on no more engines than the quarantine lets one request crash.
--- a/src/serving/crash_watch.cc
+++ b/src/serving/crash_watch.cc
@@ -53,16 +53,16 @@
   hooks.prefix = crash::kQuarantinePrefix;
   hooks.listed = [this](std::vector<external::KvEntry> entries,
                         routing::LapseGraceEnd) {
-    quarantine_store_->TakeListing(entries);
+    quarantine_store_->ApplyListing(entries);
   };
   hooks.changed = [this](external::KvEvent event, routing::LapseGraceEnd) {
-    quarantine_store_->TakeEvent(event);
+    quarantine_store_->ApplyEvent(event);
   };
   return hooks;
 }
 
 void CrashWatch::Check(std::int64_t fingerprint) const {
-  if (!quarantine_->Judge(fingerprint).IsQuarantined()) return;
+  if (!quarantine_->StatusOf(fingerprint).IsQuarantined()) return;
   throw core::Error(core::ErrorCode::kQuarantined,
                     "this request has crashed two engines", kComeBack);
 }
@@ -107,20 +107,20 @@
 void CrashWatch::NoteEnd(const WatchedSend& send, bool completed) {
   const bool cleared =
       quarantine_->RecordEnd(send.fingerprint, send.number, completed);
-  if (cleared) quarantine_store_->NoteChanged(send.fingerprint);
+  if (cleared) quarantine_store_->MarkDirty(send.fingerprint);
 }
 
 void CrashWatch::NoteCrash(const WatchedSend& send) {
   const bool counted =
       quarantine_->RecordCrash(send.fingerprint, send.number, send.model);
-  if (counted) quarantine_store_->NoteChanged(send.fingerprint);
+  if (counted) quarantine_store_->MarkDirty(send.fingerprint);
   log_.Event(core::LogLevel::kWarning, core::LogCategory::kRequest,
              "engine_crashed",
              {{"request", send.request},
               {"instance", send.instance},
               {"model", send.model},
               {"fingerprint", send.fingerprint},
-              {"crashes", quarantine_->Judge(send.fingerprint).crashes}});
+              {"crashes", quarantine_->StatusOf(send.fingerprint).crashes}});
 }
 
 }  // namespace sapphire::serving
