--- a/src/endpoint/adapter_worker.cc
+++ b/src/endpoint/adapter_worker.cc
@@ -49,20 +49,20 @@
  * it; the waiter then started the same load again. This livelock lasted until
  * all deadlines had passed, and meanwhile the models counted as in use.
  */
-class AdapterWait {
+class AdapterWaiter {
  public:
-  AdapterWait(ReplicaPtr replica, core::AdapterId adapter)
+  AdapterWaiter(ReplicaPtr replica, core::AdapterId adapter)
       : replica_(std::move(replica)), adapter_(std::move(adapter)) {
     const std::lock_guard lock(replica_->mutex);
     ++replica_->adapter_waiters[adapter_];
   }
-  ~AdapterWait() {
+  ~AdapterWaiter() {
     const std::lock_guard lock(replica_->mutex);
     const auto it = replica_->adapter_waiters.find(adapter_);
     if (--it->second == 0) replica_->adapter_waiters.erase(it);
   }
-  AdapterWait(const AdapterWait&) = delete;
-  AdapterWait& operator=(const AdapterWait&) = delete;
+  AdapterWaiter(const AdapterWaiter&) = delete;
+  AdapterWaiter& operator=(const AdapterWaiter&) = delete;
 
  private:
   const ReplicaPtr replica_;
@@ -80,19 +80,19 @@
 }  // namespace
 
 Task<> ReplicaWorker::EnsureAdapter(ReplicaPtr replica, core::AdapterId adapter,
-                                    LoadWish wish) {
+                                    LoadRequest request) {
   const contract::Adapter spec = AdapterSpec(SpecOf(replica->model), adapter);
-  const AdapterWait waits(replica, adapter);
+  const AdapterWaiter waits(replica, adapter);
   std::optional<int> failures;
   while (true) {
     const auto epoch = parts_.table.changed().epoch();
     {
       const std::lock_guard lock(replica->mutex);
       if (!failures) failures = replica->adapter_failures;
-      if (UseAdapter(*replica, spec, wish, *failures)) co_return;
+      if (UseAdapter(*replica, spec, request, *failures)) co_return;
     }
-    const auto left =
-        std::chrono::duration_cast<Millis>(wish.deadline - parts_.clock.Now());
+    const auto left = std::chrono::duration_cast<Millis>(request.deadline -
+                                                         parts_.clock.Now());
     if (left.count() <= 0) {
       throw Error(ErrorCode::kDeadlineTooShort, "adapter " + adapter.value(),
                   kAdapterRetryAfter);
@@ -108,7 +108,8 @@
  * @pre The replica's lock is held.
  */
 bool ReplicaWorker::UseAdapter(Replica& replica, const contract::Adapter& spec,
-                               const LoadWish& wish, int failures_before) {
+                               const LoadRequest& request,
+                               int failures_before) {
   if (replica.adapter_failures > failures_before) {
     throw Error(*replica.last_adapter_failure);
   }
@@ -121,7 +122,7 @@
   if (!added) return false;
   // The load runs in its own task, because a caller that gives up must not
   // cancel an order whose outcome has to be known.
-  const std::vector<core::ModelId> evict = wish.evict;
+  const std::vector<core::ModelId> evict = request.evict;
   const ReplicaPtr held = parts_.table.Find(replica.model);
   StartTask("load_adapter", [this, held, spec, evict] {
     return LoadAdapter(held, spec, evict);
@@ -135,7 +136,7 @@
   std::optional<Error> failure;
   bool reserved = false;
   try {
-    const OrderTurn turn = co_await parts_.desk.Enter();
+    const OrderLock order_lock = co_await parts_.order_sender.Enter();
     co_await MakeRoom(holder, spec.bytes, std::move(evict));
     reserved = true;
     auto order = AdapterOrder(external::OrderKind::kLoadAdapter, replica->model,
@@ -143,7 +144,7 @@
     order.version = spec.version;
     order.bytes = spec.bytes;
     const OrderResult result =
-        co_await parts_.desk.Give(std::move(order), [] {});
+        co_await parts_.order_sender.Execute(std::move(order), [] {});
     if (!result.carried_out) failure = result.error;
   } catch (const Error& e) {
     failure = e;
@@ -203,7 +204,7 @@
     if (!IsIdle(*owner, victim, slot)) co_return true;
     slot.loaded = false;
   }
-  const OrderResult result = co_await parts_.desk.Give(
+  const OrderResult result = co_await parts_.order_sender.Execute(
       AdapterOrder(external::OrderKind::kUnloadAdapter, owner->model, victim),
       [] {});
   const std::lock_guard lock(owner->mutex);
--- a/src/endpoint/attempt_table.cc
+++ b/src/endpoint/attempt_table.cc
@@ -24,51 +24,51 @@
   return *shards_[core::HashOf(attempt.value()) % shards_.size()];
 }
 
-void AttemptTable::Remember(Shard& shard, const core::AttemptId& attempt,
-                            Fate fate) {
+void AttemptTable::Insert(Shard& shard, const core::AttemptId& attempt,
+                          State state) {
   const core::SteadyTime now = clock_.Now();
   while (!shard.by_age.empty() &&
-         now - shard.by_age.front().first > options_.remember_for) {
-    shard.fates.erase(shard.by_age.front().second);
+         now - shard.by_age.front().first > options_.retention) {
+    shard.states.erase(shard.by_age.front().second);
     shard.by_age.pop_front();
   }
   // Evicting a younger attempt to make room would let a late copy of it run a
   // second time, so the new one is refused instead.
-  if (shard.fates.size() >= options_.max_attempts / options_.shards) {
+  if (shard.states.size() >= options_.max_attempts / options_.shards) {
     throw Error(ErrorCode::kQueueFull, "too many attempts are remembered",
                 kFullRetryAfter);
   }
-  shard.fates.emplace(attempt, fate);
+  shard.states.emplace(attempt, state);
   shard.by_age.emplace_back(now, attempt);
 }
 
 void AttemptTable::Start(const core::AttemptId& attempt) {
   Shard& shard = ShardOf(attempt);
   const std::lock_guard lock(shard.mutex);
-  const auto it = shard.fates.find(attempt);
-  if (it == shard.fates.end()) {
-    Remember(shard, attempt, Fate::kStarted);
+  const auto it = shard.states.find(attempt);
+  if (it == shard.states.end()) {
+    Insert(shard, attempt, State::kStarted);
     return;
   }
-  if (it->second == Fate::kVoided) {
+  if (it->second == State::kVoided) {
     throw Error(ErrorCode::kAttemptVoided, attempt.value());
   }
   throw Error(ErrorCode::kAlreadyRan, attempt.value());
 }
 
-void AttemptTable::NeverStarted(const core::AttemptId& attempt) {
+void AttemptTable::RevertStart(const core::AttemptId& attempt) {
   Shard& shard = ShardOf(attempt);
   const std::lock_guard lock(shard.mutex);
-  const auto it = shard.fates.find(attempt);
-  if (it != shard.fates.end()) it->second = Fate::kVoided;
+  const auto it = shard.states.find(attempt);
+  if (it != shard.states.end()) it->second = State::kVoided;
 }
 
 bool AttemptTable::Void(const core::AttemptId& attempt) {
   Shard& shard = ShardOf(attempt);
   const std::lock_guard lock(shard.mutex);
-  const auto it = shard.fates.find(attempt);
-  if (it != shard.fates.end()) return it->second == Fate::kStarted;
-  Remember(shard, attempt, Fate::kVoided);
+  const auto it = shard.states.find(attempt);
+  if (it != shard.states.end()) return it->second == State::kStarted;
+  Insert(shard, attempt, State::kVoided);
   return false;
 }
 
@@ -76,7 +76,7 @@
   std::size_t n = 0;
   for (const auto& shard : shards_) {
     const std::lock_guard lock(shard->mutex);
-    n += shard->fates.size();
+    n += shard->states.size();
   }
   return n;
 }
--- a/src/endpoint/attempt_table_base.h
+++ b/src/endpoint/attempt_table_base.h
@@ -19,7 +19,7 @@
 struct AttemptTableOptions {
   /** How long an attempt is remembered; longer than any copy of it can be in
    * transit. */
-  std::chrono::milliseconds remember_for{900'000};
+  std::chrono::milliseconds retention{900'000};
   /** Most attempts remembered at a time; further ones are refused. */
   std::size_t max_attempts = 65'536;
   std::size_t shards = 8;
@@ -42,7 +42,7 @@
 
   /** Reverts the Start of an attempt that reached no engine; it counts as
    * voided, so copies stay refused. */
-  void NeverStarted(const core::AttemptId& attempt);
+  void RevertStart(const core::AttemptId& attempt);
 
   /**
    * Voids an attempt unless it has started.
@@ -55,16 +55,16 @@
   [[nodiscard]] std::size_t size() const;
 
  private:
-  enum class Fate { kStarted, kVoided };
+  enum class State { kStarted, kVoided };
   struct Shard {
     mutable std::mutex mutex;
-    std::unordered_map<core::AttemptId, Fate> fates;
+    std::unordered_map<core::AttemptId, State> states;
     std::deque<std::pair<core::SteadyTime, core::AttemptId>> by_age;
   };
 
   Shard& ShardOf(const core::AttemptId& attempt);
   /** @pre The shard's lock is held. */
-  void Remember(Shard& shard, const core::AttemptId& attempt, Fate fate);
+  void Insert(Shard& shard, const core::AttemptId& attempt, State state);
 
   const AttemptTableOptions options_;
   const core::Clock& clock_;
--- a/src/endpoint/attempt_table_test.cc
+++ b/src/endpoint/attempt_table_test.cc
@@ -42,7 +42,7 @@
   BOOST_TEST(table.Void(AttemptId("a")));
   BOOST_CHECK_EXCEPTION(table.Start(AttemptId("a")), Error,
                         Is(ErrorCode::kAlreadyRan));
-  table.NeverStarted(AttemptId("a"));
+  table.RevertStart(AttemptId("a"));
   BOOST_CHECK_EXCEPTION(table.Start(AttemptId("a")), Error,
                         Is(ErrorCode::kAttemptVoided));
 }
@@ -83,7 +83,7 @@
   AttemptTableOptions options;
   options.max_attempts = 4;
   options.shards = 1;
-  options.remember_for = core::Millis(100);
+  options.retention = core::Millis(100);
   AttemptTable table(options, clock);
   for (int i = 0; i < 4; ++i) table.Void(AttemptId(std::to_string(i)));
   BOOST_CHECK_EXCEPTION(table.Start(AttemptId("new")), Error,
--- a/src/endpoint/endpoint.cc
+++ b/src/endpoint/endpoint.cc
@@ -21,7 +21,7 @@
 constexpr Millis kRecheck{500};
 /** Within this time a queued request reaches the endpoint that loaded the model
  * for it. */
-constexpr Millis kLeastKeepAlive{1000};
+constexpr Millis kMinKeepAlive{1000};
 
 link::LinkOptions LinkOptionsOf(const EndpointOptions& options) {
   link::LinkOptions link;
@@ -34,10 +34,10 @@
   return link;
 }
 
-ReplicaKeeperOptions KeeperOptionsOf(const EndpointOptions& options) {
-  ReplicaKeeperOptions keeper = options.keeper;
-  keeper.vm = options.vm;
-  return keeper;
+ReplicaReconcilerOptions ReconcilerOptionsOf(const EndpointOptions& options) {
+  ReplicaReconcilerOptions reconciler = options.reconciler;
+  reconciler.vm = options.vm;
+  return reconciler;
 }
 
 LaneQueueOptions LaneOptionsOf(const EndpointOptions& options) {
@@ -58,22 +58,22 @@
       executor_(executor),
       config_parts_(config_),
       puller_(executor, config_, config_parts_, log),
-      follower_(engine, options_.engine_poll, log),
-      desk_(options_.orders, engine, follower_, clock, log),
+      status_poller_(engine, options_.engine_poll, log),
+      order_sender_(options_.orders, engine, status_poller_, clock, log),
       ledger_(options_.vm, store, clock, log),
       lanes_(LaneOptionsOf(options_), store, clock, log),
-      parts_{executor, config_, table_, follower_, desk_,
-             ledger_,  lanes_,  clock,  log,       metrics},
+      parts_{executor, config_, table_, status_poller_, order_sender_, ledger_,
+             lanes_,   clock,   log,    metrics},
       worker_(parts_),
-      keeper_(parts_, KeeperOptionsOf(options_), worker_),
-      replicas_(parts_, worker_, options_.keeper.keep_alive, kLeastKeepAlive),
+      reconciler_(parts_, ReconcilerOptionsOf(options_), worker_),
+      replicas_(parts_, worker_, options_.reconciler.keep_alive, kMinKeepAlive),
       plain_admission_(options_.plain_service, config_,
                        table_.shared_changed()),
       admission_(plain() ? static_cast<Admission&>(plain_admission_)
                          : static_cast<Admission&>(replicas_)),
       attempts_(options_.attempts, clock),
-      runner_(engine, plain() ? nullptr : &follower_, admission_, attempts_,
-              clock, log, metrics),
+      runner_(engine, plain() ? nullptr : &status_poller_, admission_,
+              attempts_, clock, log, metrics),
       links_(
           executor, LinkOptionsOf(options_),
           [this](std::shared_ptr<link::Call> call, gen::Message first) {
@@ -83,7 +83,7 @@
   config_.OnChange([this](const contract::Config& config) {
     log_.Event(LogLevel::kInfo, LogCategory::kConfig, "config_in_force",
                {{"version", config.version}, {"plan", config.plan}});
-    keeper_.AuditSoon();
+    reconciler_.RequestAudit();
     links_.AnnounceVersion();
     table_.changed().Notify();
   });
@@ -92,13 +92,13 @@
 std::string Endpoint::Start() {
   std::string address = links_.Listen(options_.listen_address);
   if (plain()) return address;
-  follower_.Listen(
-      [this] { return desk_.QuietMark(); },
+  status_poller_.Listen(
+      [this] { return order_sender_.IdleSequence(); },
       [this](const external::EngineStatus& status, std::uint64_t mark) {
-        keeper_.Reconcile(status, mark);
+        reconciler_.Reconcile(status, mark);
       });
-  follower_.Start(executor_);
-  keeper_.Start();
+  status_poller_.Start(executor_);
+  reconciler_.Start();
   return address;
 }
 
@@ -151,14 +151,14 @@
 }
 
 Task<> Endpoint::AnswerEnsure(std::shared_ptr<link::Call> call,
-                              gen::EnsureModel wish) {
+                              gen::EnsureModel request) {
   if (plain()) {
     throw Error(ErrorCode::kUnknownModel, "this is a plain service's endpoint");
   }
-  co_await replicas_.Ensure(wish);
+  co_await replicas_.Ensure(request);
   gen::ModelReady ready;
-  ready.model = wish.model;
-  ready.adapter = wish.adapter;
+  ready.model = request.model;
+  ready.adapter = request.adapter;
   gen::Message message;
   message.__set_model_ready(ready);
   co_await call->Send(std::move(message));
@@ -180,7 +180,7 @@
   log_.Event(LogLevel::kInfo, LogCategory::kAdmin, "drain_asked");
   admission_.Leave();
   table_.leaving = true;
-  drain_asked_ = true;
+  drain_requested_ = true;
   table_.changed().Notify();
   gen::DrainState state;
   state.running = Report().running;
@@ -190,31 +190,31 @@
 }
 
 Task<> Endpoint::WaitForDrain() {
-  while (!drain_asked_) {
+  while (!drain_requested_) {
     const auto epoch = table_.changed().epoch();
-    if (drain_asked_) co_return;
+    if (drain_requested_) co_return;
     co_await table_.changed().Wait(epoch, kRecheck);
   }
 }
 
 bool Endpoint::Idle() const {
   if (Report().running > 0) return false;
-  return plain() || (keeper_.Empty() && ledger_.pending() == 0);
+  return plain() || (reconciler_.Empty() && ledger_.pending() == 0);
 }
 
-Task<bool> Endpoint::WaitUntilGone(core::SteadyTime limit) {
+Task<bool> Endpoint::WaitUntilUnloaded(core::SteadyTime limit) {
   bool audited = plain();
   while (!Idle() || !audited) {
     const auto epoch = table_.changed().epoch();
     if (!plain()) {
-      keeper_.Sweep();
-      co_await ledger_.Settle();
+      reconciler_.Sweep();
+      co_await ledger_.FlushPending();
     }
     if (!audited && Idle()) {
       // A model that this process found loaded may have been unloaded before
       // its grant was looked up. Only the ledger lists such a grant, so an
       // audit has to release it.
-      co_await keeper_.TryAudit();
+      co_await reconciler_.TryAudit();
       audited = true;
       continue;
     }
@@ -232,16 +232,16 @@
   table_.changed().Notify();
   log_.Event(LogLevel::kInfo, LogCategory::kProcess, "leaving",
              {{"running", Report().running}});
-  const bool gone = co_await WaitUntilGone(limit);
-  keeper_.Stop();
+  const bool unloaded = co_await WaitUntilUnloaded(limit);
+  reconciler_.Stop();
   log_.Event(
-      gone ? LogLevel::kInfo : LogLevel::kWarning, LogCategory::kProcess,
-      gone ? "left" : "left_unfinished",
+      unloaded ? LogLevel::kInfo : LogLevel::kWarning, LogCategory::kProcess,
+      unloaded ? "left" : "left_unfinished",
       {{"running", Report().running}, {"grants_pending", ledger_.pending()}});
   // The last report and the last answers must be sent before the links close.
-  co_await core::SleepFor(options_.farewell);
-  follower_.Stop();
-  co_return gone;
+  co_await core::SleepFor(options_.close_delay);
+  status_poller_.Stop();
+  co_return unloaded;
 }
 
 void Endpoint::Close() {
--- a/src/endpoint/endpoint_base.h
+++ b/src/endpoint/endpoint_base.h
@@ -47,9 +47,9 @@
   std::chrono::milliseconds drain_limit{60'000};
   /** How long links stay open after the last change, so that the final reports
    * are sent. */
-  std::chrono::milliseconds farewell{200};
-  OrderDeskOptions orders;
-  ReplicaKeeperOptions keeper;
+  std::chrono::milliseconds close_delay{200};
+  OrderSenderOptions orders;
+  ReplicaReconcilerOptions reconciler;
   AttemptTableOptions attempts;
   LaneQueueOptions lanes;
 };
@@ -90,13 +90,13 @@
   core::Task<> Answer(std::shared_ptr<link::Call> call, gen::Message first);
   core::Task<> AnswerSubscribe(std::shared_ptr<link::Call> call);
   core::Task<> AnswerEnsure(std::shared_ptr<link::Call> call,
-                            gen::EnsureModel wish);
+                            gen::EnsureModel request);
   core::Task<> AnswerVoid(std::shared_ptr<link::Call> call,
                           gen::VoidAttempt request);
   core::Task<> AnswerDrain(std::shared_ptr<link::Call> call);
   [[nodiscard]] bool plain() const { return !options_.plain_service.empty(); }
   [[nodiscard]] bool Idle() const;
-  core::Task<bool> WaitUntilGone(core::SteadyTime limit);
+  core::Task<bool> WaitUntilUnloaded(core::SteadyTime limit);
 
   const EndpointOptions options_;
   const core::Clock& clock_;
@@ -106,20 +106,20 @@
   contract::PartCache config_parts_;
   contract::ConfigPuller puller_;
   ReplicaTable table_;
-  EngineFollower follower_;
-  OrderDesk desk_;
+  EngineStatusPoller status_poller_;
+  OrderSender order_sender_;
   GrantLedger ledger_;
   LaneQueue lanes_;
   EndpointParts parts_;
   ReplicaWorker worker_;
-  ReplicaKeeper keeper_;
+  ReplicaReconciler reconciler_;
   Replicas replicas_;
   PlainAdmission plain_admission_;
   Admission& admission_;
   AttemptTable attempts_;
   Runner runner_;
   link::LinkNode links_;
-  std::atomic<bool> drain_asked_ = false;
+  std::atomic<bool> drain_requested_ = false;
 };
 
 }  // namespace sapphire::endpoint
--- a/src/endpoint/endpoint_rig_test.h
+++ b/src/endpoint/endpoint_rig_test.h
@@ -27,7 +27,8 @@
       clock};
   boost::asio::io_context context;
   FakeStore store;
-  std::shared_ptr<Judge> judge = std::make_shared<Judge>();
+  std::shared_ptr<ReplicaCounter> replica_counter =
+      std::make_shared<ReplicaCounter>();
   contract::ConfigHolder config;
 
   /** Applies a configuration with one service and models m0..m4, each of 40
@@ -76,42 +77,42 @@
   EndpointRig(World& its_world, FakeEngine& its_engine, const std::string& vm)
       : world(its_world),
         engine(its_engine),
-        follower(its_engine, Millis(5), its_world.log),
-        desk({Millis(1000), Millis(20)}, its_engine, follower, its_world.clock,
-             its_world.log),
+        status_poller(its_engine, Millis(5), its_world.log),
+        order_sender({Millis(1000), Millis(20)}, its_engine, status_poller,
+                     its_world.clock, its_world.log),
         ledger(core::VmId(vm), its_world.store, its_world.clock, its_world.log),
         lanes(LaneOptions(vm), its_world.store, its_world.clock, its_world.log),
         parts{its_world.context.get_executor(),
               its_world.config,
               table,
-              follower,
-              desk,
+              status_poller,
+              order_sender,
               ledger,
               lanes,
               its_world.clock,
               its_world.log,
               metrics},
         worker(parts, Millis(10)),
-        keeper(
+        reconciler(
             parts,
             {core::VmId(vm), Millis(60'000), Millis(5), Millis(50), Millis(20)},
             worker),
         replicas(parts, worker, Millis(60'000), Millis(1)),
-        runner(its_engine, &follower, replicas, attempts, its_world.clock,
+        runner(its_engine, &status_poller, replicas, attempts, its_world.clock,
                its_world.log, metrics) {
-    follower.Listen([this] { return desk.QuietMark(); },
-                    [this](const auto& status, std::uint64_t mark) {
-                      keeper.Reconcile(status, mark);
-                    });
-    follower.Start(world.context.get_executor());
-    keeper.Start();
+    status_poller.Listen([this] { return order_sender.IdleSequence(); },
+                         [this](const auto& status, std::uint64_t mark) {
+                           reconciler.Reconcile(status, mark);
+                         });
+    status_poller.Start(world.context.get_executor());
+    reconciler.Start();
   }
 
   /** Polls until `condition` is true or the limit of polls is reached.
    * @return The condition's last value. */
   Task<bool> Until(std::function<bool()> condition) {
-    constexpr int kLooks = 4000;
-    for (int i = 0; i < kLooks && !condition(); ++i) {
+    constexpr int kMaxPolls = 4000;
+    for (int i = 0; i < kMaxPolls && !condition(); ++i) {
       co_await core::SleepFor(Millis(1));
     }
     co_return condition();
@@ -126,8 +127,8 @@
 
   /** Stops polling and sweeping, as if the process was killed. */
   void Kill() {
-    follower.Stop();
-    keeper.Stop();
+    status_poller.Stop();
+    reconciler.Stop();
   }
 
   /** @return The error, or none if the model is ready. */
@@ -135,17 +136,17 @@
                                         std::vector<std::string> evict = {},
                                         std::string adapter = "",
                                         Millis keep_alive = Millis(-1)) {
-    gen::EnsureModel wish;
-    wish.service_id = "cabin";
-    wish.model = std::move(model);
-    wish.adapter = std::move(adapter);
-    wish.remaining_ms = 10'000;
-    wish.keep_alive_ms = keep_alive.count();
-    wish.evict = std::move(evict);
+    gen::EnsureModel request;
+    request.service_id = "cabin";
+    request.model = std::move(model);
+    request.adapter = std::move(adapter);
+    request.remaining_ms = 10'000;
+    request.keep_alive_ms = keep_alive.count();
+    request.evict = std::move(evict);
     std::function<bool()> recovered = [this] { return table.recovered.load(); };
     co_await Until(recovered);
     try {
-      co_await replicas.Ensure(wish);
+      co_await replicas.Ensure(request);
     } catch (const Error& e) {
       co_return e.code();
     }
@@ -156,13 +157,13 @@
   FakeEngine& engine;
   Metrics metrics;
   ReplicaTable table;
-  EngineFollower follower;
-  OrderDesk desk;
+  EngineStatusPoller status_poller;
+  OrderSender order_sender;
   GrantLedger ledger;
   LaneQueue lanes;
   EndpointParts parts;
   ReplicaWorker worker;
-  ReplicaKeeper keeper;
+  ReplicaReconciler reconciler;
   Replicas replicas;
   AttemptTable attempts{{}, world.clock};
   Runner runner;
@@ -195,7 +196,7 @@
 
   /** @return The concatenated chunks, or nothing if the answer is incomplete.
    */
-  [[nodiscard]] std::optional<std::string> Whole() const {
+  [[nodiscard]] std::optional<std::string> CompleteBody() const {
     std::string body;
     std::int64_t chunks = 0;
     for (const gen::Message& it : sent) {
--- a/src/endpoint/endpoint_settings.cc
+++ b/src/endpoint/endpoint_settings.cc
@@ -102,12 +102,12 @@
   options.drain_limit = settings.Millis("drain_ms");
   options.orders.order_timeout = settings.Millis("order_timeout_ms");
   options.orders.settle_time = settings.Millis("settle_ms");
-  options.keeper.keep_alive = settings.Millis("keep_alive_ms");
-  options.keeper.sweep_interval = settings.Millis("sweep_ms");
-  options.keeper.audit_interval = settings.Millis("audit_ms");
-  options.lanes.hold_time = settings.Millis("lane_hold_ms");
+  options.reconciler.keep_alive = settings.Millis("keep_alive_ms");
+  options.reconciler.sweep_interval = settings.Millis("sweep_ms");
+  options.reconciler.audit_interval = settings.Millis("audit_ms");
+  options.lanes.hold_limit = settings.Millis("lane_hold_ms");
   options.lanes.poll = settings.Millis("lane_poll_ms");
-  options.attempts.remember_for = settings.Millis("attempt_memory_ms");
+  options.attempts.retention = settings.Millis("attempt_memory_ms");
   return options;
 }
 
--- a/src/endpoint/engine_status_poller.cc
+++ b/src/endpoint/engine_status_poller.cc
@@ -14,59 +14,60 @@
 
 namespace {
 /** Shortest pause between two reads, even if a caller waits for one. */
-constexpr std::chrono::milliseconds kShortestPause{10};
+constexpr std::chrono::milliseconds kMinPause{10};
 }  // namespace
 
-EngineFollower::EngineFollower(external::Engine& engine,
-                               std::chrono::milliseconds interval,
-                               const core::Logger& log)
+EngineStatusPoller::EngineStatusPoller(external::Engine& engine,
+                                       std::chrono::milliseconds interval,
+                                       const core::Logger& log)
     : engine_(engine), interval_(interval), log_(log) {}
 
-void EngineFollower::Listen(Marker marker, Listener listener) {
+void EngineStatusPoller::Listen(Marker marker, Listener listener) {
   marker_ = std::move(marker);
   listener_ = std::move(listener);
 }
 
-void EngineFollower::Start(const core::Executor& executor) {
-  core::Spawn(executor, log_, "engine_follower", [this] { return Follow(); });
+void EngineStatusPoller::Start(const core::Executor& executor) {
+  core::Spawn(executor, log_, "engine_follower",
+              [this] { return PollStatus(); });
 }
 
-void EngineFollower::Stop() {
+void EngineStatusPoller::Stop() {
   {
     const std::lock_guard lock(mutex_);
     stopped_ = true;
   }
-  asked_.Notify();
+  read_requested_.Notify();
 }
 
-EngineFollower::StatusPtr EngineFollower::Latest() const {
+EngineStatusPoller::StatusPtr EngineStatusPoller::Latest() const {
   const std::lock_guard lock(mutex_);
   return latest_;
 }
 
-bool EngineFollower::up() const {
+bool EngineStatusPoller::up() const {
   const std::lock_guard lock(mutex_);
   return up_;
 }
 
-Task<> EngineFollower::Follow() {
+Task<> EngineStatusPoller::PollStatus() {
   while (true) {
-    const auto asked = asked_.epoch();
+    const auto request_epoch = read_requested_.epoch();
     co_await ReadOnce();
     {
       const std::lock_guard lock(mutex_);
       if (stopped_) co_return;
     }
-    co_await core::SleepFor(std::min(kShortestPause, interval_));
-    co_await asked_.Wait(asked, interval_);
+    co_await core::SleepFor(std::min(kMinPause, interval_));
+    co_await read_requested_.Wait(request_epoch, interval_);
   }
 }
 
-Task<> EngineFollower::ReadOnce() {
+Task<> EngineStatusPoller::ReadOnce() {
   std::uint64_t number = 0;
   {
     const std::lock_guard lock(mutex_);
-    number = ++begun_;
+    number = ++reads_started_;
   }
   const std::uint64_t mark = marker_ ? marker_() : 0;
   StatusPtr status;
@@ -74,27 +75,27 @@
     status = std::make_shared<const external::EngineStatus>(
         co_await engine_.Status());
   } catch (const core::Error&) {
-    // Note below logs it.
+    // StoreStatus below logs it.
   }
-  Note(status, number);
+  StoreStatus(status, number);
   if (status && listener_) listener_(*status, mark);
-  answered_.Notify();
+  read_done_.Notify();
 }
 
-void EngineFollower::Note(StatusPtr status, std::uint64_t number) {
-  bool turned = false;
+void EngineStatusPoller::StoreStatus(StatusPtr status, std::uint64_t number) {
+  bool up_changed = false;
   bool restarted = false;
   {
     const std::lock_guard lock(mutex_);
-    turned = up_ != (status != nullptr);
+    up_changed = up_ != (status != nullptr);
     up_ = status != nullptr;
     if (status) {
       restarted = latest_ && latest_->incarnation != status->incarnation;
       latest_ = status;
-      seen_ = number;
+      latest_read_ = number;
     }
   }
-  if (turned) {
+  if (up_changed) {
     log_.Event(LogLevel::kInfo, LogCategory::kPlatform,
                status ? "engine_up" : "engine_down");
   }
@@ -102,29 +103,29 @@
     log_.Event(LogLevel::kWarning, LogCategory::kFault, "engine_restarted",
                {{"incarnation", status->incarnation}});
   }
-  if (turned || restarted) changed_.Notify();
+  if (up_changed || restarted) changed_.Notify();
 }
 
-Task<EngineFollower::StatusPtr> EngineFollower::Fresh(
+Task<EngineStatusPoller::StatusPtr> EngineStatusPoller::WaitForNewStatus(
     std::chrono::milliseconds timeout) {
   const auto end = std::chrono::steady_clock::now() + timeout;
   std::uint64_t before = 0;
   {
     const std::lock_guard lock(mutex_);
-    before = begun_;
+    before = reads_started_;
   }
-  asked_.Notify();
+  read_requested_.Notify();
   while (true) {
-    const auto epoch = answered_.epoch();
+    const auto epoch = read_done_.epoch();
     {
       const std::lock_guard lock(mutex_);
-      if (seen_ > before) co_return latest_;
+      if (latest_read_ > before) co_return latest_;
       if (stopped_) co_return nullptr;
     }
     const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(
         end - std::chrono::steady_clock::now());
     if (left.count() <= 0) co_return nullptr;
-    co_await answered_.Wait(epoch, left);
+    co_await read_done_.Wait(epoch, left);
   }
 }
 
--- a/src/endpoint/engine_status_poller_base.h
+++ b/src/endpoint/engine_status_poller_base.h
@@ -19,7 +19,7 @@
  * The only reader of the engine's status. As there is no other reader, the
  * status it returns never goes back in time. Thread-safe.
  */
-class EngineFollower {
+class EngineStatusPoller {
  public:
   using StatusPtr = std::shared_ptr<const external::EngineStatus>;
   /** Called at the start of a read; the listener gets its result along with the
@@ -29,8 +29,9 @@
       std::function<void(const external::EngineStatus&, std::uint64_t mark)>;
 
   /** @pre All references outlive the object. */
-  EngineFollower(external::Engine& engine, std::chrono::milliseconds interval,
-                 const core::Logger& log);
+  EngineStatusPoller(external::Engine& engine,
+                     std::chrono::milliseconds interval,
+                     const core::Logger& log);
 
   /** Sets the callbacks of every read. @pre Called before Start. */
   void Listen(Marker marker, Listener listener);
@@ -50,15 +51,15 @@
    * @return Null if there was none within `timeout`.
    * @pre The calling coroutine runs on a strand.
    */
-  core::Task<StatusPtr> Fresh(std::chrono::milliseconds timeout);
+  core::Task<StatusPtr> WaitForNewStatus(std::chrono::milliseconds timeout);
 
   /** Notified whenever the engine comes up, goes down or restarts. */
   [[nodiscard]] core::Signal& changed() { return changed_; }
 
  private:
-  core::Task<> Follow();
+  core::Task<> PollStatus();
   core::Task<> ReadOnce();
-  void Note(StatusPtr status, std::uint64_t number);
+  void StoreStatus(StatusPtr status, std::uint64_t number);
 
   external::Engine& engine_;
   const std::chrono::milliseconds interval_;
@@ -66,13 +67,13 @@
   Marker marker_;
   Listener listener_;
   /** Notified when a caller waits for a new status. */
-  core::Signal asked_;
-  core::Signal answered_;
+  core::Signal read_requested_;
+  core::Signal read_done_;
   core::Signal changed_;
   mutable std::mutex mutex_;
   StatusPtr latest_;
-  std::uint64_t begun_ = 0;
-  std::uint64_t seen_ = 0;
+  std::uint64_t reads_started_ = 0;
+  std::uint64_t latest_read_ = 0;
   bool up_ = false;
   bool stopped_ = false;
 };
--- a/src/endpoint/fake_platform_test.h
+++ b/src/endpoint/fake_platform_test.h
@@ -30,7 +30,7 @@
 /** Compare-and-swap store with injected write faults. */
 class FakeStore final : public external::KeyValueStore {
  public:
-  enum class Fault { kNone, kAnswerLost, kNeverArrived, kLandsLate };
+  enum class Fault { kNone, kAnswerLost, kNeverArrived, kAppliedLate };
 
   /** Every call fails without effect. */
   bool down = false;
@@ -66,8 +66,8 @@
     CheckUp();
     ++swaps;
     const Fault now = fault();
-    if (now == Fault::kLandsLate) late_.push_back({key, expected, value});
-    if (now == Fault::kLandsLate || now == Fault::kNeverArrived) {
+    if (now == Fault::kAppliedLate) late_.push_back({key, expected, value});
+    if (now == Fault::kAppliedLate || now == Fault::kNeverArrived) {
       throw Error(ErrorCode::kPlatformUnknownOutcome);
     }
     auto result = Apply(key, expected, value);
@@ -78,7 +78,7 @@
   }
 
   /** Applies the writes that timed out and were still in transit. */
-  void LandLateWrites() {
+  void ApplyLateWrites() {
     for (const auto& it : std::exchange(late_, {})) {
       Apply(it.key, it.expected, it.value);
     }
@@ -142,19 +142,19 @@
 };
 
 /** Counts the replicas of all engines, to check the replica limits. */
-struct Judge {
+struct ReplicaCounter {
   std::map<core::ModelId, int> loaded;
-  int most_of_a_model = 0;
-  int most_in_all = 0;
+  int max_per_model = 0;
+  int max_total = 0;
 
   void Count(const core::ModelId& model, int change) {
     loaded[model] += change;
     int all = 0;
     for (const auto& [id, n] : loaded) {
       all += n;
-      most_of_a_model = std::max(most_of_a_model, n);
+      max_per_model = std::max(max_per_model, n);
     }
-    most_in_all = std::max(most_in_all, all);
+    max_total = std::max(max_total, all);
   }
 };
 
@@ -190,19 +190,20 @@
     kNone,
     kAnswerLost,    ///< Carried out, but without an answer.
     kNeverArrived,  ///< Not carried out, and without an answer.
-    kArrivesLate,   ///< Carried out by LandLateOrders, without an answer.
+    kArrivesLate,   ///< Carried out by DeliverLateOrders, without an answer.
     kLoadFails,
     kCrash,  ///< The engine crashes and restarts while carrying it out.
   };
 
-  explicit FakeEngine(std::shared_ptr<Judge> judge_of_limits = nullptr)
-      : judge(std::move(judge_of_limits)) {
+  explicit FakeEngine(
+      std::shared_ptr<ReplicaCounter> replica_counter_arg = nullptr)
+      : replica_counter(std::move(replica_counter_arg)) {
     status.incarnation = 1;
     status.memory_bytes = 100;
   }
 
   external::EngineStatus status;
-  std::shared_ptr<Judge> judge;
+  std::shared_ptr<ReplicaCounter> replica_counter;
   std::function<Fault()> fault = [] { return Fault::kNone; };
   Millis order_time{1};
   bool down = false;
@@ -239,7 +240,7 @@
     status.order_in_progress = false;
     if (now == Fault::kCrash) Crash();
     if (now == Fault::kLoadFails) throw Error(ErrorCode::kLoadFailed);
-    if (now != Fault::kCrash) Carry(order);
+    if (now != Fault::kCrash) ApplyOrder(order);
     if (now == Fault::kAnswerLost || now == Fault::kCrash) {
       throw Error(ErrorCode::kOutcomeUnknown);
     }
@@ -257,16 +258,16 @@
   }
 
   /** Delivers the orders that were still in transit. */
-  void LandLateOrders() {
+  void DeliverLateOrders() {
     for (const auto& it : std::exchange(late_, {})) {
-      if (PassesFence(it)) Carry(it);
+      if (PassesFence(it)) ApplyOrder(it);
     }
   }
 
   /** Restarts with no model loaded. */
   void Crash() {
     for (const auto& it : std::exchange(status.models, {})) {
-      if (judge) judge->Count(it.model, -1);
+      if (replica_counter) replica_counter->Count(it.model, -1);
     }
     ++status.incarnation;
     status.fence = 0;
@@ -278,7 +279,7 @@
            status.models.end();
   }
 
-  void Carry(const external::EngineOrder& order) {
+  void ApplyOrder(const external::EngineOrder& order) {
     using external::OrderKind;
     auto it = std::ranges::find(status.models, order.model,
                                 &external::EngineModel::model);
@@ -291,10 +292,10 @@
       model.weight_bytes = order.bytes;
       model.kv_budget_bytes = order.kv_budget_bytes;
       status.models.push_back(model);
-      if (judge) judge->Count(order.model, 1);
+      if (replica_counter) replica_counter->Count(order.model, 1);
     } else if (order.kind == OrderKind::kUnloadModel && held) {
       status.models.erase(it);
-      if (judge) judge->Count(order.model, -1);
+      if (replica_counter) replica_counter->Count(order.model, -1);
     } else if (order.kind == OrderKind::kLoadAdapter && held) {
       it->adapters.push_back({order.adapter, order.bytes});
     } else if (order.kind == OrderKind::kUnloadAdapter && held) {
--- a/src/endpoint/grant_ledger.cc
+++ b/src/endpoint/grant_ledger.cc
@@ -23,11 +23,11 @@
 /** Swaps tried before the ledger counts as too contended. */
 constexpr int kMaxSwaps = 32;
 /** Time between two checks whether an earlier grant has ended. */
-constexpr std::chrono::milliseconds kEndPause{5};
+constexpr std::chrono::milliseconds kReleaseCheckInterval{5};
 /** Upper bound of the wait after a swap that lost a race. */
 constexpr int kMaxBackoffMillis = 16;
 
-Error Outage(const std::string& detail) {
+Error OutageError(const std::string& detail) {
   return Error(ErrorCode::kPlatformUnavailable, detail, kOutageRetryAfter);
 }
 
@@ -55,10 +55,10 @@
 Task<std::optional<external::KvEntry>> GrantLedger::ReadEntry(std::string key) {
   try {
     auto entry = co_await store_.Get(std::move(key));
-    NoteReachable(true);
+    SetReachable(true);
     co_return entry;
   } catch (const Error&) {
-    NoteReachable(false);
+    SetReachable(false);
     throw;
   }
 }
@@ -69,10 +69,10 @@
   try {
     auto result = co_await store_.CompareAndSwap(std::move(key), expected,
                                                  std::move(value), "");
-    NoteReachable(true);
+    SetReachable(true);
     co_return result;
   } catch (const Error& e) {
-    NoteReachable(false);
+    SetReachable(false);
     if (e.code() != ErrorCode::kPlatformUnknownOutcome) throw;
   }
   co_return std::nullopt;
@@ -85,51 +85,53 @@
   if (known == config->intent.models.end()) {
     throw Error(ErrorCode::kUnknownModel, model.value());
   }
-  co_await AwaitEnd(known->second.service, model, deadline);
+  co_await WaitForPendingRelease(known->second.service, model, deadline);
   if (auto held = Reclaim(known->second.service, model)) co_return *held;
-  auto attempt = std::make_shared<Try>();
+  auto attempt = std::make_shared<TakeAttempt>();
   attempt->service = known->second.service;
   attempt->grant = {model, vm_, 0};
   std::optional<Error> failure;
   try {
-    co_return co_await TakeFresh(config, min_fence, deadline, attempt);
+    co_return co_await TakeNewGrant(config, min_fence, deadline, attempt);
   } catch (const Error& e) {
     failure = e;
   }
-  if (attempt->late_write) {
+  if (attempt->pending_swap) {
     // The swap may still take effect after this call has failed. Its grant
     // would hold capacity that nobody uses, so another swap of the key voids
     // it.
     const std::lock_guard lock(mutex_);
-    endings_.push_back(std::make_shared<Ending>(
-        Ending{attempt->service, attempt->grant, attempt->late_write}));
+    pending_releases_.push_back(std::make_shared<PendingRelease>(PendingRelease{
+        attempt->service, attempt->grant, attempt->pending_swap}));
   }
   log_.Event(LogLevel::kInfo, LogCategory::kLedger, "grant_refused",
              {{"model", model}, {"error", failure->what()}});
   throw *failure;
 }
 
-bool GrantLedger::IsEnding(const core::ServiceId& service,
-                           const core::ModelId& model) const {
+bool GrantLedger::IsReleaseInProgress(const core::ServiceId& service,
+                                      const core::ModelId& model) const {
   const std::lock_guard lock(mutex_);
-  return std::ranges::any_of(endings_, [&](const auto& it) {
+  return std::ranges::any_of(pending_releases_, [&](const auto& it) {
     return it->service == service && it->grant.model == model &&
-           (it->sent || it->busy || it->late_write);
+           (it->sent || it->busy || it->pending_swap);
   });
 }
 
 /** Waits while the release of an earlier grant of the model is in progress.
  * @throws Error kPlatformUnavailable in an outage, when the wait would be long,
  *   and at the deadline. */
-Task<> GrantLedger::AwaitEnd(core::ServiceId service, core::ModelId model,
-                             core::SteadyTime deadline) {
-  while (IsEnding(service, model)) {
-    co_await Settle();
-    if (!IsEnding(service, model)) co_return;
+Task<> GrantLedger::WaitForPendingRelease(core::ServiceId service,
+                                          core::ModelId model,
+                                          core::SteadyTime deadline) {
+  while (IsReleaseInProgress(service, model)) {
+    co_await FlushPending();
+    if (!IsReleaseInProgress(service, model)) co_return;
     if (!reachable() || clock_.Now() >= deadline) {
-      throw Outage("an earlier grant of " + model.value() + " isn't settled");
+      throw OutageError("an earlier grant of " + model.value() +
+                        " isn't settled");
     }
-    co_await core::SleepFor(kEndPause);
+    co_await core::SleepFor(kReleaseCheckInterval);
   }
 }
 
@@ -144,22 +146,24 @@
 std::optional<Grant> GrantLedger::Reclaim(const core::ServiceId& service,
                                           const core::ModelId& model) {
   const std::lock_guard lock(mutex_);
-  const auto it = std::ranges::find_if(endings_, [&](const auto& ending) {
-    return ending->service == service && ending->grant.model == model;
-  });
-  if (it == endings_.end()) return std::nullopt;
-  const Ending& ending = **it;
-  if (ending.sent || ending.busy || ending.late_write) {
-    throw Outage("an earlier grant of " + model.value() + " isn't settled");
+  const auto it =
+      std::ranges::find_if(pending_releases_, [&](const auto& release) {
+        return release->service == service && release->grant.model == model;
+      });
+  if (it == pending_releases_.end()) return std::nullopt;
+  const PendingRelease& release = **it;
+  if (release.sent || release.busy || release.pending_swap) {
+    throw OutageError("an earlier grant of " + model.value() +
+                      " isn't settled");
   }
-  const Grant grant = ending.grant;
-  endings_.erase(it);
+  const Grant grant = release.grant;
+  pending_releases_.erase(it);
   return grant;
 }
 
-Task<Grant> GrantLedger::TakeFresh(
+Task<Grant> GrantLedger::TakeNewGrant(
     std::shared_ptr<const contract::Config> config, std::int64_t min_fence,
-    core::SteadyTime deadline, std::shared_ptr<Try> attempt) {
+    core::SteadyTime deadline, std::shared_ptr<TakeAttempt> attempt) {
   const std::string key = LedgerKey(attempt->service);
   Grant& grant = attempt->grant;
   auto entry = co_await ReadEntry(key);
@@ -168,14 +172,14 @@
     if (const Grant* ours = FindGrant(ledger, vm_, grant.model)) {
       // This grant is from a swap whose answer was lost, or from a predecessor
       // of this process on the VM.
-      attempt->late_write.reset();
+      attempt->pending_swap.reset();
       co_return *ours;
     }
     const std::int64_t revision = RevisionOf(entry);
     // Revisions only grow: a swap against an older one can't succeed any more.
-    if (attempt->late_write != revision) attempt->late_write.reset();
+    if (attempt->pending_swap != revision) attempt->pending_swap.reset();
     CheckLimits(ledger, *config, grant.model);
-    if (clock_.Now() >= deadline) throw Outage("no grant in time");
+    if (clock_.Now() >= deadline) throw OutageError("no grant in time");
     grant.fence = std::max(ledger.next_fence, min_fence);
     ledger.grants.push_back(grant);
     ledger.next_fence = grant.fence + 1;
@@ -184,12 +188,12 @@
     // retry after an unknown outcome can't take two grants.
     const auto result = co_await Swap(key, revision, EncodeLedger(ledger));
     if (!result) {
-      attempt->late_write = revision;
+      attempt->pending_swap = revision;
       entry = co_await ReadEntry(key);
       continue;
     }
     if (result->swapped) {
-      attempt->late_write.reset();
+      attempt->pending_swap.reset();
       log_.Event(
           LogLevel::kInfo, LogCategory::kLedger, "grant_taken",
           {{"model", grant.model}, {"fence", grant.fence}, {"tries", i + 1}});
@@ -198,70 +202,73 @@
     entry = result->current;
     co_await BackOff(i);
   }
-  throw Outage("the ledger of " + attempt->service.value() + " is contended");
+  throw OutageError("the ledger of " + attempt->service.value() +
+                    " is contended");
 }
 
 void GrantLedger::Release(const core::ServiceId& service, const Grant& grant) {
   const std::lock_guard lock(mutex_);
-  for (const auto& it : endings_) {
+  for (const auto& it : pending_releases_) {
     if (it->grant == grant) return;
   }
-  endings_.push_back(std::make_shared<Ending>(
-      Ending{service, grant, std::nullopt, false, false}));
+  pending_releases_.push_back(std::make_shared<PendingRelease>(
+      PendingRelease{service, grant, std::nullopt, false, false}));
 }
 
-std::vector<std::shared_ptr<GrantLedger::Ending>> GrantLedger::ClaimEndings() {
+std::vector<std::shared_ptr<GrantLedger::PendingRelease>>
+GrantLedger::ClaimPendingReleases() {
   const std::lock_guard lock(mutex_);
-  std::vector<std::shared_ptr<Ending>> claimed;
-  for (const auto& it : endings_) {
+  std::vector<std::shared_ptr<PendingRelease>> claimed;
+  for (const auto& it : pending_releases_) {
     if (std::exchange(it->busy, true)) continue;
     claimed.push_back(it);
   }
   return claimed;
 }
 
-void GrantLedger::Finish(const std::shared_ptr<Ending>& ending, bool done) {
+void GrantLedger::FinishRelease(const std::shared_ptr<PendingRelease>& release,
+                                bool done) {
   const std::lock_guard lock(mutex_);
-  ending->busy = false;
-  if (done) std::erase(endings_, ending);
+  release->busy = false;
+  if (done) std::erase(pending_releases_, release);
 }
 
-Task<bool> GrantLedger::Settle() {
-  for (const auto& it : ClaimEndings()) {
+Task<bool> GrantLedger::FlushPending() {
+  for (const auto& it : ClaimPendingReleases()) {
     bool done = false;
     try {
-      co_await End(it);
+      co_await EndGrant(it);
       done = true;
     } catch (const Error& e) {
       log_.Event(
           LogLevel::kWarning, LogCategory::kLedger, "grant_end_delayed",
           {{"model", it->grant.model}, {"error", std::string(e.what())}});
     }
-    Finish(it, done);
+    FinishRelease(it, done);
   }
   co_return pending() == 0;
 }
 
 /** Returns once the grant isn't in the ledger and no write can put it there. */
-Task<> GrantLedger::End(std::shared_ptr<Ending> ending) {
-  const std::string key = LedgerKey(ending->service);
+Task<> GrantLedger::EndGrant(std::shared_ptr<PendingRelease> release) {
+  const std::string key = LedgerKey(release->service);
   auto entry = co_await ReadEntry(key);
   for (int i = 0; i < kMaxSwaps; ++i) {
     LedgerValue ledger = LedgerOf(entry);
-    const bool held = std::erase(ledger.grants, ending->grant) > 0;
+    const bool held = std::erase(ledger.grants, release->grant) > 0;
     const std::int64_t revision = RevisionOf(entry);
-    if (!held && ending->late_write != revision) {
+    if (!held && release->pending_swap != revision) {
       log_.Event(
           LogLevel::kInfo, LogCategory::kLedger, "grant_ended",
-          {{"model", ending->grant.model}, {"fence", ending->grant.fence}});
+          {{"model", release->grant.model}, {"fence", release->grant.fence}});
       co_return;
     }
     // The late write could still succeed against this revision; any swap that
     // changes the revision prevents that.
-    ledger.next_fence = std::max(ledger.next_fence, ending->grant.fence + 1);
+    ledger.next_fence = std::max(ledger.next_fence, release->grant.fence + 1);
     const auto result = co_await Swap(key, revision, EncodeLedger(ledger));
     if (!result) {
-      ending->sent = true;
+      release->sent = true;
       entry = co_await ReadEntry(key);
       continue;
     }
@@ -272,10 +279,12 @@
     entry = result->current;
     co_await BackOff(i);
   }
-  throw Outage("the ledger of " + ending->service.value() + " is contended");
+  throw OutageError("the ledger of " + release->service.value() +
+                    " is contended");
 }
 
-Task<> GrantLedger::NoteVersion(core::ServiceId service, std::int64_t version) {
+Task<> GrantLedger::RecordConfigVersion(core::ServiceId service,
+                                        std::int64_t version) {
   const std::string key = LedgerKey(service);
   auto entry = co_await ReadEntry(key);
   for (int i = 0; i < kMaxSwaps; ++i) {
@@ -294,7 +303,7 @@
     }
     co_await BackOff(i);
   }
-  throw Outage("the ledger of " + service.value() + " is contended");
+  throw OutageError("the ledger of " + service.value() + " is contended");
 }
 
 Task<std::map<core::ServiceId, LedgerValue>> GrantLedger::ReadAll() {
@@ -302,9 +311,9 @@
   std::vector<external::KvEntry> entries;
   try {
     entries = co_await store_.List(std::string(kLedgerPrefix));
-    NoteReachable(true);
+    SetReachable(true);
   } catch (const Error&) {
-    NoteReachable(false);
+    SetReachable(false);
     throw;
   }
   for (const external::KvEntry& it : entries) {
@@ -315,7 +324,7 @@
 
 int GrantLedger::pending() const {
   const std::lock_guard lock(mutex_);
-  return static_cast<int>(endings_.size());
+  return static_cast<int>(pending_releases_.size());
 }
 
 bool GrantLedger::reachable() const {
@@ -323,7 +332,7 @@
   return reachable_;
 }
 
-void GrantLedger::NoteReachable(bool reachable) {
+void GrantLedger::SetReachable(bool reachable) {
   const std::lock_guard lock(mutex_);
   reachable_ = reachable;
 }
--- a/src/endpoint/grant_ledger_base.h
+++ b/src/endpoint/grant_ledger_base.h
@@ -36,34 +36,36 @@
    * model's and the service's limit in `config`.
    * @param min_fence Lower bound of the grant's fence.
    * @throws core::Error kReplicaLimit, kUnknownModel, kNotConfigured, or
-   *   kPlatformUnavailable; no grant is held then, or Settle will end it.
+   *   kPlatformUnavailable; no grant is held then, or FlushPending will end it.
    */
   core::Task<Grant> Take(std::shared_ptr<const contract::Config> config,
                          core::ModelId model, std::int64_t min_fence,
                          core::SteadyTime deadline);
 
-  /** Queues a grant for its release by Settle. @pre The unload is confirmed. */
+  /** Queues a grant for its release by FlushPending. @pre The unload is
+   * confirmed. */
   void Release(const core::ServiceId& service, const Grant& grant);
 
   /**
    * Tries to end all released grants and to void all writes of unknown outcome.
    * @return True if none is left.
    */
-  core::Task<bool> Settle();
+  core::Task<bool> FlushPending();
 
   /**
    * Writes a configuration version to a service's ledger; from then on no
    * endpoint with an older configuration can take a grant.
    * @throws core::Error kPlatformUnavailable.
    */
-  core::Task<> NoteVersion(core::ServiceId service, std::int64_t version);
+  core::Task<> RecordConfigVersion(core::ServiceId service,
+                                   std::int64_t version);
 
   /** @return Every service's ledger. @throws core::Error kPlatformUnavailable.
    */
   core::Task<std::map<core::ServiceId, LedgerValue>> ReadAll();
 
-  /** @return The number of released grants, and of writes to void, that Settle
-   * has not ended yet. */
+  /** @return The number of released grants, and of writes to void, that
+   * FlushPending has not ended yet. */
   [[nodiscard]] int pending() const;
 
   /** @return True if the last call to the key-value service was answered. */
@@ -71,49 +73,51 @@
 
  private:
   /** A grant to end, or a write of a grant to void. */
-  struct Ending {
+  struct PendingRelease {
     core::ServiceId service;
     Grant grant;
     /** Set if a swap against this revision (0: key absent) may still take
      * effect. */
-    std::optional<std::int64_t> late_write;
+    std::optional<std::int64_t> pending_swap;
     /** True once a swap that ends the grant may have taken effect. */
     bool sent = false;
-    /** True while a call of Settle processes it. */
+    /** True while a call of FlushPending processes it. */
     bool busy = false;
   };
 
   /** A Take in progress. */
-  struct Try {
+  struct TakeAttempt {
     core::ServiceId service;
     Grant grant;
-    std::optional<std::int64_t> late_write;
+    std::optional<std::int64_t> pending_swap;
   };
 
   core::Task<std::optional<external::KvEntry>> ReadEntry(std::string key);
   core::Task<std::optional<external::CasResult>> Swap(std::string key,
                                                       std::int64_t expected,
                                                       std::string value);
-  core::Task<Grant> TakeFresh(std::shared_ptr<const contract::Config> config,
-                              std::int64_t min_fence, core::SteadyTime deadline,
-                              std::shared_ptr<Try> attempt);
-  core::Task<> AwaitEnd(core::ServiceId service, core::ModelId model,
-                        core::SteadyTime deadline);
-  bool IsEnding(const core::ServiceId& service,
-                const core::ModelId& model) const;
-  core::Task<> End(std::shared_ptr<Ending> ending);
+  core::Task<Grant> TakeNewGrant(std::shared_ptr<const contract::Config> config,
+                                 std::int64_t min_fence,
+                                 core::SteadyTime deadline,
+                                 std::shared_ptr<TakeAttempt> attempt);
+  core::Task<> WaitForPendingRelease(core::ServiceId service,
+                                     core::ModelId model,
+                                     core::SteadyTime deadline);
+  bool IsReleaseInProgress(const core::ServiceId& service,
+                           const core::ModelId& model) const;
+  core::Task<> EndGrant(std::shared_ptr<PendingRelease> release);
   std::optional<Grant> Reclaim(const core::ServiceId& service,
                                const core::ModelId& model);
-  std::vector<std::shared_ptr<Ending>> ClaimEndings();
-  void Finish(const std::shared_ptr<Ending>& ending, bool done);
-  void NoteReachable(bool reachable);
+  std::vector<std::shared_ptr<PendingRelease>> ClaimPendingReleases();
+  void FinishRelease(const std::shared_ptr<PendingRelease>& release, bool done);
+  void SetReachable(bool reachable);
 
   const core::VmId vm_;
   external::KeyValueStore& store_;
   const core::Clock& clock_;
   const core::Logger& log_;
   mutable std::mutex mutex_;
-  std::vector<std::shared_ptr<Ending>> endings_;
+  std::vector<std::shared_ptr<PendingRelease>> pending_releases_;
   bool reachable_ = true;
 };
 
--- a/src/endpoint/grant_ledger_test.cc
+++ b/src/endpoint/grant_ledger_test.cc
@@ -74,13 +74,13 @@
     return code;
   }
 
-  bool Settle() {
+  bool FlushPending() {
     bool settled = false;
-    Run([&]() -> Task<> { settled = co_await ledger.Settle(); });
+    Run([&]() -> Task<> { settled = co_await ledger.FlushPending(); });
     return settled;
   }
 
-  [[nodiscard]] LedgerValue Stands() const {
+  [[nodiscard]] LedgerValue StoredLedger() const {
     const std::string text = store.Value(LedgerKey(kService));
     return text.empty() ? LedgerValue{} : DecodeLedger(text);
   }
@@ -95,7 +95,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(LimitsOfModelAndServiceHold) {
+BOOST_AUTO_TEST_CASE(LimitsOfModelAndServiceAreEnforced) {
   Rig rig;
   GrantLedger other(VmId("vm2"), rig.store, rig.clock, rig.log);
   GrantLedger third(VmId("vm3"), rig.store, rig.clock, rig.log);
@@ -109,71 +109,71 @@
 // Failure: a model could not be loaded on any VM, because its only grant
 // belonged to a VM whose Take had failed. The swap had taken effect and its
 // answer was lost.
-BOOST_AUTO_TEST_CASE(LostAnswerIsReadBackAsTaken) {
+BOOST_AUTO_TEST_CASE(TakeSucceedsIfOnlyTheSwapsAnswerIsLost) {
   Rig rig;
   FailNextWrite(rig.store, Fault::kAnswerLost);
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
-  BOOST_TEST(rig.Stands().grants.size() == 1U);
+  BOOST_TEST(rig.StoredLedger().grants.size() == 1U);
   BOOST_TEST(rig.ledger.pending() == 0);
 }
 
 // Failure: one VM holds two grants of a model, or one that it doesn't use. A
 // swap timed out, the retry succeeded, and then the first swap took effect.
-BOOST_AUTO_TEST_CASE(LateLandingWriteOfASettledTakeHasNoEffect) {
+BOOST_AUTO_TEST_CASE(LateWriteOfARetriedTakeHasNoEffect) {
   Rig rig;
-  FailNextWrite(rig.store, Fault::kLandsLate);
+  FailNextWrite(rig.store, Fault::kAppliedLate);
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
-  const LedgerValue before = rig.Stands();
-  rig.store.LandLateWrites();
-  BOOST_TEST((rig.Stands() == before));
+  const LedgerValue before = rig.StoredLedger();
+  rig.store.ApplyLateWrites();
+  BOOST_TEST((rig.StoredLedger() == before));
   BOOST_TEST(before.grants.size() == 1U);
 }
 
 // Failure: the key-value service fails during a swap, and the caller is
 // refused. The swap takes effect later, and no VM can load the model any more.
-BOOST_AUTO_TEST_CASE(GivenUpTakeIsVoidedBeforeItCanLand) {
+BOOST_AUTO_TEST_CASE(AbandonedTakeIsVoidedBeforeItTakesEffect) {
   Rig rig;
   rig.store.fault = [&] {
     rig.store.down = true;
-    return Fault::kLandsLate;
+    return Fault::kAppliedLate;
   };
   BOOST_TEST((rig.Take(rig.ledger, "a") == ErrorCode::kPlatformUnavailable));
   BOOST_TEST(rig.ledger.pending() == 1);
-  BOOST_TEST(!rig.Settle());
+  BOOST_TEST(!rig.FlushPending());
   rig.store.down = false;
   rig.store.fault = [] { return Fault::kNone; };
-  BOOST_TEST(rig.Settle());
-  rig.store.LandLateWrites();
-  BOOST_TEST(rig.Stands().grants.empty());
+  BOOST_TEST(rig.FlushPending());
+  rig.store.ApplyLateWrites();
+  BOOST_TEST(rig.StoredLedger().grants.empty());
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
 }
 
 // As above, but the swap takes effect while the service is still unreachable
 // from this VM: the grant is in the ledger and has to be ended, not voided.
-BOOST_AUTO_TEST_CASE(GivenUpTakeThatLandedIsEnded) {
+BOOST_AUTO_TEST_CASE(AbandonedTakeThatTookEffectIsEnded) {
   Rig rig;
   rig.store.fault = [&] {
     rig.store.down = true;
-    return Fault::kLandsLate;
+    return Fault::kAppliedLate;
   };
   rig.Take(rig.ledger, "a");
-  rig.store.LandLateWrites();
-  BOOST_TEST(rig.Stands().grants.size() == 1U);
+  rig.store.ApplyLateWrites();
+  BOOST_TEST(rig.StoredLedger().grants.size() == 1U);
   rig.store.down = false;
   rig.store.fault = [] { return Fault::kNone; };
-  BOOST_TEST(rig.Settle());
-  BOOST_TEST(rig.Stands().grants.empty());
+  BOOST_TEST(rig.FlushPending());
+  BOOST_TEST(rig.StoredLedger().grants.empty());
 }
 
 // A model that is unloaded during an outage of the key-value service must still
 // be loadable on the VM that has its grant, and on no other.
-BOOST_AUTO_TEST_CASE(UnsentReleaseIsTakenBackInAnOutage) {
+BOOST_AUTO_TEST_CASE(UnsentReleaseIsReclaimedInAnOutage) {
   Rig rig;
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
-  const Grant grant = rig.Stands().grants.at(0);
+  const Grant grant = rig.StoredLedger().grants.at(0);
   rig.store.down = true;
   rig.ledger.Release(kService, grant);
-  BOOST_TEST(!rig.Settle());
+  BOOST_TEST(!rig.FlushPending());
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
   BOOST_TEST(rig.ledger.pending() == 0);
   GrantLedger other(VmId("vm2"), rig.store, rig.clock, rig.log);
@@ -183,35 +183,35 @@
 // Failure: a release was sent and its answer was lost in an outage. If the
 // grant was reclaimed, the release could still take effect while the model is
 // loaded.
-BOOST_AUTO_TEST_CASE(SentReleaseIsNotTakenBack) {
+BOOST_AUTO_TEST_CASE(SentReleaseIsNotReclaimed) {
   Rig rig;
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
-  rig.ledger.Release(kService, rig.Stands().grants.at(0));
+  rig.ledger.Release(kService, rig.StoredLedger().grants.at(0));
   rig.store.fault = [&] {
     rig.store.down = true;
-    return Fault::kLandsLate;
+    return Fault::kAppliedLate;
   };
-  BOOST_TEST(!rig.Settle());
+  BOOST_TEST(!rig.FlushPending());
   BOOST_TEST((rig.Take(rig.ledger, "a") == ErrorCode::kPlatformUnavailable));
 }
 
 // A request for a model at the moment when its grant is released must not be
 // refused while the key-value service is up.
-BOOST_AUTO_TEST_CASE(WakeWhileTheGrantGoesBackWaitsForIt) {
+BOOST_AUTO_TEST_CASE(TakeWaitsForAReleaseInProgress) {
   Rig rig;
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
-  const std::int64_t fence = rig.Stands().grants.at(0).fence;
-  rig.ledger.Release(kService, rig.Stands().grants.at(0));
+  const std::int64_t fence = rig.StoredLedger().grants.at(0).fence;
+  rig.ledger.Release(kService, rig.StoredLedger().grants.at(0));
   core::Spawn(rig.context.get_executor(), rig.log, "settle",
-              [&]() -> Task<> { co_await rig.ledger.Settle(); });
+              [&]() -> Task<> { co_await rig.ledger.FlushPending(); });
   rig.context.poll_one();
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
-  BOOST_TEST(rig.Stands().grants.at(0).fence > fence);
+  BOOST_TEST(rig.StoredLedger().grants.at(0).fence > fence);
 }
 
 // Failure: an operator lowered the limit, and an endpoint that didn't have the
 // new configuration yet took a grant under the old limit.
-BOOST_AUTO_TEST_CASE(OlderConfigurationCanNotTakeAGrant) {
+BOOST_AUTO_TEST_CASE(OlderConfigurationCannotTakeAGrant) {
   Rig rig;
   rig.config->version = 5;
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
@@ -234,7 +234,7 @@
 using Racers = std::vector<std::unique_ptr<Racer>>;
 
 /** @return True if the grants of all racers together are within the limits. */
-bool WithinLimits(const Racers& racers) {
+bool AreWithinLimits(const Racers& racers) {
   std::map<ModelId, int> held;
   int all = 0;
   for (const auto& it : racers) {
@@ -260,11 +260,11 @@
       } catch (const Error&) {
         self.held.erase(model);
       }
-      BOOST_REQUIRE(WithinLimits(racers));
+      BOOST_REQUIRE(AreWithinLimits(racers));
     }
-    if (random() % 4 == 0) rig.store.LandLateWrites();
+    if (random() % 4 == 0) rig.store.ApplyLateWrites();
     if (random() % 2 != 0) continue;
-    co_await self.ledger.Settle();
+    co_await self.ledger.FlushPending();
   }
 }
 
@@ -276,7 +276,7 @@
     case 1:
       return Fault::kNeverArrived;
     case 2:
-      return Fault::kLandsLate;
+      return Fault::kAppliedLate;
     default:
       return Fault::kNone;
   }
@@ -287,7 +287,7 @@
 // All VMs take grants of the same models at the same time, while the key-value
 // service loses answers and applies timed-out writes late. The limits may never
 // be exceeded, and no grant may remain without a holder.
-BOOST_AUTO_TEST_CASE(RacingVmsKeepTheLimitsUnderFailingWrites) {
+BOOST_AUTO_TEST_CASE(RacingVmsKeepTheLimitsWithFailingWrites) {
   for (unsigned seed = 0; seed < 60; ++seed) {
     std::mt19937 random(seed);
     Rig rig;
@@ -306,18 +306,18 @@
     }
     rig.context.run();
     rig.store.fault = [] { return Fault::kNone; };
-    rig.store.LandLateWrites();
+    rig.store.ApplyLateWrites();
     std::size_t held = 0;
     for (const auto& it : racers) {
-      rig.Run([&]() -> Task<> { co_await it->ledger.Settle(); });
+      rig.Run([&]() -> Task<> { co_await it->ledger.FlushPending(); });
       BOOST_REQUIRE_EQUAL(it->ledger.pending(), 0);
       for (const auto& [model, grant] : it->held) {
-        const LedgerValue stands = rig.Stands();
+        const LedgerValue stands = rig.StoredLedger();
         BOOST_REQUIRE(FindGrant(stands, it->vm, model) != nullptr);
         ++held;
       }
     }
-    BOOST_REQUIRE_EQUAL(rig.Stands().grants.size(), held);
+    BOOST_REQUIRE_EQUAL(rig.StoredLedger().grants.size(), held);
   }
 }
 
--- a/src/endpoint/lane.cc
+++ b/src/endpoint/lane.cc
@@ -58,7 +58,7 @@
 }
 
 /** @return How many bids are ranked before the last one. */
-std::size_t PlaceOfLast(const std::vector<LaneEntry>& bids) {
+std::size_t RankOfLast(const std::vector<LaneEntry>& bids) {
   std::vector<policy::LoadBid> ranked;
   ranked.reserve(bids.size());
   for (const LaneEntry& it : bids) {
@@ -89,15 +89,15 @@
   }
 }
 
-bool BidOrTake(LanesValue& lanes, const LaneEntry& mine, int lanes_at_once,
-               core::WallTime now) {
+bool BidForLane(LanesValue& lanes, const LaneEntry& mine, int lanes_at_once,
+                core::WallTime now) {
   DropLapsed(lanes.holders, now);
   DropLapsed(lanes.bids, now);
   DropLane(lanes, mine.vm, mine.model);
   lanes.bids.push_back(mine);
   const auto held = lanes.holders.size();
   const auto most = static_cast<std::size_t>(std::max(lanes_at_once, 1));
-  if (held >= most || PlaceOfLast(lanes.bids) >= most - held) return false;
+  if (held >= most || RankOfLast(lanes.bids) >= most - held) return false;
   lanes.bids.pop_back();
   lanes.holders.push_back(mine);
   return true;
--- a/src/endpoint/lane_func.h
+++ b/src/endpoint/lane_func.h
@@ -23,8 +23,8 @@
  * @param lanes_at_once How many loads the store serves at full speed.
  * @return True if `lanes` now lists `mine` as a holder.
  */
-bool BidOrTake(LanesValue& lanes, const LaneEntry& mine, int lanes_at_once,
-               core::WallTime now);
+bool BidForLane(LanesValue& lanes, const LaneEntry& mine, int lanes_at_once,
+                core::WallTime now);
 
 /** Removes the bid and the lane of one load. */
 void DropLane(LanesValue& lanes, const core::VmId& vm,
--- a/src/endpoint/lane_queue.cc
+++ b/src/endpoint/lane_queue.cc
@@ -18,7 +18,7 @@
 
 namespace {
 /** Swaps tried to free a lane before it is left to lapse. */
-constexpr int kDropTries = 8;
+constexpr int kMaxLeaveTries = 8;
 }  // namespace
 
 LaneQueue::LaneQueue(LaneQueueOptions options, external::KeyValueStore& store,
@@ -31,9 +31,10 @@
       clock_.WallNow() + std::chrono::duration_cast<core::WallTime::duration>(
                              deadline - clock_.Now());
   while (true) {
-    const Answer answer = co_await Try(model, lanes_at_once, wall_deadline);
-    if (answer == Answer::kTaken) co_return true;
-    if (answer == Answer::kOutage) {
+    const EnterResult answer =
+        co_await TryEnter(model, lanes_at_once, wall_deadline);
+    if (answer == EnterResult::kTaken) co_return true;
+    if (answer == EnterResult::kOutage) {
       log_.Event(LogLevel::kWarning, LogCategory::kPlatform, "lane_skipped",
                  {{"model", model}});
       co_return true;
@@ -45,43 +46,44 @@
 
 /** Reads the lanes once and swaps them if that changes anything. A lost race or
  * an unknown outcome counts as waiting; the next read shows the result. */
-Task<LaneQueue::Answer> LaneQueue::Try(core::ModelId model, int lanes_at_once,
-                                       core::WallTime deadline) {
+Task<LaneQueue::EnterResult> LaneQueue::TryEnter(core::ModelId model,
+                                                 int lanes_at_once,
+                                                 core::WallTime deadline) {
   const core::WallTime now = clock_.WallNow();
-  LaneEntry mine{options_.vm, model, deadline, now + options_.hold_time};
+  LaneEntry mine{options_.vm, model, deadline, now + options_.hold_limit};
   try {
     const std::string key(kLanesKey);
     const auto entry = co_await store_.Get(key);
     LanesValue lanes = entry ? DecodeLanes(entry->value) : LanesValue{};
-    const bool bid_stands =
+    const bool has_bid =
         std::ranges::any_of(lanes.bids, [&](const LaneEntry& it) {
           return it.vm == mine.vm && it.model == mine.model &&
-                 it.until > now + options_.bid_time / 2;
+                 it.until > now + options_.bid_lifetime / 2;
         });
-    const bool taken = BidOrTake(lanes, mine, lanes_at_once, now);
-    if (!taken && bid_stands) co_return Answer::kWait;
-    if (!taken) lanes.bids.back().until = now + options_.bid_time;
+    const bool taken = BidForLane(lanes, mine, lanes_at_once, now);
+    if (!taken && has_bid) co_return EnterResult::kWait;
+    if (!taken) lanes.bids.back().until = now + options_.bid_lifetime;
     const std::string value = EncodeLanes(lanes);
     const std::int64_t revision = entry ? entry->revision : 0;
     const auto result =
         co_await store_.CompareAndSwap(key, revision, value, std::string());
-    co_return taken&& result.swapped ? Answer::kTaken : Answer::kWait;
+    co_return taken&& result.swapped ? EnterResult::kTaken : EnterResult::kWait;
   } catch (const Error& e) {
     co_return e.code() == core::ErrorCode::kPlatformUnavailable
-        ? Answer::kOutage
-        : Answer::kWait;
+        ? EnterResult::kOutage
+        : EnterResult::kWait;
   }
 }
 
 Task<> LaneQueue::Leave(core::ModelId model) {
-  for (int i = 0; i < kDropTries; ++i) {
-    const bool dropped = co_await Drop(model);
+  for (int i = 0; i < kMaxLeaveTries; ++i) {
+    const bool dropped = co_await TryLeave(model);
     if (dropped) co_return;
   }
 }
 
 /** @return True if no further try is needed. */
-Task<bool> LaneQueue::Drop(core::ModelId model) {
+Task<bool> LaneQueue::TryLeave(core::ModelId model) {
   try {
     const std::string key(kLanesKey);
     const auto entry = co_await store_.Get(key);
--- a/src/endpoint/lane_queue_base.h
+++ b/src/endpoint/lane_queue_base.h
@@ -16,9 +16,9 @@
 struct LaneQueueOptions {
   core::VmId vm;
   /** Time until a lane lapses if its holder doesn't free it. */
-  std::chrono::milliseconds hold_time{30'000};
+  std::chrono::milliseconds hold_limit{30'000};
   /** Time until a bid lapses if it isn't renewed. */
-  std::chrono::milliseconds bid_time{2000};
+  std::chrono::milliseconds bid_lifetime{2000};
   std::chrono::milliseconds poll{200};
 };
 
@@ -46,11 +46,11 @@
   core::Task<> Leave(core::ModelId model);
 
  private:
-  enum class Answer { kTaken, kWait, kOutage };
+  enum class EnterResult { kTaken, kWait, kOutage };
 
-  core::Task<Answer> Try(core::ModelId model, int lanes_at_once,
-                         core::WallTime deadline);
-  core::Task<bool> Drop(core::ModelId model);
+  core::Task<EnterResult> TryEnter(core::ModelId model, int lanes_at_once,
+                                   core::WallTime deadline);
+  core::Task<bool> TryLeave(core::ModelId model);
 
   const LaneQueueOptions options_;
   external::KeyValueStore& store_;
--- a/src/endpoint/lane_test.cc
+++ b/src/endpoint/lane_test.cc
@@ -28,24 +28,24 @@
 // Failure: all VMs load at the same moment and all loads are slow, because they
 // share the store. The number of concurrent loads is limited, and the load with
 // the earliest deadline goes first.
-BOOST_AUTO_TEST_CASE(FewAtOnceAndEarliestDeadlineFirst) {
+BOOST_AUTO_TEST_CASE(LoadsAreLimitedAndEarliestDeadlineGoesFirst) {
   LanesValue lanes;
-  BOOST_TEST(BidOrTake(lanes, Bid(0, 900, 1000), 1, At(0)));
-  BOOST_TEST(!BidOrTake(lanes, Bid(1, 800, 1000), 1, At(0)));
-  BOOST_TEST(!BidOrTake(lanes, Bid(2, 700, 1000), 1, At(0)));
+  BOOST_TEST(BidForLane(lanes, Bid(0, 900, 1000), 1, At(0)));
+  BOOST_TEST(!BidForLane(lanes, Bid(1, 800, 1000), 1, At(0)));
+  BOOST_TEST(!BidForLane(lanes, Bid(2, 700, 1000), 1, At(0)));
   DropLane(lanes, core::VmId("vm0"), core::ModelId("m"));
-  BOOST_TEST(!BidOrTake(lanes, Bid(1, 800, 1000), 1, At(1)));
-  BOOST_TEST(BidOrTake(lanes, Bid(2, 700, 1000), 1, At(1)));
+  BOOST_TEST(!BidForLane(lanes, Bid(1, 800, 1000), 1, At(1)));
+  BOOST_TEST(BidForLane(lanes, Bid(2, 700, 1000), 1, At(1)));
 }
 
 // Failure: a VM is reclaimed while it holds a lane, or while it waits for one,
 // and blocks the lane for ever.
-BOOST_AUTO_TEST_CASE(LapsedHoldersAndBidsCountNoMore) {
+BOOST_AUTO_TEST_CASE(LapsedHoldersAndBidsAreRemoved) {
   LanesValue lanes;
-  BOOST_TEST(BidOrTake(lanes, Bid(0, 900, 100), 1, At(0)));
-  BOOST_TEST(!BidOrTake(lanes, Bid(1, 100, 100), 1, At(0)));
-  BOOST_TEST(!BidOrTake(lanes, Bid(2, 800, 500), 1, At(99)));
-  BOOST_TEST(BidOrTake(lanes, Bid(2, 800, 500), 1, At(100)));
+  BOOST_TEST(BidForLane(lanes, Bid(0, 900, 100), 1, At(0)));
+  BOOST_TEST(!BidForLane(lanes, Bid(1, 100, 100), 1, At(0)));
+  BOOST_TEST(!BidForLane(lanes, Bid(2, 800, 500), 1, At(99)));
+  BOOST_TEST(BidForLane(lanes, Bid(2, 800, 500), 1, At(100)));
 }
 
 BOOST_AUTO_TEST_CASE(NeverMoreHoldersThanLanesOverRandomSequences) {
@@ -58,7 +58,7 @@
         DropLane(lanes, Bid(vm, 0, 0).vm, core::ModelId("m"));
       } else {
         const int deadline = static_cast<int>(random() % 500);
-        BidOrTake(lanes, Bid(vm, deadline, now + 20), 4, At(now));
+        BidForLane(lanes, Bid(vm, deadline, now + 20), 4, At(now));
       }
       lanes = DecodeLanes(EncodeLanes(lanes));
       const auto live = std::ranges::count_if(
@@ -68,14 +68,14 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(SpoiltValueCountsAsNoLanes) {
+BOOST_AUTO_TEST_CASE(CorruptValueDecodesToNoLanes) {
   BOOST_TEST(DecodeLanes("spoilt").holders.empty());
   BOOST_TEST(DecodeLanes("{\"holders\":[1]}").bids.empty());
 }
 
 // While the key-value service is down, loads that need no new grant (because an
 // unsent release is reclaimed) must continue; lanes only affect speed.
-BOOST_AUTO_TEST_CASE(OutageNeverStopsALoad) {
+BOOST_AUTO_TEST_CASE(LoadsContinueInAnOutage) {
   boost::asio::io_context context;
   const core::SystemClock clock;
   const core::Logger log({"test", core::VmId("vm"), core::ZoneId("z")},
--- a/src/endpoint/memory_ledger.cc
+++ b/src/endpoint/memory_ledger.cc
@@ -18,12 +18,12 @@
   return added;
 }
 
-void BookHeld(MemoryLedger& ledger, const MemoryHolder& holder,
-              std::int64_t bytes) {
-  std::int64_t& booked = ledger.reservations[holder];
-  if (bytes <= booked) return;
-  ledger.reserved_bytes += bytes - booked;
-  booked = bytes;
+void RecordHeld(MemoryLedger& ledger, const MemoryHolder& holder,
+                std::int64_t bytes) {
+  std::int64_t& recorded = ledger.reservations[holder];
+  if (bytes <= recorded) return;
+  ledger.reserved_bytes += bytes - recorded;
+  recorded = bytes;
 }
 
 void Release(MemoryLedger& ledger, const MemoryHolder& holder) {
--- a/src/endpoint/memory_ledger_func.h
+++ b/src/endpoint/memory_ledger_func.h
@@ -24,8 +24,8 @@
  * reserved even if that exceeds the capacity, so that nothing else is loaded
  * there. Replaces an earlier reservation of the holder if that was smaller.
  */
-void BookHeld(MemoryLedger& ledger, const MemoryHolder& holder,
-              std::int64_t bytes);
+void RecordHeld(MemoryLedger& ledger, const MemoryHolder& holder,
+                std::int64_t bytes);
 
 /** Ends the reservation of one holder; a model's ends its adapters' too. */
 void Release(MemoryLedger& ledger, const MemoryHolder& holder);
--- a/src/endpoint/memory_ledger_test.cc
+++ b/src/endpoint/memory_ledger_test.cc
@@ -74,12 +74,12 @@
 
 // After a restart the engine may hold more than the ledger's capacity. All of
 // it must be counted, and nothing more may be reserved.
-BOOST_AUTO_TEST_CASE(WhatIsHeldIsBookedEvenOverCapacity) {
+BOOST_AUTO_TEST_CASE(HeldMemoryIsRecordedEvenOverCapacity) {
   MemoryLedger ledger;
   ledger.capacity_bytes = 100;
   const MemoryHolder held{core::ModelId("held"), {}};
-  BookHeld(ledger, held, 120);
-  BookHeld(ledger, held, 90);
+  RecordHeld(ledger, held, 120);
+  RecordHeld(ledger, held, 90);
   BOOST_TEST(ledger.reserved_bytes == 120);
   BOOST_TEST(FreeBytes(ledger) == 0);
   BOOST_TEST(!Reserve(ledger, {core::ModelId("other"), {}}, 1));
--- a/src/endpoint/metrics.cc
+++ b/src/endpoint/metrics.cc
@@ -69,7 +69,8 @@
 Metrics::Metrics() : state_(std::make_unique<State>()) {}
 Metrics::~Metrics() = default;
 
-void Metrics::ColdLoad(std::string_view tier, std::chrono::milliseconds took) {
+void Metrics::RecordColdLoad(std::string_view tier,
+                             std::chrono::milliseconds took) {
   state_->cold_loads.Add({{"tier", std::string(tier)}}, kLoadSeconds)
       .Observe(Seconds(took).count());
 }
@@ -90,7 +91,7 @@
       .Increment();
 }
 
-void Metrics::Idle(std::chrono::milliseconds time) {
+void Metrics::AddIdleTime(std::chrono::milliseconds time) {
   state_->idle_seconds.Increment(Seconds(time).count());
 }
 
--- a/src/endpoint/metrics_base.h
+++ b/src/endpoint/metrics_base.h
@@ -34,13 +34,13 @@
 
   /** Records the time of a load, from its request until the replica is ready.
    * @param tier "memory", "disk" or "remote". */
-  void ColdLoad(std::string_view tier, std::chrono::milliseconds took);
+  void RecordColdLoad(std::string_view tier, std::chrono::milliseconds took);
   void LoadFailed(core::ErrorCode code);
   void Unloaded();
   void RunEnded(std::string_view result);
   void Refused(core::ErrorCode code);
   /** Adds time that a loaded replica spent without a request. */
-  void Idle(std::chrono::milliseconds time);
+  void AddIdleTime(std::chrono::milliseconds time);
   void KeyValueCall(std::string_view kind, std::string_view outcome);
 
   /** @return All metrics in the Prometheus text format. */
--- a/src/endpoint/order_sender.cc
+++ b/src/endpoint/order_sender.cc
@@ -24,9 +24,9 @@
 namespace {
 
 /** How long to wait for one engine status before the wait starts again. */
-constexpr std::chrono::milliseconds kLookTimeout{5000};
+constexpr std::chrono::milliseconds kStatusTimeout{5000};
 /** Longest delay caused by a missed notification. */
-constexpr std::chrono::milliseconds kTurnRecheck{1000};
+constexpr std::chrono::milliseconds kLockRecheck{1000};
 /** How often an order that the engine refuses is sent in all. */
 constexpr int kMaxTries = 3;
 
@@ -64,71 +64,71 @@
 }
 
 /** @return True while the engine loads or unloads the model. */
-bool InTransit(const EngineStatus& status, const core::ModelId& model) {
+bool IsChangingState(const EngineStatus& status, const core::ModelId& model) {
   const EngineModel* it = FindModel(status, model);
   return it != nullptr && it->state != EngineModelState::kReady;
 }
 
 }  // namespace
 
-OrderDesk::OrderDesk(OrderDeskOptions options, external::Engine& engine,
-                     EngineFollower& follower, const core::Clock& clock,
-                     const core::Logger& log)
+OrderSender::OrderSender(OrderSenderOptions options, external::Engine& engine,
+                         EngineStatusPoller& status_poller,
+                         const core::Clock& clock, const core::Logger& log)
     : options_(options),
       engine_(engine),
-      follower_(follower),
+      status_poller_(status_poller),
       clock_(clock),
       log_(log),
-      turns_(std::make_shared<Turns>()) {}
+      lock_state_(std::make_shared<LockState>()) {}
 
-Task<OrderTurn> OrderDesk::Enter() {
-  const auto turns = turns_;
+Task<OrderLock> OrderSender::Enter() {
+  const auto lock_state = lock_state_;
   while (true) {
-    const auto epoch = turns->freed.epoch();
+    const auto epoch = lock_state->freed.epoch();
     {
-      const std::lock_guard lock(turns->mutex);
-      if (!turns->held) {
-        turns->held = true;
-        ++turns->count;
+      const std::lock_guard lock(lock_state->mutex);
+      if (!lock_state->held) {
+        lock_state->held = true;
+        ++lock_state->count;
         break;
       }
     }
-    co_await turns->freed.Wait(epoch, kTurnRecheck);
+    co_await lock_state->freed.Wait(epoch, kLockRecheck);
   }
-  co_return OrderTurn(nullptr, [turns](void*) {
+  co_return OrderLock(nullptr, [lock_state](void*) {
     {
-      const std::lock_guard lock(turns->mutex);
-      turns->held = false;
+      const std::lock_guard lock(lock_state->mutex);
+      lock_state->held = false;
     }
-    turns->freed.Notify();
+    lock_state->freed.Notify();
   });
 }
 
-std::uint64_t OrderDesk::QuietMark() const {
-  const std::lock_guard lock(turns_->mutex);
-  return turns_->held ? 0 : turns_->count;
+std::uint64_t OrderSender::IdleSequence() const {
+  const std::lock_guard lock(lock_state_->mutex);
+  return lock_state_->held ? 0 : lock_state_->count;
 }
 
-std::int64_t OrderDesk::NextFence() const {
+std::int64_t OrderSender::NextFence() const {
   std::int64_t seen = 0;
-  if (const auto status = follower_.Latest()) seen = status->fence;
+  if (const auto status = status_poller_.Latest()) seen = status->fence;
   const std::lock_guard lock(mutex_);
   return std::max(last_fence_, seen) + 1;
 }
 
-void OrderDesk::RaiseFence(std::int64_t fence) {
+void OrderSender::RaiseFence(std::int64_t fence) {
   const std::lock_guard lock(mutex_);
   last_fence_ = std::max(last_fence_, fence);
 }
 
-std::int64_t OrderDesk::TakeFence() {
+std::int64_t OrderSender::TakeFence() {
   const std::int64_t next = NextFence();
   RaiseFence(next);
   return next;
 }
 
-Task<OrderResult> OrderDesk::Give(EngineOrder order,
-                                  std::function<void()> outcome_lost) {
+Task<OrderResult> OrderSender::Execute(EngineOrder order,
+                                       std::function<void()> outcome_lost) {
   log_.Event(LogLevel::kInfo, LogCategory::kReplica, "order_given",
              {{"kind", NameOf(order.kind)},
               {"model", order.model},
@@ -143,19 +143,19 @@
                 {"fence", order.fence},
                 {"error", std::string(error->what())}});
     if (error->code() == ErrorCode::kEngineRefusedOrder) {
-      OrderResult result = co_await AfterRefusal(order, *error);
+      OrderResult result = co_await PrepareRetry(order, *error);
       if (result.carried_out || i >= kMaxTries) co_return result;
       continue;
     }
     if (error->code() == ErrorCode::kOutcomeUnknown) {
       outcome_lost();
-      co_return co_await FindOut(order, *error);
+      co_return co_await ResolveOutcome(order, *error);
     }
     co_return OrderResult{false, error};
   }
 }
 
-Task<std::optional<Error>> OrderDesk::Send(EngineOrder order) {
+Task<std::optional<Error>> OrderSender::Send(EngineOrder order) {
   try {
     co_await engine_.Order(std::move(order), options_.order_timeout);
   } catch (const Error& e) {
@@ -165,9 +165,10 @@
 }
 
 /** Waits for a status that shows no order in progress. */
-Task<EngineFollower::StatusPtr> OrderDesk::QuietStatus() {
+Task<EngineStatusPoller::StatusPtr> OrderSender::WaitForIdleStatus() {
   while (true) {
-    const auto status = co_await follower_.Fresh(kLookTimeout);
+    const auto status =
+        co_await status_poller_.WaitForNewStatus(kStatusTimeout);
     if (status && !status->order_in_progress) co_return status;
   }
 }
@@ -178,8 +179,8 @@
  * fence is too small (the predecessor's were larger). Once the engine is idle
  * its fence is known, and the next try uses a larger one.
  */
-Task<OrderResult> OrderDesk::AfterRefusal(EngineOrder order, Error error) {
-  const auto status = co_await QuietStatus();
+Task<OrderResult> OrderSender::PrepareRetry(EngineOrder order, Error error) {
+  const auto status = co_await WaitForIdleStatus();
   RaiseFence(status->fence);
   co_return OrderResult{ShowsEffect(*status, order), error};
 }
@@ -191,18 +192,18 @@
  * carried out once the status shows its effect, and as not carried out once the
  * engine has been idle without it for longer than an order can be in transit.
  */
-Task<OrderResult> OrderDesk::FindOut(EngineOrder order, Error error) {
-  std::optional<core::SteadyTime> quiet_since;
+Task<OrderResult> OrderSender::ResolveOutcome(EngineOrder order, Error error) {
+  std::optional<core::SteadyTime> idle_since;
   while (true) {
-    const auto status = co_await QuietStatus();
-    if (InTransit(*status, order.model)) {
-      quiet_since.reset();
+    const auto status = co_await WaitForIdleStatus();
+    if (IsChangingState(*status, order.model)) {
+      idle_since.reset();
       continue;
     }
     if (ShowsEffect(*status, order)) co_return OrderResult{true, std::nullopt};
     const core::SteadyTime now = clock_.Now();
-    if (!quiet_since) quiet_since = now;
-    if (now - *quiet_since >= options_.settle_time) {
+    if (!idle_since) idle_since = now;
+    if (now - *idle_since >= options_.settle_time) {
       co_return OrderResult{false, error};
     }
   }
--- a/src/endpoint/order_sender_base.h
+++ b/src/endpoint/order_sender_base.h
@@ -20,7 +20,7 @@
 
 namespace sapphire::endpoint {
 
-struct OrderDeskOptions {
+struct OrderSenderOptions {
   /** Longest time one order may take. */
   std::chrono::milliseconds order_timeout{60'000};
   /** How long the engine must show neither the effect of an order of unknown
@@ -37,22 +37,22 @@
 };
 
 /** Exclusive right to send orders; released when the last copy is dropped. */
-using OrderTurn = std::shared_ptr<void>;
+using OrderLock = std::shared_ptr<void>;
 
 /**
  * The only sender of orders to the engine. Each order's fence is larger than
  * all before it, so that an engine which honours fencing refuses a copy that
  * arrives late. Thread-safe.
  */
-class OrderDesk {
+class OrderSender {
  public:
   /** @pre All references outlive the object. */
-  OrderDesk(OrderDeskOptions options, external::Engine& engine,
-            EngineFollower& follower, const core::Clock& clock,
-            const core::Logger& log);
+  OrderSender(OrderSenderOptions options, external::Engine& engine,
+              EngineStatusPoller& status_poller, const core::Clock& clock,
+              const core::Logger& log);
 
   /** Waits for the order lock. @pre The calling coroutine runs on a strand. */
-  core::Task<OrderTurn> Enter();
+  core::Task<OrderLock> Enter();
 
   /**
    * Sends an order and waits, without a time limit, until its outcome is
@@ -60,13 +60,13 @@
    * @param outcome_lost Called if the answer did not arrive.
    * @pre The caller holds the order lock.
    */
-  core::Task<OrderResult> Give(external::EngineOrder order,
-                               std::function<void()> outcome_lost);
+  core::Task<OrderResult> Execute(external::EngineOrder order,
+                                  std::function<void()> outcome_lost);
 
   /** @return How often the order lock was taken so far; 0 while it is held. A
    * status read is consistent with this process's records if the value was the
    * same, and not 0, at both ends of the read. */
-  [[nodiscard]] std::uint64_t QuietMark() const;
+  [[nodiscard]] std::uint64_t IdleSequence() const;
 
   /** @return The lowest fence that the next grant may have. */
   [[nodiscard]] std::int64_t NextFence() const;
@@ -75,7 +75,7 @@
   void RaiseFence(std::int64_t fence);
 
  private:
-  struct Turns {
+  struct LockState {
     std::mutex mutex;
     core::Signal freed;
     bool held = false;
@@ -83,19 +83,19 @@
   };
 
   core::Task<std::optional<core::Error>> Send(external::EngineOrder order);
-  core::Task<OrderResult> FindOut(external::EngineOrder order,
-                                  core::Error error);
-  core::Task<OrderResult> AfterRefusal(external::EngineOrder order,
+  core::Task<OrderResult> ResolveOutcome(external::EngineOrder order,
+                                         core::Error error);
+  core::Task<OrderResult> PrepareRetry(external::EngineOrder order,
                                        core::Error error);
-  core::Task<EngineFollower::StatusPtr> QuietStatus();
+  core::Task<EngineStatusPoller::StatusPtr> WaitForIdleStatus();
   std::int64_t TakeFence();
 
-  const OrderDeskOptions options_;
+  const OrderSenderOptions options_;
   external::Engine& engine_;
-  EngineFollower& follower_;
+  EngineStatusPoller& status_poller_;
   const core::Clock& clock_;
   const core::Logger& log_;
-  const std::shared_ptr<Turns> turns_;
+  const std::shared_ptr<LockState> lock_state_;
   mutable std::mutex mutex_;
   std::int64_t last_fence_ = 0;
 };
--- a/src/endpoint/replica_life.cc
+++ b/src/endpoint/replica_life.cc
@@ -17,16 +17,16 @@
 namespace msm = boost::msm;
 using msm::front::none;
 
-struct Wanted {};
+struct Started {};
 struct FoundLoaded {};
 struct LoadOrdered {};
-struct ShownLoaded {};
-struct ShownAbsent {};
+struct SeenLoaded {};
+struct SeenAbsent {};
 struct OutcomeLost {};
 struct DrainStarted {};
-struct DrainCalledOff {};
+struct DrainCancelled {};
 struct UnloadOrdered {};
-struct GrantHandedBack {};
+struct GrantReleased {};
 
 struct Absent : msm::front::state<> {};
 struct Granted : msm::front::state<> {};
@@ -46,24 +46,24 @@
   // MSM requires this name.
   // NOLINTNEXTLINE(readability-identifier-naming)
   struct transition_table : boost::mpl::vector<
-      Row<Absent,    Wanted,          Granted>,
-      Row<Absent,    FoundLoaded,     Ready>,
-      Row<Granted,   FoundLoaded,     Ready>,
-      Row<Granted,   LoadOrdered,     Loading>,
-      Row<Granted,   GrantHandedBack, Absent>,
-      Row<Loading,   ShownLoaded,     Ready>,
-      Row<Loading,   ShownAbsent,     Granted>,
-      Row<Loading,   OutcomeLost,     Unknown>,
-      Row<Ready,     DrainStarted,    Draining>,
-      Row<Ready,     ShownAbsent,     Granted>,
-      Row<Draining,  DrainCalledOff,  Ready>,
-      Row<Draining,  UnloadOrdered,   Unloading>,
-      Row<Draining,  ShownAbsent,     Granted>,
-      Row<Unloading, ShownAbsent,     Granted>,
-      Row<Unloading, ShownLoaded,     Draining>,
-      Row<Unloading, OutcomeLost,     Unknown>,
-      Row<Unknown,   ShownLoaded,     Draining>,
-      Row<Unknown,   ShownAbsent,     Granted>
+      Row<Absent,    Started,        Granted>,
+      Row<Absent,    FoundLoaded,    Ready>,
+      Row<Granted,   FoundLoaded,    Ready>,
+      Row<Granted,   LoadOrdered,    Loading>,
+      Row<Granted,   GrantReleased,  Absent>,
+      Row<Loading,   SeenLoaded,     Ready>,
+      Row<Loading,   SeenAbsent,     Granted>,
+      Row<Loading,   OutcomeLost,    Unknown>,
+      Row<Ready,     DrainStarted,   Draining>,
+      Row<Ready,     SeenAbsent,     Granted>,
+      Row<Draining,  DrainCancelled, Ready>,
+      Row<Draining,  UnloadOrdered,  Unloading>,
+      Row<Draining,  SeenAbsent,     Granted>,
+      Row<Unloading, SeenAbsent,     Granted>,
+      Row<Unloading, SeenLoaded,     Draining>,
+      Row<Unloading, OutcomeLost,    Unknown>,
+      Row<Unknown,   SeenLoaded,     Draining>,
+      Row<Unknown,   SeenAbsent,     Granted>
   > {};
   // clang-format on
 
@@ -101,26 +101,26 @@
     return machine_->fsm.process_event(typed) == msm::back::HANDLED_TRUE;
   };
   switch (event) {
-    case ReplicaEvent::kWanted:
-      return process(Wanted{});
+    case ReplicaEvent::kStarted:
+      return process(Started{});
     case ReplicaEvent::kFoundLoaded:
       return process(FoundLoaded{});
     case ReplicaEvent::kLoadOrdered:
       return process(LoadOrdered{});
-    case ReplicaEvent::kShownLoaded:
-      return process(ShownLoaded{});
-    case ReplicaEvent::kShownAbsent:
-      return process(ShownAbsent{});
+    case ReplicaEvent::kSeenLoaded:
+      return process(SeenLoaded{});
+    case ReplicaEvent::kSeenAbsent:
+      return process(SeenAbsent{});
     case ReplicaEvent::kOutcomeLost:
       return process(OutcomeLost{});
     case ReplicaEvent::kDrainStarted:
       return process(DrainStarted{});
-    case ReplicaEvent::kDrainCalledOff:
-      return process(DrainCalledOff{});
+    case ReplicaEvent::kDrainCancelled:
+      return process(DrainCancelled{});
     case ReplicaEvent::kUnloadOrdered:
       return process(UnloadOrdered{});
-    case ReplicaEvent::kGrantHandedBack:
-      return process(GrantHandedBack{});
+    case ReplicaEvent::kGrantReleased:
+      return process(GrantReleased{});
   }
   return false;
 }
--- a/src/endpoint/replica_life_base.h
+++ b/src/endpoint/replica_life_base.h
@@ -18,16 +18,16 @@
 };
 
 enum class ReplicaEvent {
-  kWanted,           ///< A grant is being taken.
-  kFoundLoaded,      ///< The engine holds the model without an order from here.
-  kLoadOrdered,      ///< The load order is about to be sent.
-  kShownLoaded,      ///< The engine confirmed, or shows, the model loaded.
-  kShownAbsent,      ///< The engine confirmed, or shows, the model absent.
-  kOutcomeLost,      ///< An order's answer didn't arrive.
-  kDrainStarted,     ///< The replica must or may be unloaded.
-  kDrainCalledOff,   ///< It is needed again before the unload was ordered.
-  kUnloadOrdered,    ///< The unload order is about to be sent.
-  kGrantHandedBack,  ///< The grant was released.
+  kStarted,         ///< A load started; its grant is being taken.
+  kFoundLoaded,     ///< The engine holds the model without an order from here.
+  kLoadOrdered,     ///< The load order is about to be sent.
+  kSeenLoaded,      ///< The engine confirmed, or shows, the model loaded.
+  kSeenAbsent,      ///< The engine confirmed, or shows, the model absent.
+  kOutcomeLost,     ///< An order's answer didn't arrive.
+  kDrainStarted,    ///< The replica must or may be unloaded.
+  kDrainCancelled,  ///< It is needed again before the unload was ordered.
+  kUnloadOrdered,   ///< The unload order is about to be sent.
+  kGrantReleased,   ///< The grant was released.
 };
 
 std::string_view NameOf(ReplicaPhase phase);
--- a/src/endpoint/replica_life_test.cc
+++ b/src/endpoint/replica_life_test.cc
@@ -11,22 +11,22 @@
 using Event = ReplicaEvent;
 using Phase = ReplicaPhase;
 
-BOOST_AUTO_TEST_CASE(WholeLife) {
+BOOST_AUTO_TEST_CASE(AcceptsTransitionsOfAWholeLifecycle) {
   ReplicaLife life;
   BOOST_TEST((life.phase() == Phase::kAbsent));
   const std::vector<std::pair<Event, Phase>> steps = {
-      {Event::kWanted, Phase::kGranted},
+      {Event::kStarted, Phase::kGranted},
       {Event::kLoadOrdered, Phase::kLoading},
-      {Event::kShownLoaded, Phase::kReady},
+      {Event::kSeenLoaded, Phase::kReady},
       {Event::kDrainStarted, Phase::kDraining},
-      {Event::kDrainCalledOff, Phase::kReady},
+      {Event::kDrainCancelled, Phase::kReady},
       {Event::kDrainStarted, Phase::kDraining},
       {Event::kUnloadOrdered, Phase::kUnloading},
       {Event::kOutcomeLost, Phase::kUnknown},
-      {Event::kShownAbsent, Phase::kGranted},
-      {Event::kGrantHandedBack, Phase::kAbsent},
+      {Event::kSeenAbsent, Phase::kGranted},
+      {Event::kGrantReleased, Phase::kAbsent},
       {Event::kFoundLoaded, Phase::kReady},
-      {Event::kShownAbsent, Phase::kGranted},
+      {Event::kSeenAbsent, Phase::kGranted},
   };
   for (const auto& [event, phase] : steps) {
     BOOST_TEST(life.Apply(event));
@@ -37,23 +37,23 @@
 // Failure: a grant was released while the model might still be loaded, so that
 // another VM loaded one replica too many. An event was accepted in a wrong
 // phase.
-BOOST_AUTO_TEST_CASE(GrantCanNotGoBackBeforeAbsenceIsShown) {
+BOOST_AUTO_TEST_CASE(GrantIsNotReleasedBeforeTheModelIsSeenAbsent) {
   ReplicaLife life;
   const auto refuses = [&life] {
     const Phase before = life.phase();
-    return !life.Apply(Event::kGrantHandedBack) && life.phase() == before;
+    return !life.Apply(Event::kGrantReleased) && life.phase() == before;
   };
   BOOST_TEST(refuses());
-  for (const Event it : {Event::kWanted, Event::kLoadOrdered}) life.Apply(it);
+  for (const Event it : {Event::kStarted, Event::kLoadOrdered}) life.Apply(it);
   BOOST_TEST(refuses());
   life.Apply(Event::kOutcomeLost);
   BOOST_TEST(refuses());
-  life.Apply(Event::kShownLoaded);
+  life.Apply(Event::kSeenLoaded);
   BOOST_TEST(refuses());
   life.Apply(Event::kUnloadOrdered);
   BOOST_TEST(refuses());
-  life.Apply(Event::kShownAbsent);
-  BOOST_TEST(life.Apply(Event::kGrantHandedBack));
+  life.Apply(Event::kSeenAbsent);
+  BOOST_TEST(life.Apply(Event::kGrantReleased));
 }
 
 }  // namespace sapphire::endpoint
--- a/src/endpoint/replica_reconciler_base.h
+++ b/src/endpoint/replica_reconciler_base.h
@@ -14,7 +14,7 @@
 
 namespace sapphire::endpoint {
 
-struct ReplicaKeeperOptions {
+struct ReplicaReconcilerOptions {
   core::VmId vm;
   /** Keep-alive time of replicas found loaded, until a caller sets another. */
   std::chrono::milliseconds keep_alive{60'000};
@@ -30,15 +30,15 @@
  * Compares the replica table with the engine's status and with the ledgers, and
  * unloads replicas that are idle, over a limit or no longer configured.
  */
-class ReplicaKeeper {
+class ReplicaReconciler {
  public:
   /** @pre `worker` outlives the object. */
-  ReplicaKeeper(EndpointParts parts, ReplicaKeeperOptions options,
-                ReplicaWorker& worker);
+  ReplicaReconciler(EndpointParts parts, ReplicaReconcilerOptions options,
+                    ReplicaWorker& worker);
 
   /** Updates the replica table from a status of the engine; the listener of
-   * EngineFollower.
-   * @param mark OrderDesk::QuietMark at the start of the read. */
+   * EngineStatusPoller.
+   * @param mark OrderSender::IdleSequence at the start of the read. */
   void Reconcile(const external::EngineStatus& status, std::uint64_t mark);
 
   /** Starts periodic sweeps and audits, which run until Stop. */
@@ -46,7 +46,7 @@
   void Stop();
 
   /** Requests an audit with the next sweep. */
-  void AuditSoon() { audit_due_ = true; }
+  void RequestAudit() { audit_due_ = true; }
 
   /** Checks every replica and starts the unloads that are due. */
   void Sweep();
@@ -64,28 +64,29 @@
  private:
   core::Task<> Run();
   core::Task<> AuditIfDue();
-  core::Task<> NoteVersions(std::map<core::ServiceId, LedgerValue> ledgers);
-  core::Task<> SettleIfDue();
+  core::Task<> RecordConfigVersions(
+      std::map<core::ServiceId, LedgerValue> ledgers);
+  core::Task<> FlushPendingIfDue();
   void AdoptModel(const external::EngineModel& model);
   void AdoptAdapters(Replica& replica, const external::EngineModel& model);
   void DropMissing(const external::EngineStatus& status);
   [[nodiscard]] std::set<ReplicaPtr> IdleToUnload(
       const std::vector<ReplicaPtr>& all) const;
   void SweepOne(const ReplicaPtr& replica, bool unwanted);
-  bool MayStay(Replica& replica, bool unwanted) const;
+  bool ShouldStayLoaded(Replica& replica, bool unwanted) const;
   void ReleaseOrphans(const core::ServiceId& service,
                       const LedgerValue& ledger);
-  void ForgetLostGrants(const core::ServiceId& service,
-                        const LedgerValue& ledger);
+  void ClearLostGrants(const core::ServiceId& service,
+                       const LedgerValue& ledger);
   void DrainSurplus(const core::ServiceId& service, const LedgerValue& ledger);
 
   EndpointParts parts_;
-  const ReplicaKeeperOptions options_;
+  const ReplicaReconcilerOptions options_;
   ReplicaWorker& worker_;
   std::atomic<bool> stopped_ = false;
   std::atomic<bool> audit_due_ = true;
   core::SteadyTime next_audit_;
-  core::SteadyTime next_settle_;
+  core::SteadyTime next_flush_;
 };
 
 }  // namespace sapphire::endpoint
--- a/src/endpoint/replica_table.cc
+++ b/src/endpoint/replica_table.cc
@@ -36,10 +36,10 @@
   return Reserve(memory_, holder, bytes);
 }
 
-void ReplicaTable::BookHeldMemory(const MemoryHolder& holder,
-                                  std::int64_t bytes) {
+void ReplicaTable::RecordHeldMemory(const MemoryHolder& holder,
+                                    std::int64_t bytes) {
   const std::lock_guard lock(memory_mutex_);
-  BookHeld(memory_, holder, bytes);
+  RecordHeld(memory_, holder, bytes);
 }
 
 void ReplicaTable::ReleaseMemory(const MemoryHolder& holder) {
--- a/src/endpoint/replica_table_base.h
+++ b/src/endpoint/replica_table_base.h
@@ -32,7 +32,7 @@
 
   void SetCapacity(std::int64_t bytes);
   bool ReserveMemory(const MemoryHolder& holder, std::int64_t bytes);
-  void BookHeldMemory(const MemoryHolder& holder, std::int64_t bytes);
+  void RecordHeldMemory(const MemoryHolder& holder, std::int64_t bytes);
   void ReleaseMemory(const MemoryHolder& holder);
   [[nodiscard]] MemoryLedger Memory() const;
 
--- a/src/endpoint/replica_type.h
+++ b/src/endpoint/replica_type.h
@@ -43,9 +43,9 @@
    * was sent. */
   core::SteadyTime grant_seen;
   /** True while a load, unload or grant check runs for it. */
-  bool working = false;
+  bool task_active = false;
   /** The replica must be unloaded; its drain can't be cancelled. */
-  bool must_go = false;
+  bool must_unload = false;
   int running = 0;
   int max_concurrent = 1;
   core::SteadyTime idle_since;
--- a/src/endpoint/replica_worker.cc
+++ b/src/endpoint/replica_worker.cc
@@ -26,7 +26,7 @@
 constexpr Millis kLaneRetryAfter{3000};
 constexpr std::string_view kRemote = "remote";
 /** Time limit of a background grant check. */
-constexpr Millis kGrantCheckTime{5000};
+constexpr Millis kGrantCheckTimeout{5000};
 
 Millis Between(core::SteadyTime from, core::SteadyTime to) {
   return std::chrono::duration_cast<Millis>(to - from);
@@ -54,7 +54,7 @@
 }
 
 std::string_view ReplicaWorker::TierOf(const core::ModelId& model) const {
-  const auto status = parts_.follower.Latest();
+  const auto status = parts_.status_poller.Latest();
   const auto holds = [&](const std::vector<core::ModelId>& tier) {
     return std::ranges::find(tier, model) != tier.end();
   };
@@ -73,14 +73,15 @@
   });
 }
 
-void ReplicaWorker::StartLoad(const ReplicaPtr& replica, LoadWish wish) {
-  StartTask("load", [this, replica, wish] { return Load(replica, wish); });
+void ReplicaWorker::StartLoad(const ReplicaPtr& replica, LoadRequest request) {
+  StartTask("load",
+            [this, replica, request] { return Load(replica, request); });
 }
 
-Task<> ReplicaWorker::Load(ReplicaPtr replica, LoadWish wish) {
+Task<> ReplicaWorker::Load(ReplicaPtr replica, LoadRequest request) {
   std::optional<Error> failure;
   try {
-    co_await LoadSteps(replica, std::move(wish));
+    co_await LoadSteps(replica, std::move(request));
   } catch (const Error& e) {
     failure = e;
   }
@@ -96,22 +97,22 @@
       ++replica->failures;
       replica->last_failure = failure;
     }
-    replica->working = false;
+    replica->task_active = false;
   }
   parts_.table.changed().Notify();
   // Ends the replica's own grant if its load failed, and the grants of models
   // that were evicted for it.
-  co_await parts_.ledger.Settle();
+  co_await parts_.ledger.FlushPending();
 }
 
-Task<> ReplicaWorker::LoadSteps(ReplicaPtr replica, LoadWish wish) {
+Task<> ReplicaWorker::LoadSteps(ReplicaPtr replica, LoadRequest request) {
   const core::SteadyTime begun = parts_.clock.Now();
   const contract::Model spec = SpecOf(replica->model);
   const std::string_view tier = TierOf(replica->model);
-  CheckRoom(spec, wish.evict);
+  CheckRoom(spec, request.evict);
   {
     const std::lock_guard lock(replica->mutex);
-    replica->life.Apply(ReplicaEvent::kWanted);
+    replica->life.Apply(ReplicaEvent::kStarted);
     replica->service = spec.service;
     replica->version = spec.version;
     replica->max_concurrent = spec.max_concurrent;
@@ -119,22 +120,22 @@
   parts_.table.changed().Notify();
   std::optional<Error> failure;
   try {
-    co_await TakeGrant(replica, wish.deadline);
+    co_await TakeGrant(replica, request.deadline);
     if (tier == kRemote) {
-      co_await LoadThroughLane(replica, spec, std::move(wish));
+      co_await LoadThroughLane(replica, spec, std::move(request));
     } else {
-      co_await OrderLoad(replica, spec, std::move(wish));
+      co_await OrderLoad(replica, spec, std::move(request));
     }
   } catch (const Error& e) {
     failure = e;
   }
   if (failure) {
     const std::lock_guard lock(replica->mutex);
-    HandBack(*replica);
+    ReleaseGrant(*replica);
     throw *failure;
   }
   const Millis took = Between(begun, parts_.clock.Now());
-  parts_.metrics.ColdLoad(tier, took);
+  parts_.metrics.RecordColdLoad(tier, took);
   parts_.log.Event(
       LogLevel::kInfo, LogCategory::kReplica, "model_loaded",
       {{"model", replica->model}, {"tier", tier}, {"took_ms", took}});
@@ -142,11 +143,11 @@
 
 /** Loads from the weight store, whose lanes are shared by the whole fleet. */
 Task<> ReplicaWorker::LoadThroughLane(ReplicaPtr replica, contract::Model spec,
-                                      LoadWish wish) {
+                                      LoadRequest request) {
   const auto config = parts_.config.Current();
   const int at_once = config ? config->intent.loads_at_once : 1;
   const bool entered =
-      co_await parts_.lanes.Enter(replica->model, at_once, wish.deadline);
+      co_await parts_.lanes.Enter(replica->model, at_once, request.deadline);
   if (!entered) {
     throw Error(ErrorCode::kDeadlineTooShort,
                 "no lane of the weight store for " + replica->model.value(),
@@ -154,7 +155,7 @@
   }
   std::optional<Error> failure;
   try {
-    co_await OrderLoad(replica, std::move(spec), std::move(wish));
+    co_await OrderLoad(replica, std::move(spec), std::move(request));
   } catch (const Error& e) {
     failure = e;
   }
@@ -170,8 +171,8 @@
   const auto config = parts_.config.Current();
   if (!config) throw Error(ErrorCode::kNotConfigured);
   const Grant grant = co_await parts_.ledger.Take(
-      config, replica->model, parts_.desk.NextFence(), deadline);
-  parts_.desk.RaiseFence(grant.fence);
+      config, replica->model, parts_.order_sender.NextFence(), deadline);
+  parts_.order_sender.RaiseFence(grant.fence);
   const std::lock_guard lock(replica->mutex);
   replica->grant = grant;
   replica->grant_seen = parts_.clock.Now();
@@ -182,19 +183,19 @@
 }
 
 /**
- * Takes the grant again if it is older than grant_trust_. If the process is
+ * Takes the grant again if it is older than max_grant_age_. If the process is
  * suspended between its grant and its order, the platform may list its VM as
  * gone and another VM may get the grant. On resuming, the process would load
  * one replica too many.
  */
-Task<> ReplicaWorker::RenewTrust(ReplicaPtr replica,
-                                 core::SteadyTime deadline) {
+Task<> ReplicaWorker::RefreshStaleGrant(ReplicaPtr replica,
+                                        core::SteadyTime deadline) {
   core::SteadyTime seen;
   {
     const std::lock_guard lock(replica->mutex);
     seen = replica->grant_seen;
   }
-  if (parts_.clock.Now() - seen <= grant_trust_) co_return;
+  if (parts_.clock.Now() - seen <= max_grant_age_) co_return;
   {
     const std::lock_guard lock(replica->mutex);
     replica->grant.reset();
@@ -203,13 +204,13 @@
 }
 
 Task<> ReplicaWorker::OrderLoad(ReplicaPtr replica, contract::Model spec,
-                                LoadWish wish) {
-  const OrderTurn turn = co_await parts_.desk.Enter();
+                                LoadRequest request) {
+  const OrderLock order_lock = co_await parts_.order_sender.Enter();
   if (parts_.table.leaving) throw Error(ErrorCode::kLeaving);
-  co_await RenewTrust(replica, wish.deadline);
+  co_await RefreshStaleGrant(replica, request.deadline);
   const MemoryHolder holder{replica->model, {}};
   co_await MakeRoom(holder, spec.weight_bytes + spec.kv_budget_bytes,
-                    std::move(wish.evict));
+                    std::move(request.evict));
   {
     const std::lock_guard lock(replica->mutex);
     replica->life.Apply(ReplicaEvent::kLoadOrdered);
@@ -221,37 +222,37 @@
   order.bytes = spec.weight_bytes;
   order.kv_budget_bytes = spec.kv_budget_bytes;
   std::function<void()> outcome_lost = OutcomeLostHook(replica);
-  const OrderResult result =
-      co_await parts_.desk.Give(std::move(order), std::move(outcome_lost));
+  const OrderResult result = co_await parts_.order_sender.Execute(
+      std::move(order), std::move(outcome_lost));
   const std::lock_guard lock(replica->mutex);
   if (!result.carried_out) {
-    replica->life.Apply(ReplicaEvent::kShownAbsent);
+    replica->life.Apply(ReplicaEvent::kSeenAbsent);
     parts_.table.ReleaseMemory(holder);
     throw *result.error;
   }
-  replica->life.Apply(ReplicaEvent::kShownLoaded);
+  replica->life.Apply(ReplicaEvent::kSeenLoaded);
   // From kUnknown the state machine goes to kDraining, but the replica is still
   // needed.
-  replica->life.Apply(ReplicaEvent::kDrainCalledOff);
+  replica->life.Apply(ReplicaEvent::kDrainCancelled);
   replica->idle_since = parts_.clock.Now();
 }
 
 /** @pre The replica's lock is held; phase kGranted. */
-void ReplicaWorker::HandBack(Replica& replica) {
+void ReplicaWorker::ReleaseGrant(Replica& replica) {
   if (replica.grant) parts_.ledger.Release(replica.service, *replica.grant);
   replica.grant.reset();
-  replica.must_go = false;
-  replica.life.Apply(ReplicaEvent::kGrantHandedBack);
+  replica.must_unload = false;
+  replica.life.Apply(ReplicaEvent::kGrantReleased);
 }
 
-void ReplicaWorker::NoteGone(Replica& replica) {
-  replica.life.Apply(ReplicaEvent::kShownAbsent);
+void ReplicaWorker::MarkUnloaded(Replica& replica) {
+  replica.life.Apply(ReplicaEvent::kSeenAbsent);
   parts_.table.ReleaseMemory({replica.model, {}});
   replica.adapters.clear();
   if (replica.running == 0) {
-    parts_.metrics.Idle(Between(replica.idle_since, parts_.clock.Now()));
+    parts_.metrics.AddIdleTime(Between(replica.idle_since, parts_.clock.Now()));
   }
-  HandBack(replica);
+  ReleaseGrant(replica);
 }
 
 void ReplicaWorker::StartUnload(const ReplicaPtr& replica) {
@@ -260,15 +261,15 @@
 
 Task<> ReplicaWorker::Unload(ReplicaPtr replica) {
   if (co_await WaitUntilIdle(replica)) {
-    const OrderTurn turn = co_await parts_.desk.Enter();
+    const OrderLock order_lock = co_await parts_.order_sender.Enter();
     co_await OrderUnload(replica);
   }
   {
     const std::lock_guard lock(replica->mutex);
-    replica->working = false;
+    replica->task_active = false;
   }
   parts_.table.changed().Notify();
-  co_await parts_.ledger.Settle();
+  co_await parts_.ledger.FlushPending();
 }
 
 /** @return False if the drain was cancelled or another task unloaded it. */
@@ -303,14 +304,14 @@
   order.model = replica->model;
   order.version = replica->version;
   std::function<void()> outcome_lost = OutcomeLostHook(replica);
-  const OrderResult result =
-      co_await parts_.desk.Give(std::move(order), std::move(outcome_lost));
+  const OrderResult result = co_await parts_.order_sender.Execute(
+      std::move(order), std::move(outcome_lost));
   {
     const std::lock_guard lock(replica->mutex);
     if (!result.carried_out) {
-      replica->life.Apply(ReplicaEvent::kShownLoaded);
+      replica->life.Apply(ReplicaEvent::kSeenLoaded);
     } else {
-      NoteGone(*replica);
+      MarkUnloaded(*replica);
     }
   }
   parts_.table.changed().Notify();
@@ -328,20 +329,20 @@
 Task<> ReplicaWorker::CheckGrant(ReplicaPtr replica) {
   std::optional<Error> failure;
   try {
-    co_await TakeGrant(replica, parts_.clock.Now() + kGrantCheckTime);
+    co_await TakeGrant(replica, parts_.clock.Now() + kGrantCheckTimeout);
   } catch (const Error& e) {
     failure = e;
   }
   {
     const std::lock_guard lock(replica->mutex);
-    replica->working = false;
+    replica->task_active = false;
     // The engine has lost the model in the meantime, so the grant is released.
-    if (replica->life.phase() == ReplicaPhase::kAbsent) HandBack(*replica);
+    if (replica->life.phase() == ReplicaPhase::kAbsent) ReleaseGrant(*replica);
     // Other errors, such as an outage, say nothing about the limit; the next
     // audit checks again.
     if (failure && (failure->code() == ErrorCode::kReplicaLimit ||
                     failure->code() == ErrorCode::kUnknownModel)) {
-      replica->must_go = true;
+      replica->must_unload = true;
     }
   }
   parts_.table.changed().Notify();
@@ -400,7 +401,7 @@
     const ReplicaPhase phase = it->life.phase();
     const bool may_go =
         phase == ReplicaPhase::kDraining ||
-        (phase == ReplicaPhase::kReady && named && !it->working);
+        (phase == ReplicaPhase::kReady && named && !it->task_active);
     if (!may_go || it->running > 0 || it->idle_since >= longest) continue;
     longest = it->idle_since;
     victim = it;
--- a/src/endpoint/replica_worker_base.h
+++ b/src/endpoint/replica_worker_base.h
@@ -25,7 +25,7 @@
 namespace sapphire::endpoint {
 
 /** Deadline of a model or adapter load, and what it may evict. */
-struct LoadWish {
+struct LoadRequest {
   core::SteadyTime deadline;
   /** Idle models that may be unloaded to make room. */
   std::vector<core::ModelId> evict;
@@ -37,8 +37,8 @@
   core::Executor executor;
   contract::ConfigHolder& config;
   ReplicaTable& table;
-  EngineFollower& follower;
-  OrderDesk& desk;
+  EngineStatusPoller& status_poller;
+  OrderSender& order_sender;
   GrantLedger& ledger;
   LaneQueue& lanes;
   const core::Clock& clock;
@@ -53,26 +53,26 @@
  */
 class ReplicaWorker {
  public:
-  /** @param grant_trust Age from which a grant is looked up again before the
+  /** @param max_grant_age Age from which a grant is looked up again before the
    * load is ordered. */
   explicit ReplicaWorker(EndpointParts parts,
-                         std::chrono::milliseconds grant_trust = kGrantTrust)
-      : parts_(parts), grant_trust_(grant_trust) {}
+                         std::chrono::milliseconds max_grant_age = kMaxGrantAge)
+      : parts_(parts), max_grant_age_(max_grant_age) {}
 
   /** Well below the time after which a VM that is missing from the platform's
    * list counts as lost and its grants are ended. */
-  static constexpr std::chrono::milliseconds kGrantTrust{5000};
+  static constexpr std::chrono::milliseconds kMaxGrantAge{5000};
 
-  /** Loads in the background. @pre The caller set `working`. */
-  void StartLoad(const ReplicaPtr& replica, LoadWish wish);
+  /** Loads in the background. @pre The caller set `task_active`. */
+  void StartLoad(const ReplicaPtr& replica, LoadRequest request);
 
   /** Unloads in the background once nothing runs. @pre The caller set
-   * `working` and applied kDrainStarted. */
+   * `task_active` and applied kDrainStarted. */
   void StartUnload(const ReplicaPtr& replica);
 
   /** Takes a grant in the background for a replica that was found loaded; if it
    * is over the limit, the replica is marked for unloading.
-   * @pre The caller set `working`. */
+   * @pre The caller set `task_active`. */
   void StartGrantCheck(const ReplicaPtr& replica);
 
   /**
@@ -83,29 +83,29 @@
    * loaded.
    */
   core::Task<> EnsureAdapter(ReplicaPtr replica, core::AdapterId adapter,
-                             LoadWish wish);
+                             LoadRequest request);
 
   /** Frees the memory and the grant of a replica that the engine no longer
    * holds. @pre Its lock is held; phase kReady, kDraining or kUnloading. */
-  void NoteGone(Replica& replica);
+  void MarkUnloaded(Replica& replica);
 
  private:
   /** @param name Outlives the task. */
   void StartTask(std::string_view name, std::function<core::Task<>()> task);
-  core::Task<> Load(ReplicaPtr replica, LoadWish wish);
-  core::Task<> LoadSteps(ReplicaPtr replica, LoadWish wish);
+  core::Task<> Load(ReplicaPtr replica, LoadRequest request);
+  core::Task<> LoadSteps(ReplicaPtr replica, LoadRequest request);
   core::Task<> LoadThroughLane(ReplicaPtr replica, contract::Model spec,
-                               LoadWish wish);
+                               LoadRequest request);
   core::Task<> OrderLoad(ReplicaPtr replica, contract::Model spec,
-                         LoadWish wish);
-  core::Task<> RenewTrust(ReplicaPtr replica, core::SteadyTime deadline);
+                         LoadRequest request);
+  core::Task<> RefreshStaleGrant(ReplicaPtr replica, core::SteadyTime deadline);
   core::Task<> TakeGrant(ReplicaPtr replica, core::SteadyTime deadline);
   core::Task<> Unload(ReplicaPtr replica);
   core::Task<bool> WaitUntilIdle(ReplicaPtr replica);
   core::Task<bool> OrderUnload(ReplicaPtr replica);
   core::Task<> CheckGrant(ReplicaPtr replica);
   bool UseAdapter(Replica& replica, const contract::Adapter& spec,
-                  const LoadWish& wish, int failures_before);
+                  const LoadRequest& request, int failures_before);
   core::Task<> LoadAdapter(ReplicaPtr replica, contract::Adapter spec,
                            std::vector<core::ModelId> evict);
   core::Task<> MakeRoom(MemoryHolder holder, std::int64_t bytes,
@@ -117,12 +117,12 @@
                               std::set<core::ModelId>& tried);
   void CheckRoom(const contract::Model& spec,
                  const std::vector<core::ModelId>& evict) const;
-  void HandBack(Replica& replica);
+  void ReleaseGrant(Replica& replica);
   contract::Model SpecOf(const core::ModelId& model) const;
   std::string_view TierOf(const core::ModelId& model) const;
 
   EndpointParts parts_;
-  const std::chrono::milliseconds grant_trust_;
+  const std::chrono::milliseconds max_grant_age_;
 };
 
 }  // namespace sapphire::endpoint
--- a/src/endpoint/replicas.cc
+++ b/src/endpoint/replicas.cc
@@ -28,7 +28,7 @@
 
 /** @return The state to report; none if the model is neither loaded nor being
  * loaded. */
-std::optional<gen::ReplicaState::type> Reported(const Replica& replica) {
+std::optional<gen::ReplicaState::type> ReportedState(const Replica& replica) {
   switch (replica.life.phase()) {
     case ReplicaPhase::kAbsent:
       return std::nullopt;
@@ -70,7 +70,7 @@
 
 }  // namespace
 
-void Replicas::CheckOpen() const {
+void Replicas::CheckAcceptsWork() const {
   if (parts_.table.leaving) throw Error(ErrorCode::kLeaving);
   if (!parts_.table.recovered) {
     throw Error(ErrorCode::kNoCapacity, "the engine isn't known yet",
@@ -81,13 +81,14 @@
   }
 }
 
-Task<> Replicas::Ensure(gen::EnsureModel wish) {
-  CheckOpen();
+Task<> Replicas::Ensure(gen::EnsureModel request) {
+  CheckAcceptsWork();
   const core::SteadyTime deadline =
-      parts_.clock.Now() + Millis(wish.remaining_ms);
-  LoadWish load{deadline, {}};
-  for (const std::string& it : wish.evict) load.evict.emplace_back(it);
-  const ReplicaPtr replica = parts_.table.FindOrAdd(core::ModelId(wish.model));
+      parts_.clock.Now() + Millis(request.remaining_ms);
+  LoadRequest load{deadline, {}};
+  for (const std::string& it : request.evict) load.evict.emplace_back(it);
+  const ReplicaPtr replica =
+      parts_.table.FindOrAdd(core::ModelId(request.model));
   int failures = 0;
   {
     const std::lock_guard lock(replica->mutex);
@@ -95,20 +96,21 @@
   }
   while (true) {
     const auto epoch = parts_.table.changed().epoch();
-    CheckOpen();
+    CheckAcceptsWork();
     if (StartOrCheck(replica, load, failures)) break;
     const Millis left = Between(parts_.clock.Now(), deadline);
     if (left <= Millis::zero()) {
-      throw Error(ErrorCode::kDeadlineTooShort, wish.model, kStartRetryAfter);
+      throw Error(ErrorCode::kDeadlineTooShort, request.model,
+                  kStartRetryAfter);
     }
     co_await parts_.table.changed().Wait(epoch, std::min(left, kRecheck));
   }
-  KeepFor(replica, Millis(wish.keep_alive_ms));
-  if (wish.adapter.empty()) co_return;
+  ApplyKeepAlive(replica, Millis(request.keep_alive_ms));
+  if (request.adapter.empty()) co_return;
   gen::Run use;
-  use.model = wish.model;
+  use.model = request.model;
   const RunSlot slot = TakeSlot(replica, use);
-  const core::AdapterId adapter(wish.adapter);
+  const core::AdapterId adapter(request.adapter);
   co_await worker_.EnsureAdapter(replica, adapter, std::move(load));
   TakeAdapterSlot(replica, slot, adapter);
 }
@@ -117,8 +119,8 @@
  * @return True if the replica is ready.
  * @throws Error of the load that this request waited for, if it failed.
  */
-bool Replicas::StartOrCheck(const ReplicaPtr& replica, const LoadWish& wish,
-                            int failures_before) {
+bool Replicas::StartOrCheck(const ReplicaPtr& replica,
+                            const LoadRequest& request, int failures_before) {
   const std::lock_guard lock(replica->mutex);
   if (replica->failures > failures_before) throw *replica->last_failure;
   switch (replica->life.phase()) {
@@ -127,14 +129,14 @@
     case ReplicaPhase::kDraining:
       // The drain is cancelled if the model is needed again, unless the model
       // must be unloaded (no grant, over a limit or no longer configured).
-      if (replica->must_go) {
+      if (replica->must_unload) {
         throw Error(ErrorCode::kNoCapacity, replica->model.value(),
                     kBusyRetryAfter);
       }
-      return replica->life.Apply(ReplicaEvent::kDrainCalledOff);
+      return replica->life.Apply(ReplicaEvent::kDrainCancelled);
     case ReplicaPhase::kAbsent:
-      if (!std::exchange(replica->working, true)) {
-        worker_.StartLoad(replica, wish);
+      if (!std::exchange(replica->task_active, true)) {
+        worker_.StartLoad(replica, request);
       }
       return false;
     default:
@@ -144,21 +146,21 @@
 
 Millis Replicas::KeepAliveFor(Millis wanted) const {
   if (wanted < Millis::zero()) return keep_alive_;
-  return std::max(wanted, least_keep_alive_);
+  return std::max(wanted, min_keep_alive_);
 }
 
-void Replicas::KeepFor(const ReplicaPtr& replica, Millis wanted) const {
+void Replicas::ApplyKeepAlive(const ReplicaPtr& replica, Millis wanted) const {
   const std::lock_guard lock(replica->mutex);
   replica->keep_alive = KeepAliveFor(wanted);
   if (replica->running == 0) {
     const core::SteadyTime now = parts_.clock.Now();
-    parts_.metrics.Idle(Between(replica->idle_since, now));
+    parts_.metrics.AddIdleTime(Between(replica->idle_since, now));
     replica->idle_since = now;
   }
 }
 
 Task<RunSlot> Replicas::Admit(const gen::Run& run, core::SteadyTime deadline) {
-  CheckOpen();
+  CheckAcceptsWork();
   const ReplicaPtr replica = parts_.table.Find(core::ModelId(run.model));
   if (!replica) {
     throw Error(ErrorCode::kNoCapacity, run.model + " isn't loaded",
@@ -167,8 +169,8 @@
   RunSlot slot = TakeSlot(replica, run);
   if (run.adapter.empty()) co_return slot;
   const core::AdapterId adapter(run.adapter);
-  LoadWish wish{deadline, {}};
-  co_await worker_.EnsureAdapter(replica, adapter, std::move(wish));
+  LoadRequest request{deadline, {}};
+  co_await worker_.EnsureAdapter(replica, adapter, std::move(request));
   co_return TakeAdapterSlot(replica, std::move(slot), adapter);
 }
 
@@ -183,7 +185,8 @@
       throw Error(ErrorCode::kQueueFull, run.model, kBusyRetryAfter);
     }
     if (replica->running++ == 0) {
-      parts_.metrics.Idle(Between(replica->idle_since, parts_.clock.Now()));
+      parts_.metrics.AddIdleTime(
+          Between(replica->idle_since, parts_.clock.Now()));
     }
     if (run.keep_alive_ms >= 0) {
       replica->keep_alive = KeepAliveFor(Millis(run.keep_alive_ms));
@@ -227,7 +230,7 @@
   report.reserved_bytes = memory.reserved_bytes;
   for (const ReplicaPtr& it : parts_.table.All()) {
     const std::lock_guard lock(it->mutex);
-    const auto state = Reported(*it);
+    const auto state = ReportedState(*it);
     if (!state) continue;
     gen::ReplicaReport replica = ReportOf(*it, *state, now);
     replica.bytes = BytesOf(memory, it->model);
@@ -235,11 +238,11 @@
     report.max_running += it->max_concurrent;
     report.replicas.push_back(std::move(replica));
   }
-  if (const auto status = parts_.follower.Latest()) {
+  if (const auto status = parts_.status_poller.Latest()) {
     report.memory_tier = NamesOf(status->memory_tier);
     report.disk_tier = NamesOf(status->disk_tier);
   }
-  report.engine_up = parts_.follower.up() && parts_.table.recovered;
+  report.engine_up = parts_.status_poller.up() && parts_.table.recovered;
 }
 
 }  // namespace sapphire::endpoint
--- a/src/endpoint/replicas_test.cc
+++ b/src/endpoint/replicas_test.cc
@@ -22,8 +22,8 @@
 }
 
 /** One endpoint with one engine. */
-struct Single {
-  explicit Single(int per_model = 1, int per_service = 9) {
+struct SingleEndpoint {
+  explicit SingleEndpoint(int per_model = 1, int per_service = 9) {
     world.Configure(1, per_model, per_service);
     rig = std::make_unique<EndpointRig>(world, engine, "vm1");
   }
@@ -36,7 +36,7 @@
   }
 
   World world;
-  FakeEngine engine{world.judge};
+  FakeEngine engine{world.replica_counter};
   std::unique_ptr<EndpointRig> rig;
   /** Killed endpoints, kept alive because their coroutines may still run. */
   std::vector<std::unique_ptr<EndpointRig>> killed;
@@ -44,13 +44,13 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(LoadsOnceForManyWishesAndUnloadsWhenIdle) {
-  Single one;
+BOOST_AUTO_TEST_CASE(LoadsOnceForRepeatedRequestsAndUnloadsWhenIdle) {
+  SingleEndpoint one;
   one.world.Run([&]() -> Task<> {
     BOOST_TEST(!co_await one.rig->Ensure("m0"));
     BOOST_TEST(!co_await one.rig->Ensure("m0", {}, "", Millis(1)));
     BOOST_TEST(one.engine.Holds("m0"));
-    BOOST_TEST(one.world.judge->most_in_all == 1);
+    BOOST_TEST(one.world.replica_counter->max_total == 1);
     BOOST_TEST(co_await one.rig->Until([&] {
       return !one.engine.Holds("m0") && one.world.Ledger().grants.empty();
     }));
@@ -61,8 +61,8 @@
 // Failure: a request was refused although the model had been loaded. The engine
 // carried the order out and its answer was lost; the endpoint must read the
 // engine's status before it decides.
-BOOST_AUTO_TEST_CASE(LostAnswerOfALoadIsFoundOut) {
-  Single one;
+BOOST_AUTO_TEST_CASE(LoadWithLostAnswerSucceeds) {
+  SingleEndpoint one;
   FailNextOrder(one.engine, Fault::kAnswerLost);
   one.world.Run(
       [&]() -> Task<> { BOOST_TEST(!co_await one.rig->Ensure("m0")); });
@@ -72,8 +72,8 @@
 
 // If an order never reaches the engine, its memory and grant must be freed, or
 // the model could never be loaded on any VM.
-BOOST_AUTO_TEST_CASE(LoadThatNeverArrivedLeavesNothingBehind) {
-  Single one;
+BOOST_AUTO_TEST_CASE(LostLoadOrderFreesMemoryAndGrant) {
+  SingleEndpoint one;
   FailNextOrder(one.engine, Fault::kNeverArrived);
   one.world.Run([&]() -> Task<> {
     BOOST_TEST((co_await one.rig->Ensure("m0")).has_value());
@@ -88,16 +88,16 @@
 // then the order arrived, and the fleet held one replica too many. An engine
 // that honours fencing must refuse the order; on one that doesn't, the model
 // must be unloaded.
-BOOST_AUTO_TEST_CASE(LateOrderIsRefusedOrUndone) {
+BOOST_AUTO_TEST_CASE(LateOrderIsRefusedOrItsModelUnloaded) {
   for (const bool fencing : {true, false}) {
-    Single one;
+    SingleEndpoint one;
     one.engine.status.honours_fencing = fencing;
     FailNextOrder(one.engine, Fault::kArrivesLate);
     one.world.Run([&]() -> Task<> {
       BOOST_TEST((co_await one.rig->Ensure("m0")).has_value());
       BOOST_TEST(!co_await one.rig->Ensure("m1"));
       one.world.Configure(2, 0, 1);
-      one.engine.LandLateOrders();
+      one.engine.DeliverLateOrders();
       BOOST_TEST(one.engine.Holds("m0") == !fencing);
       BOOST_TEST(
           co_await one.rig->Until([&] { return !one.engine.Holds("m0"); }));
@@ -108,25 +108,25 @@
 
 // If the engine crashes during a load, the caller must get an error, all memory
 // and grants must be freed, and the next load must succeed.
-BOOST_AUTO_TEST_CASE(EngineCrashDuringALoad) {
-  Single one;
+BOOST_AUTO_TEST_CASE(EngineCrashDuringALoadFreesMemoryAndGrants) {
+  SingleEndpoint one;
   one.world.Run([&]() -> Task<> {
     BOOST_TEST(!co_await one.rig->Ensure("m0"));
     FailNextOrder(one.engine, Fault::kCrash);
     BOOST_TEST((co_await one.rig->Ensure("m1")).has_value());
     BOOST_TEST(co_await one.rig->Until([&] {
-      return one.rig->keeper.Empty() && one.world.Ledger().grants.empty();
+      return one.rig->reconciler.Empty() && one.world.Ledger().grants.empty();
     }));
     BOOST_TEST(one.rig->table.Memory().reserved_bytes == 0);
     BOOST_TEST(!co_await one.rig->Ensure("m1"));
   });
-  BOOST_TEST(one.world.judge->most_of_a_model == 1);
+  BOOST_TEST(one.world.replica_counter->max_per_model == 1);
 }
 
 // An endpoint process is killed while its engine loads a model. The new process
 // must neither order the same load again nor lose track of the memory.
-BOOST_AUTO_TEST_CASE(RestartTakesOverWhatTheEngineHolds) {
-  Single one;
+BOOST_AUTO_TEST_CASE(RestartAdoptsModelsOfTheEngine) {
+  SingleEndpoint one;
   one.world.Run(
       [&]() -> Task<> { BOOST_TEST(!co_await one.rig->Ensure("m0")); });
   one.engine.status.order_in_progress = true;
@@ -152,16 +152,16 @@
 // grant stayed in the ledger, so that no other VM could load the model. The
 // model was found loaded before the first configuration arrived, so its
 // service, which selects the ledger, was not known.
-BOOST_AUTO_TEST_CASE(GrantOfAModelFoundBeforeTheConfigurationIsEnded) {
+BOOST_AUTO_TEST_CASE(GrantOfAModelFoundBeforeTheConfigurationIsReleased) {
   World earlier;
   earlier.Configure(1, 1, 9);
   World world;
-  FakeEngine engine(world.judge);
+  FakeEngine engine(world.replica_counter);
   external::EngineOrder order;
   order.model = core::ModelId("m0");
   order.version = "1";
   order.bytes = 40;
-  engine.Carry(order);
+  engine.ApplyOrder(order);
   EndpointRig rig(world, engine, "vm1");
   GrantLedger predecessor(core::VmId("vm1"), world.store, world.clock,
                           world.log);
@@ -178,7 +178,7 @@
     }));
     rig.replicas.Leave();
     BOOST_TEST(co_await rig.Until(
-        [&] { return rig.keeper.Empty() && rig.ledger.pending() == 0; }));
+        [&] { return rig.reconciler.Empty() && rig.ledger.pending() == 0; }));
   });
   BOOST_TEST(!engine.Holds("m0"));
   BOOST_TEST(world.Ledger().grants.empty());
@@ -186,8 +186,8 @@
 
 // Failure: an endpoint process crashes between taking a grant and ordering the
 // load, and no VM can load the model. The successor must release the grant.
-BOOST_AUTO_TEST_CASE(RestartEndsGrantsOfModelsThatAreNotLoaded) {
-  Single one;
+BOOST_AUTO_TEST_CASE(RestartReleasesGrantsOfUnloadedModels) {
+  SingleEndpoint one;
   one.world.Run([&]() -> Task<> {
     co_await one.rig->ledger.Take(one.world.config.Current(),
                                   core::ModelId("m3"), 0,
@@ -203,7 +203,7 @@
 // A loaded model must be unloaded if another VM holds the only grant, because
 // this VM's grant was ended while the platform's list did not show the VM.
 BOOST_AUTO_TEST_CASE(LoadedModelWithoutAGrantIsUnloaded) {
-  Single one;
+  SingleEndpoint one;
   GrantLedger other(core::VmId("vm2"), one.world.store, one.world.clock,
                     one.world.log);
   external::EngineOrder order;
@@ -213,7 +213,7 @@
   one.world.Run([&]() -> Task<> {
     co_await other.Take(one.world.config.Current(), core::ModelId("m0"), 0,
                         one.world.clock.Now() + Millis(5000));
-    one.engine.Carry(order);
+    one.engine.ApplyOrder(order);
     BOOST_TEST(
         co_await one.rig->Until([&] { return !one.engine.Holds("m0"); }));
   });
@@ -223,8 +223,8 @@
 // After an operator lowers a limit, the oldest replica must stay, and the
 // surplus replica must be unloaded once its request has ended, not before.
 BOOST_AUTO_TEST_CASE(LoweredLimitDrainsTheNewestReplica) {
-  Single one(2, 9);
-  FakeEngine second_engine(one.world.judge);
+  SingleEndpoint one(2, 9);
+  FakeEngine second_engine(one.world.replica_counter);
   EndpointRig second(one.world, second_engine, "vm2");
   one.world.Run([&]() -> Task<> {
     BOOST_TEST(!co_await one.rig->Ensure("m0"));
@@ -249,8 +249,8 @@
 
 // While the key-value service is down, no model is newly loaded, and loaded
 // models stay loaded even if they are idle.
-BOOST_AUTO_TEST_CASE(OutageLoadsNothingAndKeepsWhatIsLoaded) {
-  Single one;
+BOOST_AUTO_TEST_CASE(OutageRefusesLoadsAndKeepsLoadedModels) {
+  SingleEndpoint one;
   one.world.Run([&]() -> Task<> {
     BOOST_TEST(!co_await one.rig->Ensure("m0"));
     one.world.store.down = true;
@@ -271,8 +271,8 @@
 BOOST_AUTO_TEST_CASE(GrantMovesOnlyAfterTheUnloadIsConfirmed) {
   for (const auto fault :
        {Fault::kNone, Fault::kNeverArrived, Fault::kAnswerLost}) {
-    Single one;
-    FakeEngine second_engine(one.world.judge);
+    SingleEndpoint one;
+    FakeEngine second_engine(one.world.replica_counter);
     EndpointRig second(one.world, second_engine, "vm2");
     one.engine.order_time = Millis(25);
     one.world.Run([&]() -> Task<> {
@@ -286,7 +286,7 @@
       }
       BOOST_TEST(moved);
     });
-    BOOST_TEST(one.world.judge->most_of_a_model == 1);
+    BOOST_TEST(one.world.replica_counter->max_per_model == 1);
     BOOST_TEST(!one.engine.Holds("m0"));
   }
 }
@@ -294,15 +294,15 @@
 // Failure: an endpoint process is suspended between its grant and its order.
 // The platform lists its VM as gone, an entry ends the grant, and another VM
 // takes it and loads the model. The process resumes and loads a second replica.
-BOOST_AUTO_TEST_CASE(GrantLostWhileStoppedIsNotUsed) {
-  Single one;
-  FakeEngine second_engine(one.world.judge);
+BOOST_AUTO_TEST_CASE(GrantLostWhileSuspendedIsNotUsed) {
+  SingleEndpoint one;
+  FakeEngine second_engine(one.world.replica_counter);
   EndpointRig second(one.world, second_engine, "vm2");
   std::optional<ErrorCode> outcome;
   bool ended = false;
   one.world.Run([&]() -> Task<> {
     co_await one.rig->Until([&] { return one.rig->table.recovered.load(); });
-    OrderTurn stopped = co_await one.rig->desk.Enter();
+    OrderLock stopped = co_await one.rig->order_sender.Enter();
     core::Spawn(one.world.context.get_executor(), one.world.log, "want",
                 [&]() -> Task<> {
                   outcome = co_await one.rig->Ensure("m0");
@@ -319,7 +319,7 @@
     BOOST_TEST(co_await second.Until([&] { return ended; }));
   });
   BOOST_TEST((outcome == ErrorCode::kReplicaLimit));
-  BOOST_TEST(one.world.judge->most_of_a_model == 1);
+  BOOST_TEST(one.world.replica_counter->max_per_model == 1);
 }
 
 // Two VMs take the last grant of a model at the same time. The engines may
@@ -327,12 +327,12 @@
 BOOST_AUTO_TEST_CASE(TwoEndpointsRaceForTheLastGrant) {
   for (unsigned seed = 0; seed < 25; ++seed) {
     std::mt19937 random(seed);
-    Single one;
+    SingleEndpoint one;
     one.world.store.fault = [&] {
       return random() % 3 == 0 ? FakeStore::Fault::kAnswerLost
                                : FakeStore::Fault::kNone;
     };
-    FakeEngine second_engine(one.world.judge);
+    FakeEngine second_engine(one.world.replica_counter);
     EndpointRig second(one.world, second_engine, "vm2");
     int done = 0;
     int ready = 0;
@@ -348,7 +348,7 @@
       BOOST_TEST(co_await second.Until([&] { return done == 2; }));
     });
     BOOST_REQUIRE_EQUAL(ready, 1);
-    BOOST_REQUIRE_EQUAL(one.world.judge->most_of_a_model, 1);
+    BOOST_REQUIRE_EQUAL(one.world.replica_counter->max_per_model, 1);
   }
 }
 
@@ -357,7 +357,7 @@
 BOOST_AUTO_TEST_CASE(MemoryIsNeverOvercommitted) {
   for (unsigned seed = 0; seed < 12; ++seed) {
     std::mt19937 random(seed);
-    Single one;
+    SingleEndpoint one;
     one.engine.status.honours_fencing = seed % 2 == 0;
     one.engine.fault = [&] {
       constexpr std::array kFaults = {Fault::kAnswerLost, Fault::kNeverArrived,
@@ -380,14 +380,14 @@
     });
     BOOST_REQUIRE(!one.engine.overcommitted);
     BOOST_REQUIRE(!one.engine.orders_overlapped);
-    BOOST_REQUIRE_EQUAL(one.world.judge->most_of_a_model, 1);
+    BOOST_REQUIRE_EQUAL(one.world.replica_counter->max_per_model, 1);
   }
 }
 
 // An adapter needs the memory of an idle model that the scheduler allows to be
 // evicted.
-BOOST_AUTO_TEST_CASE(IdleModelMakesRoomForAnAdapter) {
-  Single one;
+BOOST_AUTO_TEST_CASE(IdleModelIsEvictedForAnAdapter) {
+  SingleEndpoint one;
   const std::vector<std::string> may_go(1, "m1");
   one.engine.status.memory_bytes = 90;
   one.world.Run([&]() -> Task<> {
@@ -403,8 +403,8 @@
 
 // Failure: a model was evicted, and loaded again later, although evicting an
 // idle adapter would have freed enough memory.
-BOOST_AUTO_TEST_CASE(IdleAdapterGoesBeforeAModel) {
-  Single one;
+BOOST_AUTO_TEST_CASE(IdleAdapterIsEvictedBeforeAModel) {
+  SingleEndpoint one;
   const std::vector<std::string> may_go(1, "m0");
   one.world.Run([&]() -> Task<> {
     BOOST_TEST(!co_await one.rig->Ensure("m0", {}, "x"));
@@ -419,15 +419,15 @@
 // Failure: four adapters are requested where there is room for one. Each load
 // evicted the adapter loaded before it, before its waiter had resumed; all
 // loads started again and none was used, while the model counted as in use.
-BOOST_AUTO_TEST_CASE(AdaptersInTurnsServeSomebodyWithEachLoad) {
-  Single one;
-  constexpr int kWishes = 4;
+BOOST_AUTO_TEST_CASE(EachAdapterLoadServesAWaiter) {
+  SingleEndpoint one;
+  constexpr int kRequests = 4;
   one.engine.status.memory_bytes = 95;
   int ended = 0;
   one.world.Run([&]() -> Task<> {
     BOOST_TEST(!co_await one.rig->Ensure("m0"));
     BOOST_TEST(!co_await one.rig->Ensure("m1"));
-    for (int i = 0; i < kWishes; ++i) {
+    for (int i = 0; i < kRequests; ++i) {
       const std::string model = i < 2 ? "m0" : "m1";
       const std::string adapter = i % 2 == 0 ? "x" : "y";
       core::Spawn(one.world.context.get_executor(), one.world.log, "wish",
@@ -436,22 +436,22 @@
                     ++ended;
                   });
     }
-    BOOST_TEST(co_await one.rig->Until([&] { return ended == kWishes; }));
+    BOOST_TEST(co_await one.rig->Until([&] { return ended == kRequests; }));
   });
   // Two model loads, and at most one load and one unload for each request.
-  BOOST_TEST(one.engine.orders <= 2 + 2 * kWishes);
+  BOOST_TEST(one.engine.orders <= 2 + 2 * kRequests);
 }
 
 // Leaving must unload all models and release all grants.
-BOOST_AUTO_TEST_CASE(LeavingUnloadsAndHandsEveryGrantBack) {
-  Single one;
+BOOST_AUTO_TEST_CASE(LeavingUnloadsModelsAndReleasesGrants) {
+  SingleEndpoint one;
   one.world.Run([&]() -> Task<> {
     BOOST_TEST(!co_await one.rig->Ensure("m0"));
     BOOST_TEST(!co_await one.rig->Ensure("m1"));
     one.rig->replicas.Leave();
     BOOST_TEST((co_await one.rig->Ensure("m2") == ErrorCode::kLeaving));
     BOOST_TEST(co_await one.rig->Until([&] {
-      return one.rig->keeper.Empty() && one.world.Ledger().grants.empty();
+      return one.rig->reconciler.Empty() && one.world.Ledger().grants.empty();
     }));
   });
   BOOST_TEST(one.engine.status.models.empty());
--- a/src/endpoint/runner.cc
+++ b/src/endpoint/runner.cc
@@ -22,7 +22,7 @@
 constexpr Millis kBusyRetryAfter{500};
 /** How long a broken answer waits for a status that shows whether the engine
  * crashed. */
-constexpr Millis kExplainTime{1000};
+constexpr Millis kDiagnoseTimeout{1000};
 
 http::Request ToHttp(const gen::Run& run) {
   http::Request request;
@@ -69,21 +69,21 @@
 
 }  // namespace
 
-Runner::Runner(external::Engine& engine, EngineFollower* follower,
+Runner::Runner(external::Engine& engine, EngineStatusPoller* status_poller,
                Admission& admission, AttemptTable& attempts,
                const core::Clock& clock, const core::Logger& log,
                Metrics& metrics)
     : engine_(engine),
-      follower_(follower),
+      status_poller_(status_poller),
       admission_(admission),
       attempts_(attempts),
       clock_(clock),
       log_(log),
       metrics_(metrics) {}
 
-Millis Runner::Left(const Trip& trip) const {
+Millis Runner::RemainingTime(const RunState& state) const {
   const auto left =
-      std::chrono::duration_cast<Millis>(trip.deadline - clock_.Now());
+      std::chrono::duration_cast<Millis>(state.deadline - clock_.Now());
   return std::max(left, Millis(1));
 }
 
@@ -94,150 +94,153 @@
   if (run.remaining_ms <= 0) {
     throw Error(ErrorCode::kDeadlineTooShort, run.request_id);
   }
-  auto trip = std::make_shared<Trip>();
-  trip->call = std::move(call);
-  trip->deadline = clock_.Now() + Millis(run.remaining_ms);
-  trip->run = std::move(run);
+  auto state = std::make_shared<RunState>();
+  state->call = std::move(call);
+  state->deadline = clock_.Now() + Millis(run.remaining_ms);
+  state->run = std::move(run);
   // A caller that gives up must not keep the engine busy: whichever of the two
   // ends first cancels the other, which closes the connection to the engine.
   using boost::asio::experimental::awaitable_operators::operator||;
-  co_await (Pump(trip) || WatchCaller(trip));
-  LogEnd(*trip);
-  if (trip->error) throw *trip->error;
+  co_await (ForwardAndStoreError(state) || WatchCaller(state));
+  LogOutcome(*state);
+  if (state->error) throw *state->error;
 }
 
-void Runner::LogEnd(const Trip& trip) const {
+void Runner::LogOutcome(const RunState& state) const {
   const bool refused =
-      trip.error && trip.error->outcome() == core::Outcome::kNotRun;
+      state.error && state.error->outcome() == core::Outcome::kNotRun;
   const std::string result =
-      trip.error ? std::string(core::InfoOf(trip.error->code()).name) : "ok";
+      state.error ? std::string(core::InfoOf(state.error->code()).name) : "ok";
   if (refused) {
-    metrics_.Refused(trip.error->code());
+    metrics_.Refused(state.error->code());
   } else {
     metrics_.RunEnded(result);
   }
-  log_.Event(trip.error ? LogLevel::kWarning : LogLevel::kInfo,
+  log_.Event(state.error ? LogLevel::kWarning : LogLevel::kInfo,
              LogCategory::kRequest, refused ? "run_refused" : "run_ended",
-             {{"request", trip.run.request_id},
-              {"attempt", trip.run.attempt_id},
-              {"model", trip.run.model},
+             {{"request", state.run.request_id},
+              {"attempt", state.run.attempt_id},
+              {"model", state.run.model},
               {"result", result},
-              {"bytes", trip.bytes}});
+              {"bytes", state.bytes}});
 }
 
 /** Waits until the caller gives up or the deadline passes; a Run call's opener
  * sends no further messages. */
-Task<> Runner::WatchCaller(TripPtr trip) {
+Task<> Runner::WatchCaller(RunStatePtr state) {
   std::optional<Error> gone;
   while (!gone) {
     try {
-      co_await trip->call->Receive(Left(*trip));
+      co_await state->call->Receive(RemainingTime(*state));
     } catch (const Error& e) {
       gone = e;
     }
     // A timeout before the deadline doesn't mean that the caller gave up.
     if (gone && gone->code() == ErrorCode::kTimedOut) {
-      if (clock_.Now() < trip->deadline) gone.reset();
+      if (clock_.Now() < state->deadline) gone.reset();
     }
   }
   const bool late = gone->code() == ErrorCode::kTimedOut;
-  if (!trip->started) attempts_.Void(core::AttemptId(trip->run.attempt_id));
+  if (!state->started) attempts_.Void(core::AttemptId(state->run.attempt_id));
   const ErrorCode not_run =
       late ? ErrorCode::kDeadlineTooShort : ErrorCode::kCancelled;
   const ErrorCode may_have_run =
       late ? ErrorCode::kTimedOut : ErrorCode::kCancelled;
-  trip->error =
-      Error(trip->started ? may_have_run : not_run, trip->run.request_id);
+  state->error =
+      Error(state->started ? may_have_run : not_run, state->run.request_id);
 }
 
 /** Runs Forward and stores its failure as the request's error, because an
  * operand of || that throws would not end the other. If WatchCaller ended
  * first, the error here only results from the cancellation and is dropped. */
-Task<> Runner::Pump(TripPtr trip) {
+Task<> Runner::ForwardAndStoreError(RunStatePtr state) {
   std::optional<Error> failure;
   try {
-    co_await Forward(trip);
+    co_await Forward(state);
   } catch (const Error& e) {
     failure = e;
   } catch (const std::exception& e) {
     failure = Error(ErrorCode::kInternal, e.what());
   }
-  if (!trip->error) trip->error = failure;
+  if (!state->error) state->error = failure;
 }
 
-Task<> Runner::Forward(TripPtr trip) {
-  const RunSlot slot = co_await admission_.Admit(trip->run, trip->deadline);
+Task<> Runner::Forward(RunStatePtr state) {
+  const RunSlot slot = co_await admission_.Admit(state->run, state->deadline);
   // From here on the attempt counts as started, and VoidAttempt can no longer
   // prevent it.
-  attempts_.Start(core::AttemptId(trip->run.attempt_id));
-  trip->started = true;
-  const auto answer = co_await OpenAtEngine(trip);
-  if (follower_ != nullptr && answer->head().status == kNotFound) {
+  attempts_.Start(core::AttemptId(state->run.attempt_id));
+  state->started = true;
+  const auto answer = co_await OpenAtEngine(state);
+  if (status_poller_ != nullptr && answer->head().status == kNotFound) {
     // An engine that has just restarted doesn't know the model. It has not run
     // the request, and the caller's request is not at fault.
-    attempts_.NeverStarted(core::AttemptId(trip->run.attempt_id));
-    throw Error(ErrorCode::kNoCapacity, "the engine lost " + trip->run.model,
+    attempts_.RevertStart(core::AttemptId(state->run.attempt_id));
+    throw Error(ErrorCode::kNoCapacity, "the engine lost " + state->run.model,
                 kBusyRetryAfter);
   }
-  co_await Stream(trip, *answer);
+  co_await Stream(state, *answer);
 }
 
-Task<std::unique_ptr<http::ResponseStream>> Runner::OpenAtEngine(TripPtr trip) {
-  if (follower_ != nullptr) {
-    const auto status = follower_->Latest();
-    trip->engine_incarnation = status ? status->incarnation : 0;
+Task<std::unique_ptr<http::ResponseStream>> Runner::OpenAtEngine(
+    RunStatePtr state) {
+  if (status_poller_ != nullptr) {
+    const auto status = status_poller_->Latest();
+    state->engine_incarnation = status ? status->incarnation : 0;
   }
   std::optional<http::TransportError> failure;
   try {
-    co_return co_await engine_.Run(ToHttp(trip->run), Left(*trip));
+    co_return co_await engine_.Run(ToHttp(state->run), RemainingTime(*state));
   } catch (const http::TransportError& e) {
     failure = e;
   }
   if (!failure->may_have_run()) {
-    attempts_.NeverStarted(core::AttemptId(trip->run.attempt_id));
+    attempts_.RevertStart(core::AttemptId(state->run.attempt_id));
     throw Error(ErrorCode::kEngineUnavailable, failure->what(),
                 kBusyRetryAfter);
   }
-  const ErrorCode why = co_await ExplainBreak(trip, failure->timed_out());
-  throw Error(why, trip->run.request_id);
+  const ErrorCode why = co_await DiagnoseFailure(state, failure->timed_out());
+  throw Error(why, state->run.request_id);
 }
 
-Task<> Runner::Stream(TripPtr trip, http::ResponseStream& answer) {
-  co_await trip->call->Send(HeadMessage(answer.head()));
-  trip->head_sent = true;
+Task<> Runner::Stream(RunStatePtr state, http::ResponseStream& answer) {
+  co_await state->call->Send(HeadMessage(answer.head()));
+  state->head_sent = true;
   while (true) {
     std::optional<http::TransportError> failure;
     std::optional<std::string> part;
     try {
-      part = co_await answer.Read(Left(*trip));
+      part = co_await answer.Read(RemainingTime(*state));
     } catch (const http::TransportError& e) {
       failure = e;
     }
     if (failure) {
-      const ErrorCode why = co_await ExplainBreak(trip, failure->timed_out());
-      throw Error(why, trip->run.request_id);
+      const ErrorCode why =
+          co_await DiagnoseFailure(state, failure->timed_out());
+      throw Error(why, state->run.request_id);
     }
     if (!part) break;
-    trip->bytes += static_cast<std::int64_t>(part->size());
-    co_await trip->call->Send(ChunkMessage(trip->chunks++, std::move(*part)));
+    state->bytes += static_cast<std::int64_t>(part->size());
+    co_await state->call->Send(ChunkMessage(state->chunks++, std::move(*part)));
   }
-  co_await trip->call->Send(EndMessage(trip->chunks, trip->bytes));
+  co_await state->call->Send(EndMessage(state->chunks, state->bytes));
 }
 
 /** Distinguishes a crashed engine from a broken connection: only a crash counts
  * against the request. @return A code whose outcome is never "not run". */
-Task<ErrorCode> Runner::ExplainBreak(TripPtr trip, bool timed_out) {
-  if (timed_out && clock_.Now() >= trip->deadline) {
+Task<ErrorCode> Runner::DiagnoseFailure(RunStatePtr state, bool timed_out) {
+  if (timed_out && clock_.Now() >= state->deadline) {
     co_return ErrorCode::kTimedOut;
   }
-  if (follower_ != nullptr) {
-    const auto status = co_await follower_->Fresh(kExplainTime);
-    if (!status || status->incarnation != trip->engine_incarnation) {
+  if (status_poller_ != nullptr) {
+    const auto status =
+        co_await status_poller_->WaitForNewStatus(kDiagnoseTimeout);
+    if (!status || status->incarnation != state->engine_incarnation) {
       co_return ErrorCode::kEngineCrashed;
     }
   }
-  co_return trip->head_sent ? ErrorCode::kAnswerCut
-                            : ErrorCode::kOutcomeUnknown;
+  co_return state->head_sent ? ErrorCode::kAnswerCut
+                             : ErrorCode::kOutcomeUnknown;
 }
 
 }  // namespace sapphire::endpoint
--- a/src/endpoint/runner_base.h
+++ b/src/endpoint/runner_base.h
@@ -25,9 +25,9 @@
  * back. */
 class Runner {
  public:
-  /** @param follower Null for a plain service.
+  /** @param status_poller Null for a plain service.
    * @pre All references outlive the runner. */
-  Runner(external::Engine& engine, EngineFollower* follower,
+  Runner(external::Engine& engine, EngineStatusPoller* status_poller,
          Admission& admission, AttemptTable& attempts, const core::Clock& clock,
          const core::Logger& log, Metrics& metrics);
 
@@ -39,7 +39,7 @@
 
  private:
   /** State of one request. */
-  struct Trip {
+  struct RunState {
     std::shared_ptr<link::Call> call;
     gen::Run run;
     core::SteadyTime deadline;
@@ -52,19 +52,22 @@
     std::int64_t bytes = 0;
     std::optional<core::Error> error;
   };
-  using TripPtr = std::shared_ptr<Trip>;
+  using RunStatePtr = std::shared_ptr<RunState>;
 
-  core::Task<> Pump(TripPtr trip);
-  core::Task<> Forward(TripPtr trip);
-  core::Task<std::unique_ptr<http::ResponseStream>> OpenAtEngine(TripPtr trip);
-  core::Task<> Stream(TripPtr trip, http::ResponseStream& answer);
-  core::Task<> WatchCaller(TripPtr trip);
-  core::Task<core::ErrorCode> ExplainBreak(TripPtr trip, bool timed_out);
-  void LogEnd(const Trip& trip) const;
-  [[nodiscard]] std::chrono::milliseconds Left(const Trip& trip) const;
+  core::Task<> ForwardAndStoreError(RunStatePtr state);
+  core::Task<> Forward(RunStatePtr state);
+  core::Task<std::unique_ptr<http::ResponseStream>> OpenAtEngine(
+      RunStatePtr state);
+  core::Task<> Stream(RunStatePtr state, http::ResponseStream& answer);
+  core::Task<> WatchCaller(RunStatePtr state);
+  core::Task<core::ErrorCode> DiagnoseFailure(RunStatePtr state,
+                                              bool timed_out);
+  void LogOutcome(const RunState& state) const;
+  [[nodiscard]] std::chrono::milliseconds RemainingTime(
+      const RunState& state) const;
 
   external::Engine& engine_;
-  EngineFollower* const follower_;
+  EngineStatusPoller* const status_poller_;
   Admission& admission_;
   AttemptTable& attempts_;
   const core::Clock& clock_;
--- a/src/endpoint/runner_test.cc
+++ b/src/endpoint/runner_test.cc
@@ -23,8 +23,8 @@
   return run;
 }
 
-struct Scene {
-  Scene() {
+struct RunnerRig {
+  RunnerRig() {
     world.Configure(1, 1, 9);
     rig = std::make_unique<EndpointRig>(world, engine, "vm1");
     world.Run([this]() -> Task<> { co_await rig->Ensure("m0"); });
@@ -45,17 +45,17 @@
   }
 
   World world;
-  FakeEngine engine{world.judge};
+  FakeEngine engine{world.replica_counter};
   std::unique_ptr<EndpointRig> rig;
   std::shared_ptr<FakeCall> call;
 };
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(AnswerIsStreamedWholeAndOnce) {
-  Scene scene;
+BOOST_AUTO_TEST_CASE(AttemptRunsOnceWithACompleteAnswer) {
+  RunnerRig scene;
   BOOST_TEST(!scene.Serve(MakeRun("1")));
-  BOOST_TEST((scene.call->Whole() == "part one part two"));
+  BOOST_TEST((scene.call->CompleteBody() == "part one part two"));
   const auto again = scene.Serve(MakeRun("1"));
   BOOST_REQUIRE(again);
   BOOST_TEST((again->code() == ErrorCode::kAlreadyRan));
@@ -65,7 +65,7 @@
 // Failure: the entry gave up an attempt and answered its caller "not run"; then
 // the message arrived over a slow link and the request ran.
 BOOST_AUTO_TEST_CASE(VoidedAttemptNeverReachesTheEngine) {
-  Scene scene;
+  RunnerRig scene;
   BOOST_TEST(!scene.rig->attempts.Void(core::AttemptId("1")));
   const auto error = scene.Serve(MakeRun("1"));
   BOOST_REQUIRE(error);
@@ -76,20 +76,20 @@
 
 // If the engine crashes in the middle of an answer, the caller must get an
 // error, never a truncated answer that looks complete, and never "not run".
-BOOST_AUTO_TEST_CASE(EngineCrashCutsTheAnswerWithAnError) {
-  Scene scene;
+BOOST_AUTO_TEST_CASE(EngineCrashDuringAnAnswerIsAnError) {
+  RunnerRig scene;
   scene.engine.crash_next_run = true;
   const auto error = scene.Serve(MakeRun("1"));
   BOOST_REQUIRE(error);
   BOOST_TEST((error->code() == ErrorCode::kEngineCrashed));
   BOOST_TEST((error->outcome() == core::Outcome::kUnknown));
-  BOOST_TEST(!scene.call->Whole());
+  BOOST_TEST(!scene.call->CompleteBody());
 }
 
 // If the connection to the engine is refused, the request has certainly not
 // run, and no copy of the attempt may run later.
 BOOST_AUTO_TEST_CASE(UnreachableEngineMeansNotRun) {
-  Scene scene;
+  RunnerRig scene;
   scene.engine.down = true;
   const auto error = scene.Serve(MakeRun("1"));
   BOOST_REQUIRE(error);
@@ -99,8 +99,8 @@
   BOOST_TEST(scene.engine.ran.empty());
 }
 
-BOOST_AUTO_TEST_CASE(RefusedAtOnceWithoutReplicaSlotOrWhenLeaving) {
-  Scene scene;
+BOOST_AUTO_TEST_CASE(RefusesWithoutReplicaOrFreeSlotAndWhenLeaving) {
+  RunnerRig scene;
   gen::Run other = MakeRun("1");
   other.model = "m1";
   BOOST_TEST((scene.Serve(other)->code() == ErrorCode::kNoCapacity));
@@ -122,8 +122,8 @@
 
 // A caller cancels while the adapter of its request is being loaded. The
 // request ends, but the order that it started must complete.
-BOOST_AUTO_TEST_CASE(CancelDuringAdapterLoadLeavesTheOrderAlone) {
-  Scene scene;
+BOOST_AUTO_TEST_CASE(CancelDuringAdapterLoadDoesNotCancelTheOrder) {
+  RunnerRig scene;
   scene.engine.order_time = Millis(60);
   scene.call = std::make_shared<FakeCall>();
   gen::Run run = MakeRun("1");
