--- a/src/endpoint/endpoint.cc
+++ b/src/endpoint/endpoint.cc
@@ -94,8 +94,8 @@
   if (plain()) return address;
   status_poller_.Listen(
       [this] { return order_sender_.IdleSequence(); },
-      [this](const external::EngineStatus& status, std::uint64_t mark) {
-        reconciler_.Reconcile(status, mark);
+      [this](const external::EngineStatus& status, std::uint64_t sequence) {
+        reconciler_.Reconcile(status, sequence);
       });
   status_poller_.Start(executor_);
   reconciler_.Start();
--- a/src/endpoint/endpoint_rig_test.h
+++ b/src/endpoint/endpoint_rig_test.h
@@ -101,8 +101,8 @@
         runner(its_engine, &status_poller, replicas, attempts, its_world.clock,
                its_world.log, metrics) {
     status_poller.Listen([this] { return order_sender.IdleSequence(); },
-                         [this](const auto& status, std::uint64_t mark) {
-                           reconciler.Reconcile(status, mark);
+                         [this](const auto& status, std::uint64_t sequence) {
+                           reconciler.Reconcile(status, sequence);
                          });
     status_poller.Start(world.context.get_executor());
     reconciler.Start();
--- a/src/endpoint/engine_status_poller.cc
+++ b/src/endpoint/engine_status_poller.cc
@@ -22,8 +22,9 @@
                                        const core::Logger& log)
     : engine_(engine), interval_(interval), log_(log) {}
 
-void EngineStatusPoller::Listen(Marker marker, Listener listener) {
-  marker_ = std::move(marker);
+void EngineStatusPoller::Listen(SequenceSource sequence_source,
+                                Listener listener) {
+  sequence_source_ = std::move(sequence_source);
   listener_ = std::move(listener);
 }
 
@@ -69,7 +70,7 @@
     const std::lock_guard lock(mutex_);
     number = ++reads_started_;
   }
-  const std::uint64_t mark = marker_ ? marker_() : 0;
+  const std::uint64_t sequence = sequence_source_ ? sequence_source_() : 0;
   StatusPtr status;
   try {
     status = std::make_shared<const external::EngineStatus>(
@@ -78,7 +79,7 @@
     // StoreStatus below logs it.
   }
   StoreStatus(status, number);
-  if (status && listener_) listener_(*status, mark);
+  if (status && listener_) listener_(*status, sequence);
   read_done_.Notify();
 }
 
--- a/src/endpoint/engine_status_poller_base.h
+++ b/src/endpoint/engine_status_poller_base.h
@@ -24,9 +24,9 @@
   using StatusPtr = std::shared_ptr<const external::EngineStatus>;
   /** Called at the start of a read; the listener gets its result along with the
    * status. */
-  using Marker = std::function<std::uint64_t()>;
-  using Listener =
-      std::function<void(const external::EngineStatus&, std::uint64_t mark)>;
+  using SequenceSource = std::function<std::uint64_t()>;
+  using Listener = std::function<void(const external::EngineStatus&,
+                                      std::uint64_t sequence)>;
 
   /** @pre All references outlive the object. */
   EngineStatusPoller(external::Engine& engine,
@@ -34,7 +34,7 @@
                      const core::Logger& log);
 
   /** Sets the callbacks of every read. @pre Called before Start. */
-  void Listen(Marker marker, Listener listener);
+  void Listen(SequenceSource sequence_source, Listener listener);
 
   /** Starts reading the status periodically, until Stop. */
   void Start(const core::Executor& executor);
@@ -64,7 +64,7 @@
   external::Engine& engine_;
   const std::chrono::milliseconds interval_;
   const core::Logger& log_;
-  Marker marker_;
+  SequenceSource sequence_source_;
   Listener listener_;
   /** Notified when a caller waits for a new status. */
   core::Signal read_requested_;
--- a/src/endpoint/replica_reconciler.cc
+++ b/src/endpoint/replica_reconciler.cc
@@ -46,12 +46,13 @@
     : parts_(parts), options_(std::move(options)), worker_(worker) {}
 
 void ReplicaReconciler::Reconcile(const EngineStatus& status,
-                                  std::uint64_t mark) {
+                                  std::uint64_t sequence) {
   parts_.table.SetCapacity(status.memory_bytes);
   // While an order is in progress, from this process or its predecessor, the
   // status may show the engine before or after it. Acting on it could drop the
   // records of a model that is being loaded.
-  const bool quiet = mark != 0 && mark == parts_.order_sender.IdleSequence();
+  const bool quiet =
+      sequence != 0 && sequence == parts_.order_sender.IdleSequence();
   if (!quiet || status.order_in_progress) return;
   parts_.order_sender.RaiseFence(status.fence);
   for (const EngineModel& it : status.models) {
--- a/src/endpoint/replica_reconciler_base.h
+++ b/src/endpoint/replica_reconciler_base.h
@@ -38,8 +38,8 @@
 
   /** Updates the replica table from a status of the engine; the listener of
    * EngineStatusPoller.
-   * @param mark OrderSender::IdleSequence at the start of the read. */
-  void Reconcile(const external::EngineStatus& status, std::uint64_t mark);
+   * @param sequence OrderSender::IdleSequence at the start of the read. */
+  void Reconcile(const external::EngineStatus& status, std::uint64_t sequence);
 
   /** Starts periodic sweeps and audits, which run until Stop. */
   void Start();
