--- a/src/endpoint/adapter_worker.cc
+++ b/src/endpoint/adapter_worker.cc
@@ -42,34 +42,34 @@
 }
 
 /**
- * Counts somebody who waits for an adapter, while in scope.
- * Failure: memory has room for one adapter and several are wanted. Each load
- * unloaded the adapter just loaded before its waiter had woken up to use it;
- * the waiter then began the same load anew, and none got anywhere until all
- * their deadlines had passed, with their models held in memory as in use. An
- * adapter that is waited for is not unloaded, so each load serves somebody.
+ * Counts a waiter of an adapter while in scope. An adapter with waiters is not
+ * evicted, so that each load serves at least one request.
+ * Failure: memory has room for one adapter and several are requested. Each load
+ * evicted the adapter loaded before it, before its waiter had resumed and used
+ * it; the waiter then started the same load again. This livelock lasted until
+ * all deadlines had passed, and meanwhile the models counted as in use.
  */
-class AdapterWait {
+class AdapterWaiter {
  public:
-  AdapterWait(ReplicaPtr replica, core::AdapterId adapter)
+  AdapterWaiter(ReplicaPtr replica, core::AdapterId adapter)
       : replica_(std::move(replica)), adapter_(std::move(adapter)) {
     const std::lock_guard lock(replica_->mutex);
     ++replica_->adapter_waiters[adapter_];
   }
-  ~AdapterWait() {
+  ~AdapterWaiter() {
     const std::lock_guard lock(replica_->mutex);
     const auto it = replica_->adapter_waiters.find(adapter_);
     if (--it->second == 0) replica_->adapter_waiters.erase(it);
   }
-  AdapterWait(const AdapterWait&) = delete;
-  AdapterWait& operator=(const AdapterWait&) = delete;
+  AdapterWaiter(const AdapterWaiter&) = delete;
+  AdapterWaiter& operator=(const AdapterWaiter&) = delete;
 
  private:
   const ReplicaPtr replica_;
   const core::AdapterId adapter_;
 };
 
-/** @return True if nobody uses or waits for a loaded adapter.
+/** @return True if the adapter is loaded and has no users or waiters.
  * @pre The replica's lock is held. */
 bool IsIdle(const Replica& replica, const core::AdapterId& adapter,
             const AdapterSlot& slot) {
@@ -80,19 +80,19 @@
 }  // namespace
 
 Task<> ReplicaWorker::EnsureAdapter(ReplicaPtr replica, core::AdapterId adapter,
-                                    LoadWish wish) {
+                                    LoadRequest request) {
   const contract::Adapter spec = AdapterSpec(SpecOf(replica->model), adapter);
-  const AdapterWait waits(replica, adapter);
+  const AdapterWaiter waits(replica, adapter);
   std::optional<int> failures;
   while (true) {
     const auto epoch = parts_.table.changed().epoch();
     {
       const std::lock_guard lock(replica->mutex);
       if (!failures) failures = replica->adapter_failures;
-      if (UseAdapter(*replica, spec, wish, *failures)) co_return;
+      if (UseAdapter(*replica, spec, request, *failures)) co_return;
     }
-    const auto left =
-        std::chrono::duration_cast<Millis>(wish.deadline - parts_.clock.Now());
+    const auto left = std::chrono::duration_cast<Millis>(request.deadline -
+                                                         parts_.clock.Now());
     if (left.count() <= 0) {
       throw Error(ErrorCode::kDeadlineTooShort, "adapter " + adapter.value(),
                   kAdapterRetryAfter);
@@ -102,13 +102,14 @@
 }
 
 /**
- * Counts a use of an adapter that is loaded, or starts its load.
- * @return True if the use is counted.
- * @throws Error what a load failed with since `failures_before`.
+ * Increments the use count of a loaded adapter, or starts its load.
+ * @return True if the adapter is loaded.
+ * @throws Error of the last load, if one failed since `failures_before`.
  * @pre The replica's lock is held.
  */
 bool ReplicaWorker::UseAdapter(Replica& replica, const contract::Adapter& spec,
-                               const LoadWish& wish, int failures_before) {
+                               const LoadRequest& request,
+                               int failures_before) {
   if (replica.adapter_failures > failures_before) {
     throw Error(*replica.last_adapter_failure);
   }
@@ -119,9 +120,9 @@
     return true;
   }
   if (!added) return false;
-  // In a task of its own: a caller that gives up must not cut short an order
-  // whose outcome has to be known.
-  const std::vector<core::ModelId> evict = wish.evict;
+  // The load runs in its own task, because a caller that gives up must not
+  // cancel an order whose outcome has to be known.
+  const std::vector<core::ModelId> evict = request.evict;
   const ReplicaPtr held = parts_.table.Find(replica.model);
   StartTask("load_adapter", [this, held, spec, evict] {
     return LoadAdapter(held, spec, evict);
@@ -135,7 +136,7 @@
   std::optional<Error> failure;
   bool reserved = false;
   try {
-    const OrderTurn turn = co_await parts_.desk.Enter();
+    const OrderLock order_lock = co_await parts_.order_sender.Enter();
     co_await MakeRoom(holder, spec.bytes, std::move(evict));
     reserved = true;
     auto order = AdapterOrder(external::OrderKind::kLoadAdapter, replica->model,
@@ -143,7 +144,7 @@
     order.version = spec.version;
     order.bytes = spec.bytes;
     const OrderResult result =
-        co_await parts_.desk.Give(std::move(order), [] {});
+        co_await parts_.order_sender.Execute(std::move(order), [] {});
     if (!result.carried_out) failure = result.error;
   } catch (const Error& e) {
     failure = e;
@@ -166,7 +167,7 @@
                    {{"model", replica->model}, {"adapter", spec.name}});
 }
 
-/** @return True if `bytes` fit once every adapter that isn't in use is gone. */
+/** @return True if `bytes` fit once every idle adapter is unloaded. */
 bool ReplicaWorker::IdleAdaptersMakeRoomFor(std::int64_t bytes) const {
   const MemoryLedger memory = parts_.table.Memory();
   std::int64_t possible = FreeBytes(memory);
@@ -181,8 +182,8 @@
   return bytes <= possible;
 }
 
-/** Unloads the adapter not used for longest, of any model.
- * @return False if there is none that isn't in use. */
+/** Unloads the least recently used idle adapter of all models.
+ * @return False if there is none or its unload failed. */
 Task<bool> ReplicaWorker::EvictAdapter() {
   ReplicaPtr owner;
   core::AdapterId victim;
@@ -203,7 +204,7 @@
     if (!IsIdle(*owner, victim, slot)) co_return true;
     slot.loaded = false;
   }
-  const OrderResult result = co_await parts_.desk.Give(
+  const OrderResult result = co_await parts_.order_sender.Execute(
       AdapterOrder(external::OrderKind::kUnloadAdapter, owner->model, victim),
       [] {});
   const std::lock_guard lock(owner->mutex);
--- a/src/endpoint/endpoint_base.h
+++ b/src/endpoint/endpoint_base.h
@@ -1,4 +1,4 @@
-/** @file endpoint_base.h The process beside one endpoint. */
+/** @file endpoint_base.h The agent process of one endpoint. */
 #ifndef SAPPHIRE_ENDPOINT_ENDPOINT_BASE_H_
 #define SAPPHIRE_ENDPOINT_ENDPOINT_BASE_H_
 
@@ -12,13 +12,13 @@
 #include "core/clock_base.h"
 #include "core/log_base.h"
 #include "endpoint/attempt_table_base.h"
-#include "endpoint/engine_follower_base.h"
+#include "endpoint/engine_status_poller_base.h"
 #include "endpoint/grant_ledger_base.h"
 #include "endpoint/lane_queue_base.h"
 #include "endpoint/metrics_base.h"
-#include "endpoint/order_desk_base.h"
+#include "endpoint/order_sender_base.h"
 #include "endpoint/plain_admission_base.h"
-#include "endpoint/replica_keeper_base.h"
+#include "endpoint/replica_reconciler_base.h"
 #include "endpoint/replica_table_base.h"
 #include "endpoint/replica_worker_base.h"
 #include "endpoint/replicas_base.h"
@@ -33,27 +33,28 @@
   core::VmId vm;
   core::ZoneId zone;
   std::int64_t incarnation = 0;
-  /** Empty beside a model engine; else the plain service's name. */
+  /** Name of the plain service; empty for a model engine. */
   core::ServiceId plain_service;
   std::string listen_address;
   std::chrono::milliseconds heartbeat_interval{500};
   std::chrono::milliseconds dead_after{2000};
-  /** Reports go out at least this often. */
+  /** Longest time between two reports to a subscriber. */
   std::chrono::milliseconds report_interval{1000};
-  /** Changes closer together than this share one report. */
+  /** Shortest time between two reports; changes within it share one. */
   std::chrono::milliseconds report_gap{20};
   std::chrono::milliseconds engine_poll{250};
-  /** Longest time that leaving waits for runs and unloads. */
+  /** Longest time that Leave waits for runs and unloads. */
   std::chrono::milliseconds drain_limit{60'000};
-  /** How long links stay up after the last change: reports get out. */
-  std::chrono::milliseconds farewell{200};
-  OrderDeskOptions orders;
-  ReplicaKeeperOptions keeper;
+  /** How long links stay open after the last change, so that the final reports
+   * are sent. */
+  std::chrono::milliseconds close_delay{200};
+  OrderSenderOptions orders;
+  ReplicaReconcilerOptions reconciler;
   AttemptTableOptions attempts;
   LaneQueueOptions lanes;
 };
 
-/** All parts of one endpoint process, and the calls it answers. */
+/** Owns all parts of one endpoint process and answers its link calls. */
 class Endpoint {
  public:
   /** @pre All references outlive the endpoint. */
@@ -61,13 +62,14 @@
            external::Engine& engine, external::KeyValueStore& store,
            const core::Clock& clock, const core::Logger& log, Metrics& metrics);
 
-  /** Listens and begins to work. @return "ip:port" as bound.
-   * @throws core::Error kBadSettings. */
+  /** Opens the link listener and starts the background tasks.
+   * @return The bound address, "ip:port". @throws core::Error kBadSettings. */
   std::string Start();
 
   /**
-   * Leaves: says so, takes no new work, lets runs end, unloads, hands grants
-   * back. @return True if all of that was done within the drain limit.
+   * Drains the endpoint: reports that it is leaving, refuses new work, waits
+   * for runs to end, unloads all models and releases their grants.
+   * @return True if that was complete within the drain limit.
    * @pre The calling coroutine runs on a strand.
    */
   core::Task<bool> Leave();
@@ -81,20 +83,20 @@
   [[nodiscard]] gen::EndpointReport Report() const;
   [[nodiscard]] Levels CurrentLevels() const;
 
-  /** Completes when an operator's Drain call has asked the VM to leave. */
+  /** Completes once an operator has sent a Drain call. */
   core::Task<> WaitForDrain();
 
  private:
   core::Task<> Answer(std::shared_ptr<link::Call> call, gen::Message first);
   core::Task<> AnswerSubscribe(std::shared_ptr<link::Call> call);
   core::Task<> AnswerEnsure(std::shared_ptr<link::Call> call,
-                            gen::EnsureModel wish);
+                            gen::EnsureModel request);
   core::Task<> AnswerVoid(std::shared_ptr<link::Call> call,
                           gen::VoidAttempt request);
   core::Task<> AnswerDrain(std::shared_ptr<link::Call> call);
   [[nodiscard]] bool plain() const { return !options_.plain_service.empty(); }
   [[nodiscard]] bool Idle() const;
-  core::Task<bool> WaitUntilGone(core::SteadyTime limit);
+  core::Task<bool> WaitUntilUnloaded(core::SteadyTime limit);
 
   const EndpointOptions options_;
   const core::Clock& clock_;
@@ -104,20 +106,20 @@
   contract::PartCache config_parts_;
   contract::ConfigPuller puller_;
   ReplicaTable table_;
-  EngineFollower follower_;
-  OrderDesk desk_;
+  EngineStatusPoller status_poller_;
+  OrderSender order_sender_;
   GrantLedger ledger_;
   LaneQueue lanes_;
   EndpointParts parts_;
   ReplicaWorker worker_;
-  ReplicaKeeper keeper_;
+  ReplicaReconciler reconciler_;
   Replicas replicas_;
   PlainAdmission plain_admission_;
   Admission& admission_;
   AttemptTable attempts_;
   Runner runner_;
   link::LinkNode links_;
-  std::atomic<bool> drain_asked_ = false;
+  std::atomic<bool> drain_requested_ = false;
 };
 
 }  // namespace sapphire::endpoint
--- a/src/endpoint/endpoint_rig_test.h
+++ b/src/endpoint/endpoint_rig_test.h
@@ -12,13 +12,13 @@
 
 #include "endpoint/fake_platform_test.h"
 #include "endpoint/grant_func.h"
-#include "endpoint/replica_keeper_base.h"
+#include "endpoint/replica_reconciler_base.h"
 #include "endpoint/replicas_base.h"
 #include "endpoint/runner_base.h"
 
 namespace sapphire::endpoint::test {
 
-/** The world that several endpoints share. */
+/** The clock, store and configuration that several endpoints share. */
 struct World {
   core::SystemClock clock;
   core::Logger log{
@@ -27,11 +27,12 @@
       clock};
   boost::asio::io_context context;
   FakeStore store;
-  std::shared_ptr<Judge> judge = std::make_shared<Judge>();
+  std::shared_ptr<ReplicaCounter> replica_counter =
+      std::make_shared<ReplicaCounter>();
   contract::ConfigHolder config;
 
-  /** Puts a service with models m0..m4 in force, each of 40 bytes and with
-   * adapters x and y of 15 bytes. */
+  /** Applies a configuration with one service and models m0..m4, each of 40
+   * bytes and with adapters x and y of 15 bytes. */
   void Configure(std::int64_t version, int per_model, int per_service) {
     contract::Config next;
     next.version = version;
@@ -54,7 +55,7 @@
     config.Adopt(next);
   }
 
-  /** Runs a coroutine, and everything else, until it ends. */
+  /** Runs the event loop until the given coroutine ends. */
   void Run(std::function<Task<>()> task) {
     core::Spawn(context.get_executor(), log, "test",
                 [this, task = std::move(task)]() -> Task<> {
@@ -71,46 +72,47 @@
   }
 };
 
-/** All parts of one endpoint process but its links. */
+/** All parts of one endpoint process except its links. */
 struct EndpointRig {
   EndpointRig(World& its_world, FakeEngine& its_engine, const std::string& vm)
       : world(its_world),
         engine(its_engine),
-        follower(its_engine, Millis(5), its_world.log),
-        desk({Millis(1000), Millis(20)}, its_engine, follower, its_world.clock,
-             its_world.log),
+        status_poller(its_engine, Millis(5), its_world.log),
+        order_sender({Millis(1000), Millis(20)}, its_engine, status_poller,
+                     its_world.clock, its_world.log),
         ledger(core::VmId(vm), its_world.store, its_world.clock, its_world.log),
         lanes(LaneOptions(vm), its_world.store, its_world.clock, its_world.log),
         parts{its_world.context.get_executor(),
               its_world.config,
               table,
-              follower,
-              desk,
+              status_poller,
+              order_sender,
               ledger,
               lanes,
               its_world.clock,
               its_world.log,
               metrics},
         worker(parts, Millis(10)),
-        keeper(
+        reconciler(
             parts,
             {core::VmId(vm), Millis(60'000), Millis(5), Millis(50), Millis(20)},
             worker),
         replicas(parts, worker, Millis(60'000), Millis(1)),
-        runner(its_engine, &follower, replicas, attempts, its_world.clock,
+        runner(its_engine, &status_poller, replicas, attempts, its_world.clock,
                its_world.log, metrics) {
-    follower.Listen([this] { return desk.QuietMark(); },
-                    [this](const auto& status, std::uint64_t mark) {
-                      keeper.Reconcile(status, mark);
-                    });
-    follower.Start(world.context.get_executor());
-    keeper.Start();
+    status_poller.Listen([this] { return order_sender.IdleSequence(); },
+                         [this](const auto& status, std::uint64_t sequence) {
+                           reconciler.Reconcile(status, sequence);
+                         });
+    status_poller.Start(world.context.get_executor());
+    reconciler.Start();
   }
 
-  /** Waits until `condition`; gives up after many looks. @return It. */
+  /** Polls until `condition` is true or the limit of polls is reached.
+   * @return The condition's last value. */
   Task<bool> Until(std::function<bool()> condition) {
-    constexpr int kLooks = 4000;
-    for (int i = 0; i < kLooks && !condition(); ++i) {
+    constexpr int kMaxPolls = 4000;
+    for (int i = 0; i < kMaxPolls && !condition(); ++i) {
       co_await core::SleepFor(Millis(1));
     }
     co_return condition();
@@ -123,10 +125,10 @@
     return options;
   }
 
-  /** What a killed process leaves: no more orders, no more looks. */
+  /** Stops polling and sweeping, as if the process was killed. */
   void Kill() {
-    follower.Stop();
-    keeper.Stop();
+    status_poller.Stop();
+    reconciler.Stop();
   }
 
   /** @return The error, or none if the model is ready. */
@@ -134,17 +136,17 @@
                                         std::vector<std::string> evict = {},
                                         std::string adapter = "",
                                         Millis keep_alive = Millis(-1)) {
-    gen::EnsureModel wish;
-    wish.service_id = "cabin";
-    wish.model = std::move(model);
-    wish.adapter = std::move(adapter);
-    wish.remaining_ms = 10'000;
-    wish.keep_alive_ms = keep_alive.count();
-    wish.evict = std::move(evict);
+    gen::EnsureModel request;
+    request.service_id = "cabin";
+    request.model = std::move(model);
+    request.adapter = std::move(adapter);
+    request.remaining_ms = 10'000;
+    request.keep_alive_ms = keep_alive.count();
+    request.evict = std::move(evict);
     std::function<bool()> recovered = [this] { return table.recovered.load(); };
     co_await Until(recovered);
     try {
-      co_await replicas.Ensure(wish);
+      co_await replicas.Ensure(request);
     } catch (const Error& e) {
       co_return e.code();
     }
@@ -155,13 +157,13 @@
   FakeEngine& engine;
   Metrics metrics;
   ReplicaTable table;
-  EngineFollower follower;
-  OrderDesk desk;
+  EngineStatusPoller status_poller;
+  OrderSender order_sender;
   GrantLedger ledger;
   LaneQueue lanes;
   EndpointParts parts;
   ReplicaWorker worker;
-  ReplicaKeeper keeper;
+  ReplicaReconciler reconciler;
   Replicas replicas;
   AttemptTable attempts{{}, world.clock};
   Runner runner;
@@ -192,8 +194,9 @@
   [[nodiscard]] bool ended() const override { return cancelled; }
   [[nodiscard]] link::PeerInfo peer() const override { return {}; }
 
-  /** @return All chunks together, if the answer is whole. */
-  [[nodiscard]] std::optional<std::string> Whole() const {
+  /** @return The concatenated chunks, or nothing if the answer is incomplete.
+   */
+  [[nodiscard]] std::optional<std::string> CompleteBody() const {
     std::string body;
     std::int64_t chunks = 0;
     for (const gen::Message& it : sent) {
--- a/src/endpoint/fake_platform_test.h
+++ b/src/endpoint/fake_platform_test.h
@@ -1,5 +1,5 @@
-/** @file fake_platform_test.h Test code: a key-value service and an engine in
- * memory, with switches for the failures that tests cause. */
+/** @file fake_platform_test.h Test code: in-memory key-value service and engine
+ * with fault injection. */
 #ifndef SAPPHIRE_ENDPOINT_FAKE_PLATFORM_TEST_H_
 #define SAPPHIRE_ENDPOINT_FAKE_PLATFORM_TEST_H_
 
@@ -27,14 +27,14 @@
 using core::Millis;
 using core::Task;
 
-/** Compare-and-swap store whose next writes can go wrong. */
+/** Compare-and-swap store with injected write faults. */
 class FakeStore final : public external::KeyValueStore {
  public:
-  enum class Fault { kNone, kAnswerLost, kNeverArrived, kLandsLate };
+  enum class Fault { kNone, kAnswerLost, kNeverArrived, kAppliedLate };
 
   /** Every call fails without effect. */
   bool down = false;
-  /** What happens to each write; by default nothing. */
+  /** Returns the fault of each write; none by default. */
   std::function<Fault()> fault = [] { return Fault::kNone; };
   /** Called after each change. */
   std::function<void()> on_change = [] {};
@@ -66,8 +66,8 @@
     CheckUp();
     ++swaps;
     const Fault now = fault();
-    if (now == Fault::kLandsLate) late_.push_back({key, expected, value});
-    if (now == Fault::kLandsLate || now == Fault::kNeverArrived) {
+    if (now == Fault::kAppliedLate) late_.push_back({key, expected, value});
+    if (now == Fault::kAppliedLate || now == Fault::kNeverArrived) {
       throw Error(ErrorCode::kPlatformUnknownOutcome);
     }
     auto result = Apply(key, expected, value);
@@ -77,14 +77,14 @@
     co_return result;
   }
 
-  /** Writes that timed out reach the store now. */
-  void LandLateWrites() {
+  /** Applies the writes that timed out and were still in transit. */
+  void ApplyLateWrites() {
     for (const auto& it : std::exchange(late_, {})) {
       Apply(it.key, it.expected, it.value);
     }
   }
 
-  /** Somebody else's write. */
+  /** Writes unconditionally, as another process. */
   void Overwrite(const std::string& key, const std::string& value) {
     const auto it = entries_.find(key);
     Apply(key, it == entries_.end() ? 0 : it->second.revision, value);
@@ -141,24 +141,24 @@
   std::int64_t revision_ = 0;
 };
 
-/** Counts replicas at all engines: the judge of the replica limit. */
-struct Judge {
+/** Counts the replicas of all engines, to check the replica limits. */
+struct ReplicaCounter {
   std::map<core::ModelId, int> loaded;
-  int most_of_a_model = 0;
-  int most_in_all = 0;
+  int max_per_model = 0;
+  int max_total = 0;
 
   void Count(const core::ModelId& model, int change) {
     loaded[model] += change;
     int all = 0;
     for (const auto& [id, n] : loaded) {
       all += n;
-      most_of_a_model = std::max(most_of_a_model, n);
+      max_per_model = std::max(max_per_model, n);
     }
-    most_in_all = std::max(most_in_all, all);
+    max_total = std::max(max_total, all);
   }
 };
 
-/** An answer in parts; `broken` ends it with a cut. */
+/** An answer in parts; a `broken` one ends with a transport error. */
 class FakeStream final : public http::ResponseStream {
  public:
   FakeStream(std::vector<std::string> parts, bool broken)
@@ -183,26 +183,27 @@
   std::size_t next_ = 0;
 };
 
-/** A model engine that keeps count of what it was made to do. */
+/** A model engine that records its orders and runs, with injected faults. */
 class FakeEngine final : public external::Engine {
  public:
   enum class Fault {
     kNone,
-    kAnswerLost,    ///< Carried out, the answer never came.
-    kNeverArrived,  ///< Not carried out, no answer.
-    kArrivesLate,   ///< Carried out by LandLateOrders, no answer.
+    kAnswerLost,    ///< Carried out, but without an answer.
+    kNeverArrived,  ///< Not carried out, and without an answer.
+    kArrivesLate,   ///< Carried out by DeliverLateOrders, without an answer.
     kLoadFails,
-    kCrash,  ///< The engine dies and restarts while carrying it out.
+    kCrash,  ///< The engine crashes and restarts while carrying it out.
   };
 
-  explicit FakeEngine(std::shared_ptr<Judge> judge_of_limits = nullptr)
-      : judge(std::move(judge_of_limits)) {
+  explicit FakeEngine(
+      std::shared_ptr<ReplicaCounter> replica_counter_arg = nullptr)
+      : replica_counter(std::move(replica_counter_arg)) {
     status.incarnation = 1;
     status.memory_bytes = 100;
   }
 
   external::EngineStatus status;
-  std::shared_ptr<Judge> judge;
+  std::shared_ptr<ReplicaCounter> replica_counter;
   std::function<Fault()> fault = [] { return Fault::kNone; };
   Millis order_time{1};
   bool down = false;
@@ -210,7 +211,7 @@
   bool orders_overlapped = false;
   int orders = 0;
   std::vector<std::string> ran;
-  /** The engine dies in the middle of the next answer. */
+  /** The engine crashes in the middle of the next answer. */
   bool crash_next_run = false;
 
   Task<external::EngineStatus> Status() override {
@@ -239,7 +240,7 @@
     status.order_in_progress = false;
     if (now == Fault::kCrash) Crash();
     if (now == Fault::kLoadFails) throw Error(ErrorCode::kLoadFailed);
-    if (now != Fault::kCrash) Carry(order);
+    if (now != Fault::kCrash) ApplyOrder(order);
     if (now == Fault::kAnswerLost || now == Fault::kCrash) {
       throw Error(ErrorCode::kOutcomeUnknown);
     }
@@ -256,17 +257,17 @@
     co_return MakeAnswer(crash);
   }
 
-  /** Orders that were under way arrive now. */
-  void LandLateOrders() {
+  /** Delivers the orders that were still in transit. */
+  void DeliverLateOrders() {
     for (const auto& it : std::exchange(late_, {})) {
-      if (PassesFence(it)) Carry(it);
+      if (PassesFence(it)) ApplyOrder(it);
     }
   }
 
-  /** Dies and comes up again, empty. */
+  /** Restarts with no model loaded. */
   void Crash() {
     for (const auto& it : std::exchange(status.models, {})) {
-      if (judge) judge->Count(it.model, -1);
+      if (replica_counter) replica_counter->Count(it.model, -1);
     }
     ++status.incarnation;
     status.fence = 0;
@@ -278,7 +279,7 @@
            status.models.end();
   }
 
-  void Carry(const external::EngineOrder& order) {
+  void ApplyOrder(const external::EngineOrder& order) {
     using external::OrderKind;
     auto it = std::ranges::find(status.models, order.model,
                                 &external::EngineModel::model);
@@ -291,10 +292,10 @@
       model.weight_bytes = order.bytes;
       model.kv_budget_bytes = order.kv_budget_bytes;
       status.models.push_back(model);
-      if (judge) judge->Count(order.model, 1);
+      if (replica_counter) replica_counter->Count(order.model, 1);
     } else if (order.kind == OrderKind::kUnloadModel && held) {
       status.models.erase(it);
-      if (judge) judge->Count(order.model, -1);
+      if (replica_counter) replica_counter->Count(order.model, -1);
     } else if (order.kind == OrderKind::kLoadAdapter && held) {
       it->adapters.push_back({order.adapter, order.bytes});
     } else if (order.kind == OrderKind::kUnloadAdapter && held) {
--- a/src/endpoint/grant_ledger_test.cc
+++ b/src/endpoint/grant_ledger_test.cc
@@ -1,4 +1,5 @@
-/** @file grant_ledger_test.cc The replica limit under failing writes. */
+/** @file grant_ledger_test.cc Tests of the replica limits with failing writes.
+ */
 #define BOOST_TEST_MODULE grant_ledger
 #include <boost/asio/io_context.hpp>
 #include <boost/test/unit_test.hpp>
@@ -73,13 +74,13 @@
     return code;
   }
 
-  bool Settle() {
+  bool FlushPending() {
     bool settled = false;
-    Run([&]() -> Task<> { settled = co_await ledger.Settle(); });
+    Run([&]() -> Task<> { settled = co_await ledger.FlushPending(); });
     return settled;
   }
 
-  [[nodiscard]] LedgerValue Stands() const {
+  [[nodiscard]] LedgerValue StoredLedger() const {
     const std::string text = store.Value(LedgerKey(kService));
     return text.empty() ? LedgerValue{} : DecodeLedger(text);
   }
@@ -94,7 +95,7 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(LimitsOfModelAndServiceHold) {
+BOOST_AUTO_TEST_CASE(LimitsOfModelAndServiceAreEnforced) {
   Rig rig;
   GrantLedger other(VmId("vm2"), rig.store, rig.clock, rig.log);
   GrantLedger third(VmId("vm3"), rig.store, rig.clock, rig.log);
@@ -105,110 +106,112 @@
   BOOST_TEST((rig.Take(third, "nope") == ErrorCode::kUnknownModel));
 }
 
-// A model could not be woken anywhere: its one grant was held by a VM that had
-// been told "failed". Cause: the swap took effect and its answer was lost.
-BOOST_AUTO_TEST_CASE(LostAnswerIsReadBackAsTaken) {
+// Failure: a model could not be loaded on any VM, because its only grant
+// belonged to a VM whose Take had failed. The swap had taken effect and its
+// answer was lost.
+BOOST_AUTO_TEST_CASE(TakeSucceedsIfOnlyTheSwapsAnswerIsLost) {
   Rig rig;
   FailNextWrite(rig.store, Fault::kAnswerLost);
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
-  BOOST_TEST(rig.Stands().grants.size() == 1U);
+  BOOST_TEST(rig.StoredLedger().grants.size() == 1U);
   BOOST_TEST(rig.ledger.pending() == 0);
 }
 
-// Two grants for one model at one VM, or one that nobody uses. Cause: a swap
-// timed out, the next try went through, and then the first one landed.
-BOOST_AUTO_TEST_CASE(LateLandingWriteOfASettledTakeHasNoEffect) {
+// Failure: one VM holds two grants of a model, or one that it doesn't use. A
+// swap timed out, the retry succeeded, and then the first swap took effect.
+BOOST_AUTO_TEST_CASE(LateWriteOfARetriedTakeHasNoEffect) {
   Rig rig;
-  FailNextWrite(rig.store, Fault::kLandsLate);
+  FailNextWrite(rig.store, Fault::kAppliedLate);
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
-  const LedgerValue before = rig.Stands();
-  rig.store.LandLateWrites();
-  BOOST_TEST((rig.Stands() == before));
+  const LedgerValue before = rig.StoredLedger();
+  rig.store.ApplyLateWrites();
+  BOOST_TEST((rig.StoredLedger() == before));
   BOOST_TEST(before.grants.size() == 1U);
 }
 
-// The key-value service fails while a swap is under way; the caller is refused.
-// An hour later nobody can load the model, because that swap has landed.
-BOOST_AUTO_TEST_CASE(GivenUpTakeIsVoidedBeforeItCanLand) {
+// Failure: the key-value service fails during a swap, and the caller is
+// refused. The swap takes effect later, and no VM can load the model any more.
+BOOST_AUTO_TEST_CASE(AbandonedTakeIsVoidedBeforeItTakesEffect) {
   Rig rig;
   rig.store.fault = [&] {
     rig.store.down = true;
-    return Fault::kLandsLate;
+    return Fault::kAppliedLate;
   };
   BOOST_TEST((rig.Take(rig.ledger, "a") == ErrorCode::kPlatformUnavailable));
   BOOST_TEST(rig.ledger.pending() == 1);
-  BOOST_TEST(!rig.Settle());
+  BOOST_TEST(!rig.FlushPending());
   rig.store.down = false;
   rig.store.fault = [] { return Fault::kNone; };
-  BOOST_TEST(rig.Settle());
-  rig.store.LandLateWrites();
-  BOOST_TEST(rig.Stands().grants.empty());
+  BOOST_TEST(rig.FlushPending());
+  rig.store.ApplyLateWrites();
+  BOOST_TEST(rig.StoredLedger().grants.empty());
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
 }
 
-// The same, but the swap lands while the service is still down for us: the
-// grant stands in the ledger and has to be ended, not voided.
-BOOST_AUTO_TEST_CASE(GivenUpTakeThatLandedIsEnded) {
+// As above, but the swap takes effect while the service is still unreachable
+// from this VM: the grant is in the ledger and has to be ended, not voided.
+BOOST_AUTO_TEST_CASE(AbandonedTakeThatTookEffectIsEnded) {
   Rig rig;
   rig.store.fault = [&] {
     rig.store.down = true;
-    return Fault::kLandsLate;
+    return Fault::kAppliedLate;
   };
   rig.Take(rig.ledger, "a");
-  rig.store.LandLateWrites();
-  BOOST_TEST(rig.Stands().grants.size() == 1U);
+  rig.store.ApplyLateWrites();
+  BOOST_TEST(rig.StoredLedger().grants.size() == 1U);
   rig.store.down = false;
   rig.store.fault = [] { return Fault::kNone; };
-  BOOST_TEST(rig.Settle());
-  BOOST_TEST(rig.Stands().grants.empty());
+  BOOST_TEST(rig.FlushPending());
+  BOOST_TEST(rig.StoredLedger().grants.empty());
 }
 
-// The key-value service is down for an hour: a model put to sleep meanwhile
-// must wake up at the VM that still has its grant, and nowhere else.
-BOOST_AUTO_TEST_CASE(UnsentReleaseIsTakenBackInAnOutage) {
+// A model that is unloaded during an outage of the key-value service must still
+// be loadable on the VM that has its grant, and on no other.
+BOOST_AUTO_TEST_CASE(UnsentReleaseIsReclaimedInAnOutage) {
   Rig rig;
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
-  const Grant grant = rig.Stands().grants.at(0);
+  const Grant grant = rig.StoredLedger().grants.at(0);
   rig.store.down = true;
   rig.ledger.Release(kService, grant);
-  BOOST_TEST(!rig.Settle());
+  BOOST_TEST(!rig.FlushPending());
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
   BOOST_TEST(rig.ledger.pending() == 0);
   GrantLedger other(VmId("vm2"), rig.store, rig.clock, rig.log);
   BOOST_TEST((rig.Take(other, "a") == ErrorCode::kPlatformUnavailable));
 }
 
-// The release was sent and its answer lost in an outage. Were the grant taken
-// back now, the release could land under a loaded model.
-BOOST_AUTO_TEST_CASE(SentReleaseIsNotTakenBack) {
+// Failure: a release was sent and its answer was lost in an outage. If the
+// grant was reclaimed, the release could still take effect while the model is
+// loaded.
+BOOST_AUTO_TEST_CASE(SentReleaseIsNotReclaimed) {
   Rig rig;
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
-  rig.ledger.Release(kService, rig.Stands().grants.at(0));
+  rig.ledger.Release(kService, rig.StoredLedger().grants.at(0));
   rig.store.fault = [&] {
     rig.store.down = true;
-    return Fault::kLandsLate;
+    return Fault::kAppliedLate;
   };
-  BOOST_TEST(!rig.Settle());
+  BOOST_TEST(!rig.FlushPending());
   BOOST_TEST((rig.Take(rig.ledger, "a") == ErrorCode::kPlatformUnavailable));
 }
 
-// A guest asks for a model in the very moment its grant goes back. With the
-// key-value service up, that is no reason to refuse.
-BOOST_AUTO_TEST_CASE(WakeWhileTheGrantGoesBackWaitsForIt) {
+// A request for a model at the moment when its grant is released must not be
+// refused while the key-value service is up.
+BOOST_AUTO_TEST_CASE(TakeWaitsForAReleaseInProgress) {
   Rig rig;
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
-  const std::int64_t fence = rig.Stands().grants.at(0).fence;
-  rig.ledger.Release(kService, rig.Stands().grants.at(0));
+  const std::int64_t fence = rig.StoredLedger().grants.at(0).fence;
+  rig.ledger.Release(kService, rig.StoredLedger().grants.at(0));
   core::Spawn(rig.context.get_executor(), rig.log, "settle",
-              [&]() -> Task<> { co_await rig.ledger.Settle(); });
+              [&]() -> Task<> { co_await rig.ledger.FlushPending(); });
   rig.context.poll_one();
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
-  BOOST_TEST(rig.Stands().grants.at(0).fence > fence);
+  BOOST_TEST(rig.StoredLedger().grants.at(0).fence > fence);
 }
 
-// An operator lowered the limit; an endpoint that had not heard of it yet
-// took a grant under the old one.
-BOOST_AUTO_TEST_CASE(OlderConfigurationCanNotTakeAGrant) {
+// Failure: an operator lowered the limit, and an endpoint that didn't have the
+// new configuration yet took a grant under the old limit.
+BOOST_AUTO_TEST_CASE(OlderConfigurationCannotTakeAGrant) {
   Rig rig;
   rig.config->version = 5;
   BOOST_TEST(!rig.Take(rig.ledger, "a"));
@@ -230,8 +233,8 @@
 };
 using Racers = std::vector<std::unique_ptr<Racer>>;
 
-/** @return True if all beliefs together keep the limits. */
-bool WithinLimits(const Racers& racers) {
+/** @return True if the grants of all racers together are within the limits. */
+bool AreWithinLimits(const Racers& racers) {
   std::map<ModelId, int> held;
   int all = 0;
   for (const auto& it : racers) {
@@ -243,7 +246,7 @@
   return all <= kPerService;
 }
 
-/** Takes and hands back at random. */
+/** Takes and releases grants at random. */
 Task<> Race(Rig& rig, const Racers& racers, Racer& self, std::mt19937& random) {
   for (int i = 0; i < 10; ++i) {
     const ModelId model(std::string(1, static_cast<char>('a' + random() % 3)));
@@ -257,15 +260,15 @@
       } catch (const Error&) {
         self.held.erase(model);
       }
-      BOOST_REQUIRE(WithinLimits(racers));
+      BOOST_REQUIRE(AreWithinLimits(racers));
     }
-    if (random() % 4 == 0) rig.store.LandLateWrites();
+    if (random() % 4 == 0) rig.store.ApplyLateWrites();
     if (random() % 2 != 0) continue;
-    co_await self.ledger.Settle();
+    co_await self.ledger.FlushPending();
   }
 }
 
-/** Three in ten writes go wrong, each in its own way. */
+/** @return A fault for three of ten writes, each kind equally likely. */
 Fault RandomFault(std::mt19937& random) {
   switch (random() % 10) {
     case 0:
@@ -273,7 +276,7 @@
     case 1:
       return Fault::kNeverArrived;
     case 2:
-      return Fault::kLandsLate;
+      return Fault::kAppliedLate;
     default:
       return Fault::kNone;
   }
@@ -281,10 +284,10 @@
 
 }  // namespace
 
-// Booths open: every VM wants the same models at the same moment, while the
-// key-value service loses answers and lets timed-out writes land late. No
-// moment may show more holders than decided, and no grant may be left behind.
-BOOST_AUTO_TEST_CASE(RacingVmsKeepTheLimitsUnderFailingWrites) {
+// All VMs take grants of the same models at the same time, while the key-value
+// service loses answers and applies timed-out writes late. The limits may never
+// be exceeded, and no grant may remain without a holder.
+BOOST_AUTO_TEST_CASE(RacingVmsKeepTheLimitsWithFailingWrites) {
   for (unsigned seed = 0; seed < 60; ++seed) {
     std::mt19937 random(seed);
     Rig rig;
@@ -303,18 +306,18 @@
     }
     rig.context.run();
     rig.store.fault = [] { return Fault::kNone; };
-    rig.store.LandLateWrites();
+    rig.store.ApplyLateWrites();
     std::size_t held = 0;
     for (const auto& it : racers) {
-      rig.Run([&]() -> Task<> { co_await it->ledger.Settle(); });
+      rig.Run([&]() -> Task<> { co_await it->ledger.FlushPending(); });
       BOOST_REQUIRE_EQUAL(it->ledger.pending(), 0);
       for (const auto& [model, grant] : it->held) {
-        const LedgerValue stands = rig.Stands();
+        const LedgerValue stands = rig.StoredLedger();
         BOOST_REQUIRE(FindGrant(stands, it->vm, model) != nullptr);
         ++held;
       }
     }
-    BOOST_REQUIRE_EQUAL(rig.Stands().grants.size(), held);
+    BOOST_REQUIRE_EQUAL(rig.StoredLedger().grants.size(), held);
   }
 }
 
--- a/src/endpoint/lane_test.cc
+++ b/src/endpoint/lane_test.cc
@@ -1,4 +1,4 @@
-/** @file lane_test.cc The weight store's lanes: few at once, urgent first. */
+/** @file lane_test.cc Tests of the weight store's lanes. */
 #define BOOST_TEST_MODULE lane
 #include <algorithm>
 #include <boost/asio/io_context.hpp>
@@ -25,26 +25,27 @@
 
 }  // namespace
 
-// Booths open: twelve VMs want to load at once and all loads crawl, because the
-// store is shared by all. At most four may load, and the most urgent go first.
-BOOST_AUTO_TEST_CASE(FewAtOnceAndEarliestDeadlineFirst) {
+// Failure: all VMs load at the same moment and all loads are slow, because they
+// share the store. The number of concurrent loads is limited, and the load with
+// the earliest deadline goes first.
+BOOST_AUTO_TEST_CASE(LoadsAreLimitedAndEarliestDeadlineGoesFirst) {
   LanesValue lanes;
-  BOOST_TEST(BidOrTake(lanes, Bid(0, 900, 1000), 1, At(0)));
-  BOOST_TEST(!BidOrTake(lanes, Bid(1, 800, 1000), 1, At(0)));
-  BOOST_TEST(!BidOrTake(lanes, Bid(2, 700, 1000), 1, At(0)));
+  BOOST_TEST(BidForLane(lanes, Bid(0, 900, 1000), 1, At(0)));
+  BOOST_TEST(!BidForLane(lanes, Bid(1, 800, 1000), 1, At(0)));
+  BOOST_TEST(!BidForLane(lanes, Bid(2, 700, 1000), 1, At(0)));
   DropLane(lanes, core::VmId("vm0"), core::ModelId("m"));
-  BOOST_TEST(!BidOrTake(lanes, Bid(1, 800, 1000), 1, At(1)));
-  BOOST_TEST(BidOrTake(lanes, Bid(2, 700, 1000), 1, At(1)));
+  BOOST_TEST(!BidForLane(lanes, Bid(1, 800, 1000), 1, At(1)));
+  BOOST_TEST(BidForLane(lanes, Bid(2, 700, 1000), 1, At(1)));
 }
 
-// A VM is reclaimed while it loads, and another while it waits for a lane.
-// Neither may keep a lane for ever.
-BOOST_AUTO_TEST_CASE(LapsedHoldersAndBidsCountNoMore) {
+// Failure: a VM is reclaimed while it holds a lane, or while it waits for one,
+// and blocks the lane for ever.
+BOOST_AUTO_TEST_CASE(LapsedHoldersAndBidsAreRemoved) {
   LanesValue lanes;
-  BOOST_TEST(BidOrTake(lanes, Bid(0, 900, 100), 1, At(0)));
-  BOOST_TEST(!BidOrTake(lanes, Bid(1, 100, 100), 1, At(0)));
-  BOOST_TEST(!BidOrTake(lanes, Bid(2, 800, 500), 1, At(99)));
-  BOOST_TEST(BidOrTake(lanes, Bid(2, 800, 500), 1, At(100)));
+  BOOST_TEST(BidForLane(lanes, Bid(0, 900, 100), 1, At(0)));
+  BOOST_TEST(!BidForLane(lanes, Bid(1, 100, 100), 1, At(0)));
+  BOOST_TEST(!BidForLane(lanes, Bid(2, 800, 500), 1, At(99)));
+  BOOST_TEST(BidForLane(lanes, Bid(2, 800, 500), 1, At(100)));
 }
 
 BOOST_AUTO_TEST_CASE(NeverMoreHoldersThanLanesOverRandomSequences) {
@@ -57,7 +58,7 @@
         DropLane(lanes, Bid(vm, 0, 0).vm, core::ModelId("m"));
       } else {
         const int deadline = static_cast<int>(random() % 500);
-        BidOrTake(lanes, Bid(vm, deadline, now + 20), 4, At(now));
+        BidForLane(lanes, Bid(vm, deadline, now + 20), 4, At(now));
       }
       lanes = DecodeLanes(EncodeLanes(lanes));
       const auto live = std::ranges::count_if(
@@ -67,14 +68,14 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(SpoiltValueCountsAsNoLanes) {
+BOOST_AUTO_TEST_CASE(CorruptValueDecodesToNoLanes) {
   BOOST_TEST(DecodeLanes("spoilt").holders.empty());
   BOOST_TEST(DecodeLanes("{\"holders\":[1]}").bids.empty());
 }
 
-// The key-value service is down. Loads that need no new grant (a parked one is
-// taken back) must go on; lanes are only about speed.
-BOOST_AUTO_TEST_CASE(OutageNeverStopsALoad) {
+// While the key-value service is down, loads that need no new grant (because an
+// unsent release is reclaimed) must continue; lanes only affect speed.
+BOOST_AUTO_TEST_CASE(LoadsContinueInAnOutage) {
   boost::asio::io_context context;
   const core::SystemClock clock;
   const core::Logger log({"test", core::VmId("vm"), core::ZoneId("z")},
--- a/src/endpoint/replica_worker_base.h
+++ b/src/endpoint/replica_worker_base.h
@@ -15,29 +15,30 @@
 #include "core/clock_base.h"
 #include "core/log_base.h"
 #include "core/task_type.h"
-#include "endpoint/engine_follower_base.h"
+#include "endpoint/engine_status_poller_base.h"
 #include "endpoint/grant_ledger_base.h"
 #include "endpoint/lane_queue_base.h"
 #include "endpoint/metrics_base.h"
-#include "endpoint/order_desk_base.h"
+#include "endpoint/order_sender_base.h"
 #include "endpoint/replica_table_base.h"
 
 namespace sapphire::endpoint {
 
-/** Until when, and at what cost, a model or adapter is to be loaded. */
-struct LoadWish {
+/** Deadline of a model or adapter load, and what it may evict. */
+struct LoadRequest {
   core::SteadyTime deadline;
   /** Idle models that may be unloaded to make room. */
   std::vector<core::ModelId> evict;
 };
 
-/** Everything the endpoint's parts work on. All references outlive them. */
+/** Dependencies shared by the endpoint's parts. All references outlive the
+ * parts. */
 struct EndpointParts {
   core::Executor executor;
   contract::ConfigHolder& config;
   ReplicaTable& table;
-  EngineFollower& follower;
-  OrderDesk& desk;
+  EngineStatusPoller& status_poller;
+  OrderSender& order_sender;
   GrantLedger& ledger;
   LaneQueue& lanes;
   const core::Clock& clock;
@@ -46,63 +47,65 @@
 };
 
 /**
- * Carries a replica from absent to ready and back. The order of steps is what
- * keeps the promises: grant, then memory, then the order; and backwards,
- * confirmed unload, then memory, then grant.
+ * Loads and unloads replicas. The sequence of steps upholds the replica limit
+ * and the memory limit: a load takes the grant, reserves memory, then sends the
+ * order; an unload is confirmed, then frees the memory, then the grant.
  */
 class ReplicaWorker {
  public:
-  /** @param grant_trust A grant taken longer ago than this is looked up again
-   * before the load is ordered. */
+  /** @param max_grant_age Age from which a grant is looked up again before the
+   * load is ordered. */
   explicit ReplicaWorker(EndpointParts parts,
-                         std::chrono::milliseconds grant_trust = kGrantTrust)
-      : parts_(parts), grant_trust_(grant_trust) {}
+                         std::chrono::milliseconds max_grant_age = kMaxGrantAge)
+      : parts_(parts), max_grant_age_(max_grant_age) {}
 
-  /** Well below the time after which a VM missing from the platform's list
-   * counts as gone. */
-  static constexpr std::chrono::milliseconds kGrantTrust{5000};
+  /** Well below the time after which a VM that is missing from the platform's
+   * list counts as lost and its grants are ended. */
+  static constexpr std::chrono::milliseconds kMaxGrantAge{5000};
 
-  /** Loads in the background. @pre The caller set `working`. */
-  void StartLoad(const ReplicaPtr& replica, LoadWish wish);
+  /** Loads in the background. @pre The caller set `task_active`. */
+  void StartLoad(const ReplicaPtr& replica, LoadRequest request);
 
   /** Unloads in the background once nothing runs. @pre The caller set
-   * `working` and applied kDrainStarted. */
+   * `task_active` and applied kDrainStarted. */
   void StartUnload(const ReplicaPtr& replica);
 
-  /** Takes the grant of a replica that was found loaded; one that is over the
-   * limit has to go. @pre The caller set `working`. */
+  /** Takes a grant in the background for a replica that was found loaded; if it
+   * is over the limit, the replica is marked for unloading.
+   * @pre The caller set `task_active`. */
   void StartGrantCheck(const ReplicaPtr& replica);
 
   /**
-   * Has an adapter loaded beside its model and counts one more use of it, which
-   * keeps it from being evicted; the caller ends the use.
+   * Loads an adapter if needed and increments its use count, which keeps it
+   * from being evicted; the caller decrements the count.
    * @throws core::Error kOverMemory, kTimedOut, kLoadFailed, all "not run".
-   * @pre The caller holds a run slot of the replica, which keeps the model.
+   * @pre The caller holds a run slot of the replica, which keeps the model
+   * loaded.
    */
   core::Task<> EnsureAdapter(ReplicaPtr replica, core::AdapterId adapter,
-                             LoadWish wish);
+                             LoadRequest request);
 
-  /** Books a replica as gone that the engine shows not to hold.
-   * @pre Its lock is held; phase kReady, kDraining or kUnloading. */
-  void NoteGone(Replica& replica);
+  /** Frees the memory and the grant of a replica that the engine no longer
+   * holds. @pre Its lock is held; phase kReady, kDraining or kUnloading. */
+  void MarkUnloaded(Replica& replica);
 
  private:
   /** @param name Outlives the task. */
   void StartTask(std::string_view name, std::function<core::Task<>()> task);
-  core::Task<> Load(ReplicaPtr replica, LoadWish wish);
-  core::Task<> LoadSteps(ReplicaPtr replica, LoadWish wish);
+  core::Task<> Load(ReplicaPtr replica, LoadRequest request);
+  core::Task<> LoadSteps(ReplicaPtr replica, LoadRequest request);
   core::Task<> LoadThroughLane(ReplicaPtr replica, contract::Model spec,
-                               LoadWish wish);
+                               LoadRequest request);
   core::Task<> OrderLoad(ReplicaPtr replica, contract::Model spec,
-                         LoadWish wish);
-  core::Task<> RenewTrust(ReplicaPtr replica, core::SteadyTime deadline);
+                         LoadRequest request);
+  core::Task<> RefreshStaleGrant(ReplicaPtr replica, core::SteadyTime deadline);
   core::Task<> TakeGrant(ReplicaPtr replica, core::SteadyTime deadline);
   core::Task<> Unload(ReplicaPtr replica);
   core::Task<bool> WaitUntilIdle(ReplicaPtr replica);
   core::Task<bool> OrderUnload(ReplicaPtr replica);
   core::Task<> CheckGrant(ReplicaPtr replica);
   bool UseAdapter(Replica& replica, const contract::Adapter& spec,
-                  const LoadWish& wish, int failures_before);
+                  const LoadRequest& request, int failures_before);
   core::Task<> LoadAdapter(ReplicaPtr replica, contract::Adapter spec,
                            std::vector<core::ModelId> evict);
   core::Task<> MakeRoom(MemoryHolder holder, std::int64_t bytes,
@@ -114,12 +117,12 @@
                               std::set<core::ModelId>& tried);
   void CheckRoom(const contract::Model& spec,
                  const std::vector<core::ModelId>& evict) const;
-  void HandBack(Replica& replica);
+  void ReleaseGrant(Replica& replica);
   contract::Model SpecOf(const core::ModelId& model) const;
   std::string_view TierOf(const core::ModelId& model) const;
 
   EndpointParts parts_;
-  const std::chrono::milliseconds grant_trust_;
+  const std::chrono::milliseconds max_grant_age_;
 };
 
 }  // namespace sapphire::endpoint
--- a/src/endpoint/runner_base.h
+++ b/src/endpoint/runner_base.h
@@ -13,7 +13,7 @@
 #include "core/task_type.h"
 #include "endpoint/admission_base.h"
 #include "endpoint/attempt_table_base.h"
-#include "endpoint/engine_follower_base.h"
+#include "endpoint/engine_status_poller_base.h"
 #include "endpoint/metrics_base.h"
 #include "external/engine_base.h"
 #include "gen/link_types.h"
@@ -25,46 +25,49 @@
  * back. */
 class Runner {
  public:
-  /** @param follower Null beside a plain service.
+  /** @param status_poller Null for a plain service.
    * @pre All references outlive the runner. */
-  Runner(external::Engine& engine, EngineFollower* follower,
+  Runner(external::Engine& engine, EngineStatusPoller* status_poller,
          Admission& admission, AttemptTable& attempts, const core::Clock& clock,
          const core::Logger& log, Metrics& metrics);
 
   /**
    * Answers a Run call.
-   * @throws core::Error a refusal, or why the answer isn't whole.
+   * @throws core::Error if the request is refused or the answer is incomplete.
    */
   core::Task<> Serve(std::shared_ptr<link::Call> call, gen::Run run);
 
  private:
-  /** One request on its way. */
-  struct Trip {
+  /** State of one request. */
+  struct RunState {
     std::shared_ptr<link::Call> call;
     gen::Run run;
     core::SteadyTime deadline;
-    /** The engine that the request was sent to. */
+    /** Incarnation of the engine when the request was sent. */
     std::int64_t engine_incarnation = 0;
-    /** The request may have reached the engine. */
+    /** True if the request may have reached the engine. */
     bool started = false;
     bool head_sent = false;
     std::int64_t chunks = 0;
     std::int64_t bytes = 0;
     std::optional<core::Error> error;
   };
-  using TripPtr = std::shared_ptr<Trip>;
+  using RunStatePtr = std::shared_ptr<RunState>;
 
-  core::Task<> Pump(TripPtr trip);
-  core::Task<> Forward(TripPtr trip);
-  core::Task<std::unique_ptr<http::ResponseStream>> OpenAtEngine(TripPtr trip);
-  core::Task<> Stream(TripPtr trip, http::ResponseStream& answer);
-  core::Task<> WatchCaller(TripPtr trip);
-  core::Task<core::ErrorCode> ExplainBreak(TripPtr trip, bool timed_out);
-  void LogEnd(const Trip& trip) const;
-  [[nodiscard]] std::chrono::milliseconds Left(const Trip& trip) const;
+  core::Task<> ForwardAndStoreError(RunStatePtr state);
+  core::Task<> Forward(RunStatePtr state);
+  core::Task<std::unique_ptr<http::ResponseStream>> OpenAtEngine(
+      RunStatePtr state);
+  core::Task<> Stream(RunStatePtr state, http::ResponseStream& answer);
+  core::Task<> WatchCaller(RunStatePtr state);
+  core::Task<core::ErrorCode> DiagnoseFailure(RunStatePtr state,
+                                              bool timed_out);
+  void LogOutcome(const RunState& state) const;
+  [[nodiscard]] std::chrono::milliseconds RemainingTime(
+      const RunState& state) const;
 
   external::Engine& engine_;
-  EngineFollower* const follower_;
+  EngineStatusPoller* const status_poller_;
   Admission& admission_;
   AttemptTable& attempts_;
   const core::Clock& clock_;
