--- a/idl/link.thrift
+++ b/idl/link.thrift
@@ -1,5 +1,6 @@
-// The messages between sapphireyoke's own processes. Each travels as a
-// length-prefixed frame in TCompactProtocol over one multiplexed TCP link.
+// The messages between sapphireyoke's processes. Each Frame is sent with a
+// length prefix, in TCompactProtocol, over one multiplexed TCP link per pair of
+// processes.
 // Regenerate with scripts/gen.sh; the generated code in gen/ is committed.
 namespace cpp sapphire.gen
 
@@ -10,33 +11,35 @@
   1: string vm
   2: string zone
   3: Role role
-  // Random per process start: tells a restarted process from its predecessor.
+  // Random per process start; distinguishes a restarted process from the
+  // previous one.
   4: i64 incarnation
-  // Where the sender itself listens for links, "ip:port".
+  // Address at which the sender accepts links, "ip:port".
   5: string listen_address
 }
 
 struct Heartbeat {}
 
-// Grants the peer `messages` more messages on this call (flow control).
+// Allows the peer to send `messages` more messages on this call (flow control).
 struct Credit { 1: i32 messages }
 
-// The peer has given up on this call.
+// The sender has ended this call.
 struct Cancel {}
 
-// Terminal answer of any call that did not succeed.
+// Last message of a call that failed.
 struct Refusal {
-  // core::ErrorCode, by its stable name.
+  // Stable name of the core::ErrorCode.
   1: string code
   2: string detail
   3: i64 retry_after_ms
-  // True only where it is certain that nothing ran.
+  // True only if the request certainly did not run.
   4: bool not_run
 }
 
-// Entry to the model's home entry: find me an endpoint with the model loaded.
-// Answered by Placed or Refusal. The call then stays open: it holds the slot
-// until PlaceDone arrives or the link is lost.
+// Requests an endpoint that has the model loaded. Sent by an entry to the
+// model's home entry, which places the requests for it. Answered by Placed or
+// Refusal. After Placed, the call stays open and occupies the slot until
+// PlaceDone arrives or the link is lost.
 struct Place {
   1: string request_id
   2: string model
@@ -46,36 +49,37 @@
   6: string owner
   7: i64 fingerprint
   8: i64 prefix_hash
-  // Endpoints that this request must not be placed on again.
+  // Endpoints on which this request must not be placed again.
   9: list<string> avoid
 }
 
 struct Placed {
   1: string endpoint
   2: string address
-  // How long the endpoint keeps the replica once it is idle.
+  // How long the endpoint keeps the replica loaded once it is idle.
   3: i64 keep_alive_ms
 }
 
 enum RunResult {
   COMPLETED = 1,
-  // The endpoint said that it never started the request.
+  // The endpoint reported that it did not start the request.
   NOT_STARTED = 2,
-  // The engine died while the request ran on it.
+  // The engine crashed while the request ran on it.
   ENGINE_CRASHED = 3,
   ABANDONED = 4
 }
 
 struct PlaceDone { 1: RunResult result }
 
-// One request to an endpoint, or to a home entry that runs it for the caller
-// (non-idempotent requests). Answered by RunHead, Chunk..., RunEnd; or Refusal
-// at any point.
+// Runs one request on an endpoint. Non-idempotent requests are sent to a home
+// entry, which runs them for the caller. Answered by RunHead, any number of
+// Chunks and RunEnd; a Refusal may come at any point.
 struct Run {
   1: string request_id
-  // One per dispatch; the endpoint runs an attempt at most once.
+  // New for each dispatch; the endpoint runs an attempt at most once.
   2: string attempt_id
-  // The service the request belongs to, and the model ("" for a plain service).
+  // The service that the request is for, and the model ("" for a plain
+  // service).
   3: string service_id
   4: string model
   5: string adapter
@@ -84,71 +88,74 @@
   8: string owner
   9: i64 fingerprint
   10: bool non_idempotent
-  // Set on non-idempotent requests: the caller's key.
+  // The caller's key; set on non-idempotent requests.
   11: string idempotency_key
   12: string method
   13: string path
   14: string content_type
   15: binary body
-  // Negative: the endpoint's own setting.
+  // Negative: the endpoint uses its own setting.
   16: i64 keep_alive_ms = -1
   17: i64 prefix_hash
 }
 
 struct RunHead { 1: i32 status, 2: string content_type }
 
-// sequence counts from 0; a gap means a lost part and ends the call with an error.
+// One part of the answer's body. `sequence` counts from 0; a gap means that a
+// part was lost and ends the call with an error.
 struct Chunk { 1: i64 sequence, 2: binary data }
 
-// Totals let the receiver prove that the answer is whole.
+// Ends an answer. The receiver checks by the totals that it is complete.
 struct RunEnd { 1: i64 chunks, 2: i64 bytes }
 
-// Asks an endpoint whether an attempt ever started; if it did not, the
-// endpoint tombstones the attempt so that a late copy is refused.
+// Asks an endpoint whether an attempt was started. If not, the endpoint marks
+// the attempt with a tombstone, so that it refuses a copy that arrives late.
 struct VoidAttempt { 1: string attempt_id }
 struct AttemptState { 1: bool started, 2: i64 incarnation }
 
-// Use of something that an engine holds, as far as the asking entry knows.
+// Use of a model or adapter that is loaded on an engine, as far as the sending
+// entry knows it.
 struct ResidentUse {
   1: string model
   // Empty: the model itself.
   2: string adapter
-  // Requests in progress, of all entries.
+  // Requests in progress from all entries.
   3: i32 running
-  // Requests that began lately, per 1000 seconds.
+  // Recent rate of request starts, per 1000 seconds.
   4: i64 demand_per_1000_s
-  // Since the last one began; negative: none is known.
+  // Time since the last request began; negative: none is known.
   5: i64 idle_ms
 }
 
-// Home to endpoint: have the model (and adapter) loaded. Answered by
-// ModelReady or Refusal.
+// Asks an endpoint to load the model (and adapter) unless it is loaded.
+// Answered by ModelReady or Refusal.
 struct EnsureModel {
   1: string service_id
   2: string model
   3: string adapter
   4: i64 remaining_ms
-  // Negative: the endpoint's own setting.
+  // Negative: the endpoint uses its own setting.
   5: i64 keep_alive_ms = -1
-  // Idle models the home allows this endpoint to unload to make room.
+  // Idle models that the endpoint may unload to free memory.
   6: list<string> evict
-  // The start of the engine that is meant: the order is void for another one.
+  // Identifies one start of the engine; the order is not valid for any other.
   7: string engine_instance
-  // What the asking entry knows of the use of all that the engine holds.
+  // Use of all that the engine has loaded, as far as the sender knows it.
   8: list<ResidentUse> resident_use
 }
 struct ModelReady { 1: string model, 2: string adapter }
 
-// The process that may give an engine its orders, in the key-value service
-// under its lease.
+// The process that may send orders to an engine. Stored in the key-value
+// service under the lease of that process.
 struct EngineHolder {
   1: string vm
-  // Where it takes EnsureModel: "ip:port" of its links.
+  // Link address at which it accepts EnsureModel, "ip:port".
   2: string address
 }
 
-// The process beside an engine asks its holder on another VM to give the engine
-// up. Answered by EngineReleased once no order of the holder is open.
+// Asks the holder of an engine to release it. Sent by the process on the
+// engine's VM to a holder on another VM. Answered by EngineReleased once no
+// order of the holder is in progress.
 struct ReleaseEngine { 1: string engine_address }
 struct EngineReleased {}
 
@@ -160,14 +167,14 @@
   3: i32 running
   4: i64 idle_ms
   5: list<string> adapters
-  // Weights, adapters and KV cache budget together.
+  // Sum of weights, adapters and KV cache budget.
   6: i64 bytes
-  // Requests for the model that began here lately, per 1000 seconds.
+  // Recent rate of request starts for the model here, per 1000 seconds.
   7: i64 demand_per_1000_s
 }
 
-// Opened by each entry towards each endpoint; the endpoint sends an
-// EndpointReport at once, on every change, and every report interval.
+// Opened by each entry to each endpoint. The endpoint sends an EndpointReport
+// immediately, on every change, and once per report interval.
 struct Subscribe {}
 
 struct EndpointReport {
@@ -175,25 +182,26 @@
   2: string zone
   3: i64 incarnation
   4: bool leaving
-  // "model" or the name of the plain service behind this endpoint.
+  // "model", or the name of the plain service that this endpoint serves.
   5: string kind
   6: i64 memory_bytes
   7: i64 reserved_bytes
   8: i32 running
   9: i32 max_running
   10: list<ReplicaReport> replicas
-  // Models whose checkpoints are cached on this machine, by tier.
+  // Models whose checkpoints are cached on this VM, by tier.
   11: list<string> memory_tier
   12: list<string> disk_tier
   13: bool engine_up
 }
 
-// An entry that runs, in the key-value service under its lease: where the
-// others send it datagrams.
+// A running entry and the address to which others send it datagrams. Stored in
+// the key-value service under the entry's lease.
 struct EntryPresence { 1: string vm, 2: string zone, 3: string address }
 
-// What an entry sends to engines, and which models it is having loaded: one
-// datagram to another entry. Absolute, so that a lost one does no harm.
+// One datagram to another entry: the requests that the sender has on engines
+// and the loads that it has requested. It holds totals, not changes, so the
+// loss of a datagram does no harm.
 struct EngineUse { 1: string engine_instance, 2: list<ResidentUse> parts }
 struct ComingLoad {
   1: string engine_instance
@@ -203,47 +211,49 @@
 }
 struct EngineLimit { 1: string engine_instance, 2: double per_second }
 struct EntryRecord {
-  // The key of the sender's EntryPresence: names one start of an entry.
+  // The key of the sender's EntryPresence; identifies one start of an entry.
   1: string entry
-  // Counts the sender's datagrams: one that was overtaken is passed over.
+  // Counts the sender's datagrams; the receiver ignores one that arrives after
+  // a higher number.
   2: i64 number
   3: list<EngineUse> uses
   4: list<ComingLoad> loads
-  // What the latest load from the weight store took that this entry asked for;
-  // 0: none lately.
+  // Duration of the latest load from the weight store that this entry
+  // requested; 0: no recent one.
   5: i64 store_load_ms
-  // What engines have named to this entry lately.
+  // The request limits that engines have recently named to this entry.
   6: list<EngineLimit> limits
 }
 
-// What one entry has granted of a quota lately.
+// The units of a quota that one entry has granted within the quota's window.
 struct QuotaUsage {
-  // The key of its EntryPresence.
+  // The key of the entry's EntryPresence.
   1: string entry
-  // Counts what it grants and takes back: a lower one is passed over.
+  // Counts the entry's grants and returns; a lower number is out of date and
+  // ignored.
   2: i64 number
-  // Units by age, newest first; each step is a part of the quota's window.
+  // Units by age, newest first; each step covers a fraction of the window.
   3: list<i64> steps
 }
 
-// Asks the coordinator of a quota for units of it. Answered by
-// QuotaAnswer; a repeated ask has the same number and is charged once.
+// Requests units of a quota from its coordinator. Answered by QuotaAnswer. A
+// resent request has the same number and is charged once.
 struct QuotaAsk {
   // The key of the sender's EntryPresence.
   1: string entry
   2: i64 number
-  // What the quota limits, by the name that all entries use for it.
+  // Name of the quota, the same on all entries.
   3: string quota
-  // 0 asks for a sign of life and the quota's use; below 0 gives back and is
-  // not answered.
+  // 0: only checks that the receiver is alive and asks for the quota's use.
+  // Negative: returns units, and is not answered.
   4: double units
-  // The limit as the sender knows it; the highest version holds.
+  // The limit as the sender knows it; the one with the highest version applies.
   5: i64 version
   6: double units_per_second
   7: double burst
-  // The request waits so long for the quota to have room.
+  // The longest delay that the request accepts.
   8: i64 wait_ms
-  // What the sender knows of the quota's use.
+  // The quota's use as far as the sender knows it.
   9: list<QuotaUsage> usage
 }
 enum QuotaVerdict { GRANTED = 1, DENIED = 2, NOT_COORDINATOR = 3 }
@@ -251,12 +261,13 @@
   1: string entry
   2: i64 number
   3: QuotaVerdict verdict
-  // GRANTED: the request starts after this; DENIED: when to come back.
+  // GRANTED: how long to delay the request; DENIED: when to try again.
   4: i64 delay_ms
-  // NOT_COORDINATOR: the entry that coordinates, as the sender sees it.
+  // NOT_COORDINATOR: the coordinating entry according to the sender.
   5: string coordinator
   6: string coordinator_address
-  // Answers 0 units: the quota asked for, and what the sender knows of its use.
+  // Set if 0 units were asked for: the quota, and its use as far as the sender
+  // knows it.
   7: string quota
   8: list<QuotaUsage> usage
 }
@@ -266,24 +277,24 @@
   1: optional EntryRecord record
   2: optional QuotaAsk quota_ask
   3: optional QuotaAnswer quota_answer
-  // The same for requests to an engine that has named a limit.
+  // The same for the request limits that engines name.
   4: optional QuotaAsk engine_ask
   5: optional QuotaAnswer engine_answer
 }
 
-// Operators' drain of one endpoint. Answered by DrainState.
+// Drains one endpoint, on an operator's command. Answered by DrainState.
 struct Drain {}
 struct DrainState { 1: i32 running }
 
-// The lower side of a link pulls a newer configuration from the higher side.
-// Answered by ConfigParts or Refusal.
+// Requests a newer configuration; sent by the side of a link that has the lower
+// version. Answered by ConfigParts or Refusal.
 struct ConfigPull { 1: i64 have_version, 2: list<string> have_parts }
 struct ConfigPart { 1: string hash, 2: binary data }
 struct ConfigParts {
   1: i64 version
   2: string plan_id
   3: list<string> part_hashes
-  // Only the parts the puller did not list.
+  // Only the parts that ConfigPull did not list.
   4: list<ConfigPart> parts
 }
 
@@ -316,11 +327,12 @@
 }
 
 struct Frame {
-  // Call this frame belongs to, chosen by the opener; 0 is the link itself.
+  // Id of the frame's call, chosen by the side that opened it; 0: the frame
+  // belongs to the link itself.
   1: i64 call
   // True if the sender of this frame opened the call.
   2: bool from_opener
-  // Configuration version in force at the sender.
+  // Configuration version that the sender uses.
   3: i64 config_version
   4: Message message
 }
