--- a/src/link/call.cc
+++ b/src/link/call.cc
@@ -1,4 +1,4 @@
-/** @file call.cc The inside of one call on one link. */
+/** @file call.cc State and flow control of one call on a link. */
 #include <utility>
 
 #include "core/clock_base.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** Re-check interval of a blocked sender; it is woken by credit or failure. */
+/** Upper bound of one wait for credit; credit or a failure ends it earlier. */
 constexpr std::chrono::milliseconds kSendRecheck{60'000};
 
 gen::Message CancelMessage() {
--- a/src/link/call_base.h
+++ b/src/link/call_base.h
@@ -1,4 +1,4 @@
-/** @file call_base.h The inside of one call on one link. */
+/** @file call_base.h State and flow control of one call on a link. */
 #ifndef SAPPHIRE_LINK_CALL_BASE_H_
 #define SAPPHIRE_LINK_CALL_BASE_H_
 
@@ -15,7 +15,8 @@
 
 namespace sapphire::link {
 
-/** Names a call on its link: both sides count their own calls from 1. */
+/** Identifies a call on its link: each side numbers the calls it opens from 1.
+ */
 struct CallKey {
   std::int64_t id = 0;
   /** True if this side opened it. */
@@ -26,44 +27,44 @@
   }
 };
 
-/** What a call needs of its link. */
+/** The part of a link that a call uses. */
 class FrameSink {
  public:
   virtual ~FrameSink() = default;
-  /** Queues a frame for sending; lost if the link is. Never blocks. */
+  /** Queues a frame for sending; drops it if the link is lost. Never blocks. */
   virtual void Push(const CallKey& key, gen::Message message) = 0;
-  /** Forgets a call: later frames of it are dropped. */
+  /** Removes a call; frames that arrive for it later are dropped. */
   virtual void Forget(const CallKey& key) = 0;
   [[nodiscard]] virtual PeerInfo peer() const = 0;
 };
 
 /**
- * State both the user's side (CallHandle) and the link's reader share.
- * Guard against a peer that floods: a sender may have `window` messages
- * outstanding; the receiver grants more as its user consumes them, so the
- * inbox never holds more than the window.
+ * State of a call, shared by its user (through CallHandle) and the link's
+ * reader. Flow control protects against a peer that sends too fast: a sender
+ * may have `window` messages outstanding, and the receiver grants more as its
+ * user consumes them, so the inbox never holds more than the window.
  */
 class CallState {
  public:
   CallState(CallKey key, std::shared_ptr<FrameSink> sink, int window);
 
-  /** User's side; see Call. */
+  /** For the user of the call; see Call. */
   core::Task<> Send(gen::Message message);
   core::Task<gen::Message> Receive(std::chrono::milliseconds timeout);
-  /** Ends the call and tells the peer, once. */
+  /** Ends the call and sends Cancel to the peer; further calls do nothing. */
   void End();
-  /** Sends a last message past the window, then ends. */
+  /** Sends a last message regardless of credit, then ends the call. */
   void EndWith(gen::Message message);
   [[nodiscard]] bool ended() const;
   [[nodiscard]] PeerInfo peer() const { return sink_->peer(); }
 
-  /** Link's side: a frame of this call has come. */
+  /** For the link: handles a message that arrived for this call. */
   void Deliver(gen::Message message);
-  /** Link's side: nothing will come any more. */
+  /** For the link: ends the call with `error`. */
   void Fail(const core::Error& error);
 
  private:
-  /** @return The credit to grant after one more message was consumed, or 0. */
+  /** Counts one consumed message. @return The credit to grant now, or 0. */
   int CountConsumed();
 
   const CallKey key_;
@@ -74,11 +75,11 @@
   std::deque<gen::Message> inbox_;
   int credit_;
   int consumed_ = 0;
-  /** Set once nothing can be sent or will come. */
+  /** Why the call has ended; unset while it is open. */
   std::optional<core::Error> failure_;
 };
 
-/** What users hold: dropping the last one ends the call. */
+/** The Call that users get; destroying it ends the call. */
 class CallHandle final : public Call {
  public:
   explicit CallHandle(std::shared_ptr<CallState> state)
--- a/src/link/codec.cc
+++ b/src/link/codec.cc
@@ -1,4 +1,4 @@
-/** @file codec.cc Frames as bytes, by Thrift's compact protocol. */
+/** @file codec.cc Encodes and decodes frames in Thrift's compact protocol. */
 #include <thrift/protocol/TCompactProtocol.h>
 #include <thrift/transport/TBufferTransports.h>
 
--- a/src/link/codec_func.h
+++ b/src/link/codec_func.h
@@ -1,4 +1,4 @@
-/** @file codec_func.h Frames as bytes. */
+/** @file codec_func.h Encodes frames to bytes and decodes them. */
 #ifndef SAPPHIRE_LINK_CODEC_FUNC_H_
 #define SAPPHIRE_LINK_CODEC_FUNC_H_
 
@@ -10,19 +10,19 @@
 
 namespace sapphire::link {
 
-/** Bytes of the length that goes before each frame, big-endian. */
+/** Size of the big-endian length prefix of each frame. */
 constexpr std::size_t kLengthBytes = 4;
 
-/** @return Length and frame in TCompactProtocol. */
+/** @return The length prefix and the frame in TCompactProtocol. */
 std::string EncodeFrame(const gen::Frame& frame);
 
 /**
- * @param body A frame without its length.
- * @throws core::Error kMalformedRequest if it is no frame.
+ * @param body A frame without its length prefix.
+ * @throws core::Error kMalformedRequest if `body` is not a valid frame.
  */
 gen::Frame DecodeFrame(std::string_view body);
 
-/** @return The length that these kLengthBytes bytes tell. */
+/** @param bytes A length prefix of kLengthBytes bytes. */
 std::uint32_t DecodeLength(std::string_view bytes);
 
 }  // namespace sapphire::link
--- a/src/link/connection.cc
+++ b/src/link/connection.cc
@@ -1,4 +1,5 @@
-/** @file connection.cc One TCP link: frames in, frames out, its calls. */
+/** @file connection.cc One TCP link: reads and writes frames and dispatches
+ * them to calls. */
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -26,20 +27,20 @@
 
 constexpr auto kTuple = asio::as_tuple(asio::use_awaitable);
 constexpr std::chrono::milliseconds kWriteRecheck{60'000};
-/** Heartbeats and Hello belong to the link itself, not to a call. */
+/** Key of the frames that belong to the link itself: Hello and heartbeats. */
 constexpr CallKey kLinkItself{0, true};
 
 Error LinkLost(const std::string& why) {
   return Error(ErrorCode::kLinkLost, why);
 }
 
-/** Runs the handler of one accepted call; what it throws is the answer. */
+/** Runs the handler of an accepted call; sends what it throws as a Refusal. */
 Task<> RunHandler(std::shared_ptr<NodeContext> context,
                   std::shared_ptr<CallState> state, gen::Message first) {
   std::optional<Error> failure;
   const std::string kind = KindOf(first);
-  // Kept over the handler's own reference, whose end would end the call before
-  // a refusal could be sent.
+  // Outlives the handler's own reference: destroying the last handle ends the
+  // call, and then no refusal could be sent.
   const auto handle = std::make_shared<CallHandle>(state);
   try {
     co_await context->handler(handle, std::move(first));
@@ -69,8 +70,8 @@
   boost::system::error_code ignored;
   socket_.set_option(asio::ip::tcp::no_delay(true), ignored);
   last_received_ns_ = context_->clock.Now().time_since_epoch().count();
-  // Writing and listening for silence start first: a peer that never says
-  // hello is closed by the heartbeat loop.
+  // The write and heartbeat loops start first: the heartbeat loop closes the
+  // link if the peer never sends Hello.
   const auto strand = socket_.get_executor();
   asio::co_spawn(strand, WriteLoop(), asio::detached);
   asio::co_spawn(strand, HeartbeatLoop(), asio::detached);
@@ -162,16 +163,17 @@
     AcceptCall(key, std::move(message));
     return;
   }
-  // Late frames of a call that is over here: the other side had not yet seen
-  // its end. Ids are never used twice on a link, so they can't reach another.
+  // This is a late frame of a call that has ended here: the peer sent it before
+  // it received the end. Ids are never reused on a link, so the frame can't
+  // belong to another call.
   if (!message.__isset.cancel) ++context_->counters.frames_dropped;
 }
 
 void Connection::AcceptCall(const CallKey& key, gen::Message first) {
   {
     const std::lock_guard lock(mutex_);
-    // A frame of an ended call must not be taken for a new one: the peer
-    // counts its calls up, so an id at or below the newest is an old call.
+    // A late frame of an ended call must not open a new call. The peer numbers
+    // its calls in ascending order, so an id up to the highest seen is old.
     if (key.id <= newest_accepted_) {
       ++context_->counters.frames_dropped;
       return;
@@ -234,9 +236,10 @@
   }
 }
 
-/** Guard against a peer that is frozen, cut off or gone without a word: TCP
- * would notice after many minutes. A cut in one direction is noticed by the
- * side that hears nothing; closing tells the other. */
+/** Detects a peer that is frozen, unreachable or has ended without closing the
+ * connection; TCP alone takes many minutes. If only one direction is cut, the
+ * side that receives nothing detects it and closes the connection, which the
+ * other side sees. */
 bool Connection::PeerIsSilent() const {
   const core::SteadyTime last(
       core::SteadyTime::duration(last_received_ns_.load()));
@@ -284,8 +287,8 @@
 }
 
 Task<std::shared_ptr<Call>> Connection::Open(gen::Message first) {
-  // Ids must reach the peer in order: it takes a smaller id than the newest
-  // for a late frame of an ended call.
+  // Ids must reach the peer in ascending order: it treats a smaller id than the
+  // highest seen as a late frame of an ended call.
   const std::lock_guard opening(open_mutex_);
   std::shared_ptr<CallState> state;
   CallKey key;
--- a/src/link/connection_base.h
+++ b/src/link/connection_base.h
@@ -1,4 +1,5 @@
-/** @file connection_base.h One TCP link: frames in, frames out, its calls. */
+/** @file connection_base.h One TCP link: reads and writes frames and dispatches
+ * them to calls. */
 #ifndef SAPPHIRE_LINK_CONNECTION_BASE_H_
 #define SAPPHIRE_LINK_CONNECTION_BASE_H_
 
@@ -18,7 +19,7 @@
 
 namespace sapphire::link {
 
-/** LinkCounters that several threads add to. */
+/** LinkCounters that several threads update. */
 struct AtomicCounters {
   std::atomic<std::int64_t> frames_sent{0};
   std::atomic<std::int64_t> frames_received{0};
@@ -28,7 +29,7 @@
   std::atomic<std::int64_t> links_lost{0};
 };
 
-/** What every connection of one process shares. */
+/** State shared by all connections of a process. */
 struct NodeContext {
   NodeContext(core::Executor node_executor, LinkOptions node_options,
               CallHandler node_handler, VersionHooks node_hooks,
@@ -41,7 +42,8 @@
         log(node_log) {}
 
   const core::Executor executor;
-  /** `self.listen_address` is set by Listen, before any connection. */
+  /** LinkNode::Listen sets `self.listen_address` before any connection is made.
+   */
   LinkOptions options;
   const CallHandler handler;
   const VersionHooks hooks;
@@ -52,25 +54,26 @@
 };
 
 /**
- * One link. Its socket lives on a strand of its own; calls and the outgoing
- * queue are shared with other threads under a lock.
+ * One link. The socket is used only on its own strand; calls and the outgoing
+ * queue are shared with other threads and protected by a mutex.
  */
 class Connection final : public Link,
                          public FrameSink,
                          public std::enable_shared_from_this<Connection> {
  public:
-  /** @param socket Connected, on a strand. */
+  /** @param socket Connected; its executor is a strand. */
   Connection(std::shared_ptr<NodeContext> context,
              boost::asio::ip::tcp::socket socket);
 
-  /** Exchanges Hello and starts to read, write and send heartbeats.
+  /** Exchanges Hello and starts reading, writing and sending heartbeats.
    * @throws core::Error kLinkLost */
   core::Task<> Start();
 
-  /** Fails every call and closes the socket. Any thread. */
+  /** Fails every call with `why` and closes the socket. May be called on any
+   * thread. */
   void Close(const core::Error& why);
 
-  /** Sends a heartbeat now. */
+  /** Queues a heartbeat for sending. */
   void SendHeartbeat();
 
   [[nodiscard]] PeerInfo peer() const override;
@@ -98,15 +101,15 @@
   std::atomic<bool> lost_{false};
   std::atomic<std::int64_t> last_received_ns_{0};
 
-  /** Held while a call is opened, so that ids are sent in order. */
+  /** Held while a call is opened, so that call ids are sent in order. */
   std::mutex open_mutex_;
   mutable std::mutex mutex_;
   PeerInfo peer_;
   std::map<CallKey, std::shared_ptr<CallState>> calls_;
   std::int64_t next_call_ = 1;
-  /** When the last call ended; before that, when the link was made. */
+  /** When the last call ended; initially when the link was created. */
   core::SteadyTime last_call_;
-  /** Newest call id taken from the peer. */
+  /** Highest id of the calls that the peer has opened. */
   std::int64_t newest_accepted_ = 0;
   std::string outgoing_;
   core::Signal outgoing_added_;
--- a/src/link/link_base.h
+++ b/src/link/link_base.h
@@ -1,5 +1,5 @@
-/** @file link_base.h Multiplexed calls over one TCP link per pair of processes.
- */
+/** @file link_base.h Calls between processes, multiplexed over one TCP link per
+ * pair of processes. */
 #ifndef SAPPHIRE_LINK_LINK_BASE_H_
 #define SAPPHIRE_LINK_LINK_BASE_H_
 
@@ -18,8 +18,8 @@
 namespace sapphire::link {
 
 /**
- * One call: a two-way stream of messages. Safe to use from any thread, but
- * with one sender and one receiver at a time. Dropping the last reference to a
+ * One call: a two-way stream of messages. Can be used on any thread, but only
+ * by one sender and one receiver at a time. Destroying the last reference to a
  * call that has not ended cancels it.
  */
 class Call {
@@ -27,21 +27,21 @@
   virtual ~Call() = default;
 
   /**
-   * Sends a message; waits while the peer grants no credit.
-   * @throws core::Error kLinkLost, or kCancelled if the peer gave up.
+   * Sends a message; waits until the peer has granted credit for it.
+   * @throws core::Error kLinkLost, or kCancelled if the call has ended.
    */
   virtual core::Task<> Send(gen::Message message) = 0;
 
   /**
    * @param timeout How long to wait for the next message.
    * @return The next message, in order and without gaps.
-   * @throws core::Error kTimedOut, kLinkLost, kCancelled, or the error of a
-   *   Refusal that the peer sent.
+   * @throws core::Error kTimedOut, kLinkLost, kCancelled, or the error that the
+   *   peer sent as a Refusal.
    */
   virtual core::Task<gen::Message> Receive(
       std::chrono::milliseconds timeout) = 0;
 
-  /** Ends the call; frames of it that still arrive are dropped and counted. */
+  /** Ends the call. Frames that arrive for it later are dropped and counted. */
   virtual void Cancel() = 0;
 
   /** @return True once the link is lost or either side ended the call. */
@@ -50,7 +50,7 @@
   [[nodiscard]] virtual PeerInfo peer() const = 0;
 };
 
-/** One link, seen from a hook: opens calls towards the other side. */
+/** One link, as passed to VersionHooks: opens calls to the other side. */
 class Link {
  public:
   virtual ~Link() = default;
@@ -61,22 +61,23 @@
 };
 
 /**
- * Answers a call. The call ends when the handler returns; a core::Error it
- * throws is sent as Refusal.
+ * Handles an incoming call. The call ends when the handler returns; a
+ * core::Error that it throws is sent as a Refusal.
  */
 using CallHandler =
     std::function<core::Task<>(std::shared_ptr<Call>, gen::Message first)>;
 
-/** What a process does with configuration versions seen on links. */
+/** Exchange of configuration versions over links. */
 struct VersionHooks {
-  /** @return The version in force here; sent with every frame. */
+  /** @return The version that this process uses; sent with every frame. */
   std::function<std::int64_t()> current;
-  /** Called when a peer's frames show a version above `current`. May be called
-   * often; must not block. */
+  /** Called for each frame of a peer with a version above `current`. Must not
+   * block. */
   std::function<void(std::shared_ptr<Link>, std::int64_t version)> newer_seen;
 };
 
-/** @return Hooks of a process that carries no configuration on its links. */
+/** @return Hooks for a process that exchanges no configuration over its links:
+ * always version 0. */
 VersionHooks NoVersions();
 
 /** All links of one process. */
@@ -92,30 +93,31 @@
   LinkNode& operator=(const LinkNode&) = delete;
 
   /**
-   * Listens on "ip:port"; port 0 takes a free one.
-   * @return "ip:port" as bound, which Hello then carries.
-   * @throws core::Error kBadSettings if the address is taken: a second process
-   *   on a VM ends here.
+   * Listens on "ip:port"; port 0 selects a free one.
+   * @return "ip:port" as bound, which is sent in Hello.
+   * @throws core::Error kBadSettings if the address is in use, which also keeps
+   *   a second process on a VM from starting.
    */
   std::string Listen(const std::string& address);
 
   /**
-   * Opens a call to the process listening at `address`, over the link that is
-   * up or a new one.
-   * @throws core::Error kLinkLost if it can't be reached.
+   * Opens a call to the process that listens at `address`, over the existing
+   * link or a new one.
+   * @throws core::Error kLinkLost if the process can't be reached.
    */
   core::Task<std::shared_ptr<Call>> Open(const std::string& address,
                                          gen::Message first);
 
-  /** @return Everyone a link is up with. */
+  /** @return The peers of all links that are up. */
   [[nodiscard]] std::vector<PeerInfo> Peers() const;
 
   [[nodiscard]] LinkCounters counters() const;
 
-  /** Sends a heartbeat on every link now: peers see the new version at once. */
+  /** Sends a heartbeat on every link, so that peers see a new version
+   * immediately. */
   void AnnounceVersion();
 
-  /** Takes no new links or calls; calls in progress go on. */
+  /** Refuses new links and calls; calls in progress continue. */
   void StopAccepting();
 
   /** Closes every link; calls in progress fail with kLinkLost. */
--- a/src/link/link_test.cc
+++ b/src/link/link_test.cc
@@ -1,4 +1,4 @@
-/** @file link_test.cc Calls between two nodes over real sockets. */
+/** @file link_test.cc Tests of calls between two nodes over real sockets. */
 #define BOOST_TEST_MODULE link
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/io_context.hpp>
@@ -42,8 +42,8 @@
   return message;
 }
 
-/** Answers by path: "stream" sends that many chunks, "refuse" refuses,
- * "wait" waits until the call is cancelled. */
+/** Handles calls by path: "refuse" throws an error, "wait" waits until the call
+ * is cancelled, and any other path sends `remaining_ms` chunks. */
 struct Server {
   std::atomic<int> cancelled{0};
   std::atomic<int> started{0};
@@ -114,7 +114,8 @@
         .get();
   }
 
-  /** Waits, for a long time if need be, until something becomes true. */
+  /** Waits up to 10 s for a condition. @return False if it did not come true.
+   */
   template <typename Condition>
   bool Eventually(Condition condition) {
     for (int i = 0; i < 2000; ++i) {
@@ -124,7 +125,7 @@
     return false;
   }
 
-  /** Reads `count` chunks of a call; counts those out of order. */
+  /** Reads `count` chunks of a call. @return How many were out of order. */
   Task<int> ReadStream(std::string to, std::int64_t count) {
     const auto call = co_await near.Open(to, RunMessage("stream", count));
     int wrong = 0;
@@ -186,8 +187,8 @@
   }
 }
 
-// A caller gives up while its request runs. The far side must learn it at
-// once, or engines would go on for callers that have left.
+// A caller drops its call while the request runs. The server must be notified
+// immediately, or engines would go on working for callers that have left.
 BOOST_FIXTURE_TEST_CASE(DroppingACallCancelsIt, Fixture) {
   BOOST_TEST(
       (Run(FailureOf("wait", milliseconds(10))) == ErrorCode::kTimedOut));
@@ -201,9 +202,9 @@
   BOOST_TEST(Eventually([this] { return seen == 7; }));
 }
 
-// The VM at the far side freezes: its sockets stay open, but it says nothing.
-// Without heartbeats the caller would wait until its deadline; with them the
-// call fails as soon as the link counts as dead.
+// The peer's VM freezes: its sockets stay open, but it sends nothing. Without
+// heartbeats the caller would wait until its deadline; with them the call fails
+// as soon as the link counts as lost.
 BOOST_FIXTURE_TEST_CASE(SilentPeerFailsItsCalls, Fixture) {
   asio::ip::tcp::acceptor frozen(io);
   core::ListenOn(frozen, "127.0.0.1:0");
@@ -226,11 +227,10 @@
 }
 
 /**
- * Entries and endpoints spend their time on heartbeats.
- * Each entry asks each endpoint now and then, and every link once made stays:
- * 100 entries before 160 engines beat 64,000 times a second. A link that
- * nobody uses is closed, one with a call in progress stays, and the next call
- * makes a new one.
+ * Guards against a load of heartbeats from links that are rarely used: if links
+ * stay open after use, 100 entries and 160 engines send 64,000 heartbeats a
+ * second. An idle link is closed, one with a call in progress stays open, and
+ * the next call opens a new link.
  */
 BOOST_FIXTURE_TEST_CASE(ALinkThatNobodyUsesIsClosed, Fixture) {
   LinkOptions options = Options("asking");
@@ -258,8 +258,8 @@
   asking.Close();
 }
 
-// Something that is no peer connects and sends rubbish, or a length of 4 GB.
-// It is closed; the node goes on.
+// A client that is not a peer connects and sends invalid data, or a length of
+// 4 GB. The node closes that connection and must still serve its peers.
 BOOST_FIXTURE_TEST_CASE(RubbishClosesOnlyItsOwnLink, Fixture) {
   for (const std::string& bytes :
        {std::string("\xff\xff\xff\xff"), std::string("\0\0\0\4abcd", 8)}) {
--- a/src/link/link_type.cc
+++ b/src/link/link_type.cc
@@ -1,4 +1,5 @@
-/** @file link_type.cc Refusals as errors, and names of messages. */
+/** @file link_type.cc Converts between errors and Refusals, and names messages.
+ */
 #include <array>
 #include <string_view>
 
--- a/src/link/link_type.h
+++ b/src/link/link_type.h
@@ -1,4 +1,5 @@
-/** @file link_type.h Plain types of the links between our processes. */
+/** @file link_type.h Options, counters and helper functions of the links
+ * between sapphireyoke's processes. */
 #ifndef SAPPHIRE_LINK_LINK_TYPE_H_
 #define SAPPHIRE_LINK_LINK_TYPE_H_
 
@@ -15,49 +16,49 @@
 
 namespace sapphire::link {
 
-/** What the other side said of itself, and what was seen of it since. */
+/** The peer's Hello, and the newest configuration version received from it. */
 struct PeerInfo {
   core::VmId vm;
   core::ZoneId zone;
   gen::Role::type role = gen::Role::ENTRY;
   std::int64_t incarnation = 0;
   std::string listen_address;
-  /** Newest configuration version seen in its frames. */
+  /** Highest configuration version in the peer's frames. */
   std::int64_t config_version = 0;
 };
 
 struct LinkOptions {
-  /** Who this process is; listen_address is filled in by LinkNode::Listen. */
+  /** Sent to every peer; LinkNode::Listen sets listen_address. */
   gen::Hello self;
   std::chrono::milliseconds heartbeat_interval{500};
-  /** Without a frame for this long a link counts as lost. */
+  /** A link on which no frame arrives for this long counts as lost. */
   std::chrono::milliseconds dead_after{2000};
   std::chrono::milliseconds connect_timeout{1000};
-  /** A link without a call for this long is closed; 0: never. Processes that
-   * ask each other now and then keep no link for it: hundreds of them would
-   * send heartbeats to hundreds. */
+  /** A link without a call for this long is closed; 0: never. Used by processes
+   * that call each other only rarely: with links kept open, hundreds of them
+   * would each send heartbeats to hundreds of others. */
   std::chrono::milliseconds idle_close{0};
   /** Messages a sender may have outstanding on one call. */
   int window = 64;
-  /** Longest frame accepted, bytes. */
+  /** Largest frame accepted, in bytes. */
   std::int32_t max_frame_bytes = 4 * 1024 * 1024;
 };
 
-/** Counters of one process's links. */
+/** Counters over all links of a process. */
 struct LinkCounters {
   std::int64_t frames_sent = 0;
   std::int64_t frames_received = 0;
   std::int64_t bytes_sent = 0;
   std::int64_t bytes_received = 0;
-  /** Frames of a call that is over or was never known here. */
+  /** Received frames of calls that have ended or are unknown. */
   std::int64_t frames_dropped = 0;
   std::int64_t links_lost = 0;
 };
 
-/** @return The Refusal that tells a peer of `error`. */
+/** @return `error` as a Refusal. */
 gen::Refusal ToRefusal(const core::Error& error);
 
-/** @return The error a peer's Refusal tells of. */
+/** @return The error that a peer sent as a Refusal. */
 core::Error FromRefusal(const gen::Refusal& refusal);
 
 /** @return The name of the field set in `message`, for logs and errors. */
--- a/src/link/node.cc
+++ b/src/link/node.cc
@@ -1,4 +1,4 @@
-/** @file node.cc All links of one process. */
+/** @file node.cc Accepts, opens and keeps track of the links of a process. */
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
@@ -43,9 +43,9 @@
   Task<std::shared_ptr<Connection>> Dial(std::string address);
   Task<std::shared_ptr<Connection>> DialOnStrand(
       asio::strand<core::Executor> strand, std::string address);
-  /** @return The link to `address` that is up, if any. */
+  /** @return The existing link to `address`, or null. */
   std::shared_ptr<Connection> Existing(const std::string& address);
-  /** Remembers a link and forgets those that are lost. */
+  /** Adds a link to `all` and removes those that are lost. */
   void Keep(const std::shared_ptr<Connection>& connection);
   [[nodiscard]] std::vector<std::shared_ptr<Connection>> All() const;
 
@@ -106,8 +106,8 @@
   return {all.begin(), all.end()};
 }
 
-/** Connects on the socket's own strand: a timer elsewhere would cancel the
- * socket from a second thread. */
+/** Connects on the socket's own strand: on any other executor, the connect
+ * timer would cancel the socket from a second thread. */
 Task<std::shared_ptr<Connection>> LinkNode::State::Dial(std::string address) {
   const auto strand = asio::make_strand(context->executor);
   co_return co_await asio::co_spawn(
@@ -154,7 +154,8 @@
   if (!connection) {
     auto fresh = co_await state->Dial(address);
     connection = state->Existing(address);
-    // Two coroutines may have dialled at once: the first one's link is used.
+    // Two coroutines may have connected at the same time; the link that was
+    // ready first is used.
     if (connection) {
       fresh->Close(Error(ErrorCode::kLinkLost, "a second link"));
     } else {
