--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -1,4 +1,4 @@
-/** @file client.cc A small HTTP/1.1 client on Beast. */
+/** @file client.cc A small HTTP/1.1 client, built on Boost.Beast. */
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -31,8 +31,8 @@
 constexpr unsigned kHttp11 = 11;
 constexpr std::size_t kReadBytes = 16 * 1024;
 constexpr std::size_t kMaxIdle = 32;
-/** How long before the end that a server's `Keep-Alive` names its connection is
- * no longer used: a request sent then may cross the server's close. */
+/** How long before the end of a server's `Keep-Alive` timeout its connection is
+ * no longer reused: the server might close it while a request is sent. */
 constexpr std::chrono::milliseconds kKeepAliveMargin{300};
 
 [[noreturn]] void Fail(const std::string& address, const beast::error_code& ec,
@@ -41,7 +41,7 @@
                        ec == beast::error::timeout);
 }
 
-/** @return True if an idle connection is still open and silent. */
+/** @return True if an idle connection is open and has no unread data. */
 bool StillUsable(int fd) {
   char c = 0;
   const auto n = ::recv(fd, &c, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -50,7 +50,8 @@
 
 }  // namespace
 
-/** @return The idle time that a `Keep-Alive: timeout=N` field names. */
+/** @return The N of a `Keep-Alive: timeout=N` header field; nothing if absent.
+ */
 std::optional<std::chrono::milliseconds> NamedKeepAlive(
     const std::vector<Header>& headers) {
   static constexpr std::string_view kTimeout = "timeout=";
@@ -66,8 +67,8 @@
   return std::chrono::seconds(seconds);
 }
 
-/** Idle connections are kept as descriptors: each is taken up again on the
- * executor of the coroutine that uses it next. */
+/** Stores idle connections as file descriptors, so that each can be reused on
+ * the executor of the next coroutine. */
 struct Client::State {
   struct Idle {
     int fd;
@@ -84,7 +85,7 @@
 
   ~State() { DropIdle(); }
 
-  /** @return A usable idle descriptor, or -1. */
+  /** Removes a usable idle connection. @return Its descriptor, or -1. */
   int TakeIdle() {
     const std::lock_guard lock(mutex);
     while (!idle.empty()) {
@@ -131,8 +132,8 @@
         max_idle_time_(max_idle_time),
         abort_(std::move(abort)) {
     parser_.body_limit(boost::none);
-    // Beast reads no more at a time than the buffer has room for, and a new
-    // one has room for 512 bytes.
+    // Beast reads no more at a time than the free space of the buffer, which
+    // is 512 bytes in a new one.
     buf_.reserve(kReadBytes);
     if (abort_) {
       abort_->Attach([this] { stream_.close(); });
@@ -209,7 +210,7 @@
   }
 
  private:
-  /** Gives a connection whose answer is whole back for reuse. */
+  /** Returns the connection for reuse after a complete answer. */
   void Finish() {
     if (!recycle_ || !parser_.keep_alive() || buf_.size() > 0) return;
     stream_.expires_never();
--- a/src/http/client_base.h
+++ b/src/http/client_base.h
@@ -14,8 +14,8 @@
 
 namespace sapphire::http {
 
-/** An answer being read part by part. Closing it ends the connection, which
- * cancels the request at the server. */
+/** An answer that is read in parts. Destroying it before the end closes the
+ * connection, which cancels the request at the server. */
 class ResponseStream {
  public:
   virtual ~ResponseStream() = default;
@@ -23,22 +23,23 @@
   [[nodiscard]] virtual const ResponseHead& head() const = 0;
 
   /**
-   * @return The next part of the body; nothing once the body is whole.
-   * @throws TransportError if the answer is cut or `timeout` passes.
+   * @return The next part of the body; nothing at the end of the body.
+   * @throws TransportError if the answer is incomplete or `timeout` expires.
    */
   virtual core::Task<std::optional<std::string>> Read(
       std::chrono::milliseconds timeout) = 0;
 };
 
-/** Ends an exchange from outside, at any point of it, by closing its
- * connection. Used on the thread that runs the exchange. */
+/** Aborts an exchange at any point by closing its connection. Used on the
+ * thread that runs the exchange. */
 class Abort {
  public:
-  /** Closes the connection, now or as soon as there is one. */
+  /** Closes the connection, immediately or as soon as there is one. */
   void Now();
   [[nodiscard]] bool requested() const { return requested_; }
 
-  /** For the exchange: what closes it; null once it is over. */
+  /** For the exchange. @param close Closes the connection; null once the
+   * exchange has ended. */
   void Attach(std::function<void()> close);
 
  private:
@@ -47,23 +48,25 @@
 };
 
 struct OpenOptions {
-  /** Until the head of the answer is read, connecting included. */
+  /** Time limit until the head of the answer is read, connecting included. */
   std::chrono::milliseconds timeout{30'000};
   std::chrono::milliseconds connect_timeout{30'000};
-  /** Never on a kept connection: it may be closed just as the request is sent,
-   * and then nobody can say whether the request has run. */
+  /** Opens a new connection instead of reusing an idle one. The server may
+   * close an idle connection just as the request is sent, and then it is not
+   * known whether the request has run. */
   bool fresh_connection = false;
   std::shared_ptr<Abort> abort;
 };
 
 struct ClientOptions {
-  /** Far below the time after which servers close idle connections: a request
-   * is not sent into a connection that is just being closed. A shorter
-   * `Keep-Alive` of the server goes before it. */
+  /** How long an idle connection may be reused. Far below the time after which
+   * servers close idle connections, so that no request is sent on one that is
+   * being closed. A shorter `Keep-Alive` timeout of the server takes
+   * precedence. */
   std::chrono::milliseconds max_idle_time{5000};
 };
 
-/** Calls one server. Keeps idle connections for reuse; safe on many threads. */
+/** Client of one server. Keeps idle connections for reuse; thread-safe. */
 class Client {
  public:
   /** @param address "ip:port". */
@@ -76,7 +79,7 @@
   [[nodiscard]] const std::string& address() const;
 
   /**
-   * Sends a request and reads the whole answer. Never sends it twice.
+   * Sends a request and reads the whole answer. Does not retry.
    * @throws TransportError
    */
   core::Task<Response> Fetch(Request request,
@@ -92,9 +95,9 @@
                                                    OpenOptions options);
 
   /**
-   * Closes the idle connections. For a caller whose call was not answered: what
-   * has silenced one connection has often silenced all, and each would cost
-   * another call its time limit.
+   * Closes the idle connections. To be called after a request timed out: what
+   * broke one connection has often broken all, and each of them would make
+   * another call time out.
    */
   void DropIdle();
 
--- a/src/http/http.cc
+++ b/src/http/http.cc
@@ -1,4 +1,4 @@
-/** @file http.cc HTTP requests and answers as plain values. */
+/** @file http.cc Helpers for HTTP requests and answers. */
 #include <algorithm>
 #include <cctype>
 #include <utility>
--- a/src/http/http_test.cc
+++ b/src/http/http_test.cc
@@ -1,4 +1,4 @@
-/** @file http_test.cc The server and the client against each other. */
+/** @file http_test.cc Tests of the HTTP server and client. */
 #define BOOST_TEST_MODULE http
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/connect.hpp>
@@ -121,7 +121,7 @@
   BOOST_TEST(response.body.find("\"request_id\":\"r1\"") != std::string::npos);
 }
 
-/** Sends one answer in one piece to the first who connects. */
+/** Accepts one connection and sends one answer to it in a single write. */
 class OneAnswer {
  public:
   explicit OneAnswer(std::string answer)
@@ -163,8 +163,9 @@
   }
 }
 
-/** Guards against answers of the store that take seconds on a busy thread, as
- * each small read waits for its turn. */
+/** Guards against reading an answer in many small parts: on a busy thread each
+ * read waits until the thread is free, so an answer of the key-value store took
+ * seconds. */
 BOOST_FIXTURE_TEST_CASE(AnswerThatHasArrivedIsReadInFewTurns, Fixture) {
   constexpr std::size_t kBody = 48 * 1024;
   OneAnswer peer("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kBody) +
@@ -174,9 +175,9 @@
   BOOST_TEST(parts <= 8);
 }
 
-// An engine dies in the middle of an answer. The caller must not take the
-// half for the whole: the chunked body ends without its last chunk, which
-// every HTTP client reports as an error.
+// An engine crashes in the middle of an answer. The caller must not mistake the
+// part for the complete answer: the chunked body ends without its last chunk,
+// which HTTP clients report as an error.
 BOOST_FIXTURE_TEST_CASE(CutAnswerIsAnError, Fixture) {
   BOOST_CHECK_THROW(Run(client.Fetch({"GET", "/cut", {}, ""}, kLong)),
                     TransportError);
--- a/src/http/http_type.h
+++ b/src/http/http_type.h
@@ -1,4 +1,4 @@
-/** @file http_type.h HTTP requests and answers as plain values. */
+/** @file http_type.h HTTP requests and answers, and helpers for them. */
 #ifndef SAPPHIRE_HTTP_HTTP_TYPE_H_
 #define SAPPHIRE_HTTP_HTTP_TYPE_H_
 
@@ -15,20 +15,20 @@
   std::string value;
 };
 
-/** @return The first value of a header field, by name in any case. */
+/** @return The first value of the header field `name`, ignoring case. */
 std::optional<std::string_view> FindHeader(const std::vector<Header>& headers,
                                            std::string_view name);
 
 struct Request {
   std::string method = "GET";
-  /** Path and query, as on the wire. */
+  /** Path and query, encoded as on the wire. */
   std::string target = "/";
   std::vector<Header> headers;
   std::string body;
 };
 
-/** Status and header fields; Content-Length and Transfer-Encoding are set by
- * the writer. */
+/** Status and header fields. The server sets Content-Length and
+ * Transfer-Encoding. */
 struct ResponseHead {
   int status = 200;
   std::vector<Header> headers;
@@ -39,7 +39,8 @@
   std::string body;
 };
 
-/** A call to another HTTP server failed below HTTP. */
+/** An exchange over HTTP failed below HTTP: the connection was not made, broke
+ * or timed out. */
 class TransportError : public std::runtime_error {
  public:
   TransportError(const std::string& what, bool may_have_run, bool timed_out)
@@ -66,13 +67,13 @@
 /** @return `text` with everything but unreserved characters percent-encoded. */
 std::string UrlEncode(std::string_view text);
 
-/** @return `text` with percent escapes and '+' undone. */
+/** @return `text` with percent escapes decoded and '+' replaced by a space. */
 std::string UrlDecode(std::string_view text);
 
-/** @return An answer with metrics in the Prometheus text format. */
+/** @return An answer that holds metrics in the Prometheus text format. */
 Response MetricsResponse(std::string text);
 
-/** @return An answer of this type and body. */
+/** @return An answer with this status, content type and body. */
 Response MakeResponse(int status, std::string_view content_type,
                       std::string body);
 
--- a/src/http/probe.cc
+++ b/src/http/probe.cc
@@ -1,4 +1,4 @@
-/** @file probe.cc Asks whether a server takes connections. */
+/** @file probe.cc Tests whether a server accepts connections. */
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/this_coro.hpp>
 #include <boost/asio/use_awaitable.hpp>
--- a/src/http/probe_func.h
+++ b/src/http/probe_func.h
@@ -1,4 +1,4 @@
-/** @file probe_func.h Asks whether a server takes connections. */
+/** @file probe_func.h Tests whether a server accepts connections. */
 #ifndef SAPPHIRE_HTTP_PROBE_FUNC_H_
 #define SAPPHIRE_HTTP_PROBE_FUNC_H_
 
@@ -10,12 +10,12 @@
 namespace sapphire::http {
 
 enum class ProbeResult {
-  kTaken,    ///< A connection was made, and closed again.
-  kRefused,  ///< Nobody listens there: the process is gone.
-  kUnknown,  ///< No answer in time, or another failure of the network.
+  kTaken,    ///< The connection was accepted; it is closed again.
+  kRefused,  ///< Nothing listens at the address: the process has ended.
+  kUnknown,  ///< No answer in time, or another network error.
 };
 
-/** @param address "ip:port". */
+/** Tries to connect. @param address "ip:port". */
 core::Task<ProbeResult> Probe(std::string address,
                               std::chrono::milliseconds timeout);
 
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -1,4 +1,4 @@
-/** @file server.cc A small HTTP/1.1 server on Beast. */
+/** @file server.cc A small HTTP/1.1 server, built on Boost.Beast. */
 #include <fmt/format.h>
 #include <sys/socket.h>
 
@@ -35,15 +35,17 @@
 
 constexpr auto kTuple = asio::as_tuple(asio::use_awaitable);
 constexpr unsigned kHttp10 = 10;
-/** How long a refused sender is listened to, so that it reads our answer
- * instead of a reset connection. */
+/** How long data is still read from a caller whose request was refused: closing
+ * the connection with unread data would reset it before the caller has read the
+ * answer. */
 constexpr std::chrono::milliseconds kLinger{1000};
 
-/** One caller's connection. */
+/** A connection from a caller. */
 struct Connection {
   explicit Connection(tcp::socket socket) : stream(std::move(socket)) {}
   beast::tcp_stream stream;
-  /** Waiting for a request: may be closed at any time. Strand only. */
+  /** True while waiting for a request, when the connection may be closed at any
+   * time. Used only on the strand. */
   bool idle = false;
 };
 
@@ -61,7 +63,7 @@
   return request;
 }
 
-/** Watches a socket for its peer's close while a request is being answered. */
+/** Detects that the peer closes its connection while a request is handled. */
 class CloseWatch final : public std::enable_shared_from_this<CloseWatch> {
  public:
   CloseWatch(tcp::socket& socket, std::function<void()> callback)
@@ -75,7 +77,7 @@
         });
   }
 
-  /** The answer is over: nothing is called any more. */
+  /** Ends the watch; the callback is not called any more. */
   void Stop() {
     callback_ = nullptr;
     beast::error_code ignored;
@@ -87,7 +89,8 @@
     char c = 0;
     const auto n =
         ::recv(socket_.native_handle(), &c, 1, MSG_PEEK | MSG_DONTWAIT);
-    // More bytes hide a later close, and waiting again would return at once.
+    // A close can't be seen behind unread bytes, and another wait would
+    // complete immediately.
     if (n > 0) return;
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
       Arm();
@@ -103,7 +106,7 @@
 /** Writes one answer to a connection. */
 class BeastWriter final : public ResponseWriter {
  public:
-  /** @param leaving Looked at when the head is written. */
+  /** @param leaving Read when the head is written. */
   BeastWriter(beast::tcp_stream& stream, unsigned version, bool keep_alive,
               const std::atomic<bool>& leaving,
               std::chrono::milliseconds write_timeout)
@@ -229,7 +232,8 @@
                                    "application/problem+json",
                                    core::ProblemJson(error, request_id));
   if (error.retry_after()) {
-    // The header counts whole seconds; rounding up never invites too early.
+    // The header holds whole seconds. Rounding up avoids retries that come too
+    // early.
     const double seconds =
         std::chrono::duration<double>(*error.retry_after()).count();
     response.head.headers.push_back(
@@ -241,8 +245,8 @@
   return response;
 }
 
-/** @return The typed error that a failed read of a request means, if the
- * sender is still there to be told. */
+/** @return The error to answer after a failed read of a request; nothing if the
+ * caller has closed the connection. */
 std::optional<core::Error> ReadFailure(const beast::error_code& ec) {
   if (ec == beast::http::error::header_limit ||
       ec == beast::http::error::buffer_overflow) {
@@ -323,7 +327,8 @@
     const auto [ec] = co_await acceptor.async_accept(socket, kTuple);
     if (stopping) break;
     if (ec) {
-      // Out of descriptors, or a caller that left at once: go on accepting.
+      // Out of file descriptors, or the caller has already closed the
+      // connection: continue to accept.
       co_await core::SleepFor(std::chrono::milliseconds(10));
       continue;
     }
@@ -357,7 +362,8 @@
   connections.erase(connection);
 }
 
-/** @return True if the connection can carry another request. */
+/** Reads and answers one request. @return True if the connection can be used
+ * for another one. */
 Task<bool> Server::State::ServeOne(Connection& connection,
                                    beast::flat_buffer& buf) {
   const ServerLimits now = CurrentLimits();
@@ -397,7 +403,8 @@
   co_return writer.finished() && writer.keep_alive();
 }
 
-/** Runs the handler; a failure before the answer began becomes a problem. */
+/** Runs the handler. An error before the answer has begun is answered as
+ * problem+json. */
 Task<> Server::State::Answer(const Request& request, BeastWriter& writer) {
   std::optional<core::Error> failure;
   try {
@@ -427,8 +434,8 @@
   }
 }
 
-/** Tells a sender that its request could not be read, and waits until it has
- * stopped sending: closing earlier would reset the connection under it. */
+/** Answers a request that could not be read with an error, then reads until the
+ * caller stops sending: closing earlier would reset the connection. */
 Task<> Server::State::Refuse(Connection& connection, const core::Error& error) {
   constexpr unsigned kHttp11 = 11;
   BeastWriter writer(connection.stream, kHttp11, false, leaving,
--- a/src/http/server_base.h
+++ b/src/http/server_base.h
@@ -17,21 +17,21 @@
 
 namespace sapphire::http {
 
-/** Gives one answer: whole, or begun and written part by part. */
+/** Sends one answer, either in one piece or in chunks. */
 class ResponseWriter {
  public:
   virtual ~ResponseWriter() = default;
 
-  /** Sends a whole answer. @pre Nothing was sent yet. */
+  /** Sends a complete answer. @pre Nothing was sent yet. */
   virtual core::Task<> Send(Response response) = 0;
 
   /** Starts a chunked answer. @pre Nothing was sent yet. */
   virtual core::Task<> Begin(ResponseHead head) = 0;
 
-  /** Sends one part. @throws TransportError if the caller is gone. */
+  /** Sends one part. @throws TransportError if the connection is closed. */
   virtual core::Task<> Write(std::string_view data) = 0;
 
-  /** Ends a chunked answer; without it the caller sees a cut connection. */
+  /** Ends a chunked answer; without it the caller sees an incomplete one. */
   virtual core::Task<> End() = 0;
 
   /** @return True once a byte of the answer may have been sent. */
@@ -42,14 +42,15 @@
 
   /**
    * Calls `callback` once, on the connection's strand, when the caller closes
-   * its connection while the handler still runs. A caller that has sent more
-   * bytes meanwhile can't be watched: then only a failing write tells. An
-   * empty callback ends the watch.
+   * its connection while the handler still runs. If the caller has already sent
+   * further bytes, its close is detected only by a failing write. An empty
+   * callback ends the watch.
    */
   virtual void WhenCallerGone(std::function<void()> /*callback*/) {}
 };
 
-/** Thrown by a handler to close the connection at once, without an answer. */
+/** Thrown by a handler to close the connection immediately, without an answer.
+ */
 class ConnectionCut final : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -58,28 +59,28 @@
 struct ServerLimits {
   std::size_t max_header_bytes = 16 * 1024;
   std::size_t max_body_bytes = 1024 * 1024;
-  /** How long a connection may idle between two requests. */
+  /** How long a connection may be idle between two requests. */
   std::chrono::milliseconds idle_timeout{60'000};
-  /** How long the header fields of a request, and then its body, may take. */
+  /** Time limit for reading the header of a request, and again for its body. */
   std::chrono::milliseconds read_timeout{60'000};
-  /** How long one write may be stuck before the caller counts as gone. */
+  /** Time limit of one write; after it the connection is closed. */
   std::chrono::milliseconds write_timeout{30'000};
 };
 
 /**
- * Answers one request. A core::Error thrown before anything was sent becomes a
- * problem+json answer; thrown later, it cuts the connection. A ConnectionCut
- * cuts it in any case.
+ * Handles one request. A core::Error thrown before anything was sent becomes a
+ * problem+json answer; thrown later, it closes the connection. A ConnectionCut
+ * always closes it.
  */
 using Handler = std::function<core::Task<>(const Request&, ResponseWriter&)>;
 
-/** Listens on one address; each connection has a strand of its own. */
+/** Listens on one address. Each connection has its own strand. */
 class Server {
  public:
   /**
-   * @param listen_address "ip:port"; port 0 takes a free one.
+   * @param listen_address "ip:port"; port 0 selects a free one.
    * @pre `log` outlives the server and its connections.
-   * @throws core::Error kBadSettings if the address can't be listened on.
+   * @throws core::Error kBadSettings if it can't listen on the address.
    */
   Server(const core::Executor& executor, const std::string& listen_address,
          ServerLimits limits, Handler handler, const core::Logger& log);
@@ -88,24 +89,24 @@
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  /** Begins to accept. */
+  /** Begins to accept connections. */
   void Start();
 
   /** @return "ip:port" as bound. */
   [[nodiscard]] std::string address() const;
 
-  /** Changes the limits for requests that are not yet being read. */
+  /** Sets the limits for requests whose reading has not yet begun. */
   void SetLimits(const ServerLimits& limits);
 
-  /** Answers carry `Connection: close` from now on. Connections are still
-   * accepted and read, so that no caller meets a closed one unannounced. */
+  /** From now on, answers carry `Connection: close`. Connections are still
+   * accepted and read, so that none is closed without an announcement. */
   void AnnounceLeaving();
 
-  /** Takes no further connections and closes idle ones; requests in progress
-   * go on, with `Connection: close`. */
+  /** Stops accepting connections and closes idle ones. Requests in progress
+   * continue, and their connections are closed after the answer. */
   void StopAccepting();
 
-  /** @return How many requests are in progress. */
+  /** @return Number of requests in progress. */
   [[nodiscard]] int in_progress() const;
 
  private:
