--- a/src/external/counting_store.cc
+++ b/src/external/counting_store.cc
@@ -1,4 +1,4 @@
-/** @file counting_store.cc A key-value client whose calls are counted. */
+/** @file counting_store.cc Reports outcome and duration of key-value calls. */
 #include <utility>
 
 #include "core/error_type.h"
--- a/src/external/counting_store_base.h
+++ b/src/external/counting_store_base.h
@@ -1,4 +1,5 @@
-/** @file counting_store_base.h A key-value client whose calls are counted. */
+/** @file counting_store_base.h Reports outcome and duration of key-value calls.
+ */
 #ifndef SAPPHIRE_EXTERNAL_COUNTING_STORE_BASE_H_
 #define SAPPHIRE_EXTERNAL_COUNTING_STORE_BASE_H_
 
@@ -15,18 +16,19 @@
 
 namespace sapphire::external {
 
-/** One call to the store that has ended. */
+/** One completed call to the store. */
 struct StoreCall {
   std::string_view kind;
-  /** "ok" or the error's name. */
+  /** "ok" or the name of the error. */
   std::string_view outcome;
-  /** From the call to the parsed answer, what a watch waits included. */
+  /** From the call to the parsed answer; includes the waiting time of a watch.
+   */
   std::chrono::milliseconds took{0};
-  /** Of all values in the answer, decoded. */
+  /** Total size of the decoded values in the answer. */
   std::int64_t bytes = 0;
 };
 
-/** Passes every call on and tells of its end. */
+/** Forwards every call to a store and reports its end to an observer. */
 class CountingStore final : public KeyValueStore {
  public:
   using Observer = std::function<void(const StoreCall& call)>;
--- a/src/external/engine_base.h
+++ b/src/external/engine_base.h
@@ -1,5 +1,4 @@
-/** @file engine_base.h A model engine or plain service, as its endpoint process
- * uses it. */
+/** @file engine_base.h Client interface of a model engine or plain service. */
 #ifndef SAPPHIRE_EXTERNAL_ENGINE_BASE_H_
 #define SAPPHIRE_EXTERNAL_ENGINE_BASE_H_
 
@@ -28,22 +27,23 @@
   std::string version;
   EngineModelState state = EngineModelState::kLoading;
   std::int64_t weight_bytes = 0;
-  /** What requests' KV cache and cached prefixes may take. */
+  /** Limit for the KV cache of requests and cached prefixes. */
   std::int64_t kv_budget_bytes = 0;
   int running = 0;
   std::vector<EngineAdapter> adapters;
 };
 
 struct EngineStatus {
-  /** Random per start of the engine: a change means it lost all it held. */
+  /** Random per start of the engine; a change means that all loaded models are
+   * lost. */
   std::int64_t incarnation = 0;
   std::int64_t memory_bytes = 0;
   bool honours_fencing = false;
-  /** Largest fence seen. */
+  /** Largest fencing number that the engine has received. */
   std::int64_t fence = 0;
   bool order_in_progress = false;
   std::vector<EngineModel> models;
-  /** Models whose checkpoints are cached here. */
+  /** Models whose checkpoints are cached on the engine's VM, by tier. */
   std::vector<core::ModelId> memory_tier;
   std::vector<core::ModelId> disk_tier;
 };
@@ -57,7 +57,8 @@
   core::AdapterId adapter;
   std::int64_t bytes = 0;
   std::int64_t kv_budget_bytes = 0;
-  /** Fencing number: an engine that honours it refuses a smaller one. */
+  /** Fencing number; an engine that supports fencing refuses an order with a
+   * smaller one than it has received. */
   std::int64_t fence = 0;
 };
 
@@ -69,17 +70,17 @@
   virtual core::Task<EngineStatus> Status() = 0;
 
   /**
-   * Gives an order and waits until it is carried out.
-   * @throws core::Error kEngineRefusedOrder (certainly not carried out),
-   *   kLoadFailed (tried, and nothing is held), kEngineUnavailable (never
+   * Sends an order and waits until it is completed.
+   * @throws core::Error kEngineRefusedOrder (certainly not executed),
+   *   kLoadFailed (tried, but nothing is loaded), kEngineUnavailable (not
    *   sent), or kOutcomeUnknown.
    */
   virtual core::Task<> Order(EngineOrder order,
                              std::chrono::milliseconds timeout) = 0;
 
   /**
-   * Sends a caller's request as it is and reads the head of the answer.
-   * Closing the stream cancels the request at the engine.
+   * Sends a caller's request unchanged and reads the head of the answer.
+   * Destroying the stream cancels the request at the engine.
    * @throws http::TransportError
    */
   virtual core::Task<std::unique_ptr<http::ResponseStream>> Run(
--- a/src/external/external_func.h
+++ b/src/external/external_func.h
@@ -1,4 +1,5 @@
-/** @file external_func.h Makes the clients of the platform's services. */
+/** @file external_func.h Creates the HTTP clients of engines and of the
+ * platform's services. */
 #ifndef SAPPHIRE_EXTERNAL_EXTERNAL_FUNC_H_
 #define SAPPHIRE_EXTERNAL_EXTERNAL_FUNC_H_
 
@@ -12,7 +13,8 @@
 
 namespace sapphire::external {
 
-/** @param address "ip:port" of the service. @param timeout Of one call. */
+/** @param address "ip:port" of the service. @param timeout Time limit of one
+ * call, without the waiting time of a watch. */
 std::unique_ptr<KeyValueStore> MakeHttpKeyValueStore(
     const std::string& address, std::chrono::milliseconds timeout);
 
--- a/src/external/http_call.cc
+++ b/src/external/http_call.cc
@@ -1,4 +1,4 @@
-/** @file http_call.cc Calls to a platform service, their failures typed. */
+/** @file http_call.cc HTTP calls to a platform service, with typed errors. */
 #include <utility>
 
 #include "core/error_type.h"
@@ -16,7 +16,8 @@
   return target + ": status " + std::to_string(status);
 }
 
-/** A 4xx answer is a refusal and had no effect; of a 5xx nothing is known. */
+/** A write answered by 4xx was refused and had no effect; after any other
+ * failed status its effect is unknown. */
 core::ErrorCode CodeOfFailedWrite(int status) {
   const bool refused =
       status >= kFirstClientError && status < kFirstServerError;
@@ -58,9 +59,9 @@
   try {
     response = co_await client_.Fetch(std::move(request), timeout_);
   } catch (const http::TransportError& e) {
-    // An answer may be lost after the write took effect, and a request that
-    // timed out may take effect later still: only one that never left is safe
-    // to call ineffective.
+    // The answer may be lost after the write took effect, and a request that
+    // timed out may still take effect later. Only a request that was not sent
+    // certainly had no effect.
     throw core::Error(e.may_have_run()
                           ? core::ErrorCode::kPlatformUnknownOutcome
                           : core::ErrorCode::kPlatformUnavailable,
--- a/src/external/http_call_base.h
+++ b/src/external/http_call_base.h
@@ -1,4 +1,5 @@
-/** @file http_call_base.h Calls to a platform service, their failures typed. */
+/** @file http_call_base.h HTTP calls to a platform service, with typed errors.
+ */
 #ifndef SAPPHIRE_EXTERNAL_HTTP_CALL_BASE_H_
 #define SAPPHIRE_EXTERNAL_HTTP_CALL_BASE_H_
 
@@ -10,14 +11,14 @@
 
 namespace sapphire::external {
 
-/** One service of the platform, reached over HTTP with JSON bodies. */
+/** Client of one platform service that is called over HTTP with JSON bodies. */
 class HttpCall {
  public:
   HttpCall(const std::string& address, std::chrono::milliseconds timeout);
 
   /**
-   * Reads, which may be repeated at will.
-   * @param wait How much longer than other calls the service may take.
+   * Sends a GET request; it has no effect, so the caller may repeat it.
+   * @param wait Added to the time limit of the call.
    * @return The body of the answer.
    * @throws core::Error kPlatformUnavailable.
    */
@@ -25,7 +26,7 @@
                                std::chrono::milliseconds wait = {});
 
   /**
-   * Writes, at most once.
+   * Sends a POST request, at most once.
    * @return The body of the answer.
    * @throws core::Error kPlatformUnavailable (no effect), or
    *   kPlatformUnknownOutcome.
--- a/src/external/http_engine.cc
+++ b/src/external/http_engine.cc
@@ -1,4 +1,4 @@
-/** @file http_engine.cc The model engine's client over HTTP. */
+/** @file http_engine.cc HTTP client of a model engine. */
 #include <array>
 #include <boost/json.hpp>
 #include <utility>
@@ -19,7 +19,7 @@
 constexpr int kBadGateway = 502;
 constexpr int kInsufficientStorage = 507;
 
-/** Wire names, in the order of OrderKind. */
+/** Names on the wire, in the order of OrderKind. */
 constexpr std::array<std::string_view, 4> kOrderKindNames = {
     "load_model", "unload_model", "load_adapter", "unload_adapter"};
 
@@ -95,7 +95,7 @@
   return json::serialize(object);
 }
 
-/** @throws core::Error unless the answer says that the order was carried out.
+/** @throws core::Error unless the answer reports that the order was completed.
  */
 void CheckOrderAnswer(const http::Response& response) {
   switch (response.head.status) {
@@ -145,8 +145,8 @@
     try {
       response = co_await client_.Fetch(std::move(request), timeout);
     } catch (const http::TransportError& e) {
-      // The answer of a load may be lost after the engine holds the model, so
-      // only an order that never left is sure to have done nothing.
+      // The answer may be lost after the engine has loaded the model, so only
+      // an order that was not sent certainly had no effect.
       throw core::Error(e.may_have_run() ? ErrorCode::kOutcomeUnknown
                                          : ErrorCode::kEngineUnavailable,
                         e.what());
--- a/src/external/http_key_value.cc
+++ b/src/external/http_key_value.cc
@@ -1,4 +1,4 @@
-/** @file http_key_value.cc The key-value service's client over HTTP. */
+/** @file http_key_value.cc HTTP client of the key-value service. */
 #include <boost/json.hpp>
 #include <functional>
 #include <utility>
@@ -87,8 +87,8 @@
   return batch;
 }
 
-/** @return The answer as read by `convert`. @throws Error `code` if it can't be
- * read: an answer that makes no sense tells nothing of the effect. */
+/** @return The answer, parsed by `convert`. @throws core::Error `code` if it is
+ * invalid; the effect of a write is then unknown. */
 template <typename T>
 T Decode(const std::string& body, T (*convert)(const json::object&),
          ErrorCode code) {
--- a/src/external/http_platform_test.cc
+++ b/src/external/http_platform_test.cc
@@ -1,4 +1,5 @@
-/** @file http_platform_test.cc How the clients report each kind of failure. */
+/** @file http_platform_test.cc Tests of the errors that the HTTP clients report
+ * for each kind of failure. */
 #define BOOST_TEST_MODULE http_platform
 #include <boost/test/unit_test.hpp>
 #include <functional>
@@ -21,8 +22,8 @@
 
 using Answer = std::optional<http::Response>;
 
-/** A service that gives one answer to everything; none: it reads the request
- * and closes the connection. */
+/** A service that gives the same answer to every request; without one, it reads
+ * the request and closes the connection. */
 struct Service {
   Service()
       : log({"test", core::VmId("t"), core::ZoneId("z")},
@@ -56,7 +57,8 @@
   http::Request last;
   Answer answer;
   milliseconds delay{};
-  // After what its coroutines use, so that its thread ends first.
+  // Declared after all that its coroutines use, so that its thread ends before
+  // those are destroyed.
   TestRunner runner;
   http::Server server;
 };
@@ -71,7 +73,7 @@
   return order;
 }
 
-/** @return How a swap against a service of this state fails. */
+/** @return The error of a compare-and-swap sent to `address`, if any. */
 std::optional<ErrorCode> SwapFailure(Service& service,
                                      const std::string& address,
                                      milliseconds timeout = kTimeout) {
@@ -86,16 +88,16 @@
   return service.runner.FailureOf(engine->Order(SomeOrder(), timeout));
 }
 
-// A process asks to write, and the service is gone. Nothing was sent, so the
-// process may tell its caller that nothing ran.
+// The service can't be reached when a process writes. Nothing was sent, so the
+// process may report to its caller that the write had no effect.
 BOOST_FIXTURE_TEST_CASE(UnsentWriteHadNoEffect, Service) {
   BOOST_TEST((SwapFailure(*this, kNobody) == ErrorCode::kPlatformUnavailable));
   BOOST_TEST((OrderFailure(*this, kNobody) == ErrorCode::kEngineUnavailable));
 }
 
-// The service takes the write and its answer is lost, or the service is slow
-// and the caller's patience ends first. The write may stand now or later:
-// called ineffective, a claim would be given out twice.
+// The service executes the write but its answer is lost, or the service is slow
+// and the call times out first. The write may have taken effect or may do so
+// later; if it were reported as ineffective, a claim would be granted twice.
 BOOST_FIXTURE_TEST_CASE(UnansweredWriteIsUnknown, Service) {
   BOOST_TEST((SwapFailure(*this, server.address()) ==
               ErrorCode::kPlatformUnknownOutcome));
--- a/src/external/http_vm_list.cc
+++ b/src/external/http_vm_list.cc
@@ -1,4 +1,4 @@
-/** @file http_vm_list.cc The VM list's client over HTTP. */
+/** @file http_vm_list.cc HTTP client of the platform's VM list. */
 #include <boost/json.hpp>
 #include <utility>
 
--- a/src/external/json.cc
+++ b/src/external/json.cc
@@ -1,4 +1,4 @@
-/** @file json.cc Checked reading of the fields of JSON objects. */
+/** @file json.cc Reads typed fields of JSON objects. */
 #include <boost/json.hpp>
 #include <boost/system/error_code.hpp>
 
--- a/src/external/key_value.cc
+++ b/src/external/key_value.cc
@@ -1,4 +1,4 @@
-/** @file key_value.cc What the key-value service's clients share. */
+/** @file key_value.cc Default implementation of KeyValueStore::Snapshot. */
 #include <algorithm>
 #include <utility>
 
--- a/src/external/key_value_base.h
+++ b/src/external/key_value_base.h
@@ -1,4 +1,5 @@
-/** @file key_value_base.h The platform's key-value service, as we use it. */
+/** @file key_value_base.h Client interface of the platform's key-value service.
+ */
 #ifndef SAPPHIRE_EXTERNAL_KEY_VALUE_BASE_H_
 #define SAPPHIRE_EXTERNAL_KEY_VALUE_BASE_H_
 
@@ -15,7 +16,7 @@
 struct KvEntry {
   std::string key;
   std::string value;
-  /** Store-wide revision of the write that made this value. */
+  /** Store-wide revision of the write that set this value. */
   std::int64_t revision = 0;
 };
 
@@ -23,11 +24,11 @@
   bool swapped = false;
   /** Revision of the write; 0 if not swapped. */
   std::int64_t revision = 0;
-  /** What stands there instead, if not swapped. */
+  /** The key's entry if not swapped; nothing if the key is absent. */
   std::optional<KvEntry> current;
 };
 
-/** One change seen by a watch; no value: the key was deleted. */
+/** One change reported by a watch; no value: the key was deleted. */
 struct KvEvent {
   std::string key;
   std::optional<std::string> value;
@@ -35,17 +36,17 @@
 };
 
 struct WatchBatch {
-  /** Watch again from here. */
+  /** The revision from which to watch next. */
   std::int64_t revision = 0;
   std::vector<KvEvent> events;
-  /** True if changes may have been missed: list again. */
+  /** True if changes may be missing; the prefix must be listed again. */
   bool gap = false;
 };
 
-/** All entries under a prefix, and from where to watch on. */
+/** All entries under a prefix, and the revision from which to watch them. */
 struct KvSnapshot {
   std::vector<KvEntry> entries;
-  /** Changes after this one may be missing from `entries`. */
+  /** Changes after this revision may be missing from `entries`. */
   std::int64_t revision = 0;
 };
 
@@ -55,10 +56,10 @@
 };
 
 /**
- * The narrow interface everything that must be agreed or kept goes through.
- * Every call may throw core::Error kPlatformUnavailable (it had no effect) or,
- * writes only, kPlatformUnknownOutcome (it may have taken effect, or still
- * may).
+ * All shared and durable state is read and written through this interface.
+ * Every call may throw core::Error kPlatformUnavailable (it had no effect);
+ * writes may also throw kPlatformUnknownOutcome (the write may have taken
+ * effect, or may still do so).
  */
 class KeyValueStore {
  public:
@@ -67,12 +68,13 @@
   virtual core::Task<std::optional<KvEntry>> Get(std::string key) = 0;
   virtual core::Task<std::vector<KvEntry>> List(std::string prefix) = 0;
 
-  /** Lists with the revision to watch from: by default the newest listed. */
+  /** Lists a prefix, with the revision to watch from. The default
+   * implementation gives the highest revision of the listed entries. */
   virtual core::Task<KvSnapshot> Snapshot(std::string prefix);
 
   /**
    * Writes if the key's revision is `expected` (0: the key is absent).
-   * @param lease_id Empty, or a lease whose end deletes the key.
+   * @param lease_id Empty, or a lease; the key is deleted when the lease ends.
    */
   virtual core::Task<CasResult> CompareAndSwap(std::string key,
                                                std::int64_t expected,
@@ -84,7 +86,7 @@
 
   virtual core::Task<KvLease> GrantLease(
       std::chrono::milliseconds time_to_live) = 0;
-  /** @return False if the lease has lapsed. */
+  /** Renews a lease. @return False if the lease has expired. */
   virtual core::Task<bool> KeepAlive(std::string lease_id) = 0;
 
   /** Waits up to `wait` for changes after `revision` under `prefix`. */
--- a/src/external/test_runner_base.h
+++ b/src/external/test_runner_base.h
@@ -1,4 +1,4 @@
-/** @file test_runner_base.h Runs coroutines to their end from a test. */
+/** @file test_runner_base.h Runs coroutines to completion in tests. */
 #ifndef SAPPHIRE_EXTERNAL_TEST_RUNNER_BASE_H_
 #define SAPPHIRE_EXTERNAL_TEST_RUNNER_BASE_H_
 
@@ -17,7 +17,8 @@
 
 namespace sapphire::external {
 
-/** One thread that runs coroutines; tests wait for their ends. */
+/** Runs coroutines on one thread of its own; tests wait for their completion.
+ */
 class TestRunner {
  public:
   TestRunner() : work_(io_.get_executor()), thread_([this] { io_.run(); }) {}
@@ -31,20 +32,22 @@
 
   core::Executor executor() { return io_.get_executor(); }
 
-  /** Begins a coroutine on a strand of its own. */
+  /** Starts a coroutine on a new strand. */
   template <typename T>
   std::future<T> Begin(core::Task<T> task) {
     return boost::asio::co_spawn(boost::asio::make_strand(io_), std::move(task),
                                  boost::asio::use_future);
   }
 
-  /** @return What the coroutine gives, or throws what it throws. */
+  /** Runs a coroutine to completion. @return Its result; throws what it throws.
+   */
   template <typename T>
   T Run(core::Task<T> task) {
     return Begin(std::move(task)).get();
   }
 
-  /** @return The code of the error that the coroutine ends with, if any. */
+  /** Runs a coroutine to completion. @return The code of the core::Error that
+   * it throws; nothing if it succeeds. */
   template <typename T>
   std::optional<core::ErrorCode> FailureOf(core::Task<T> task) {
     try {
--- a/src/external/vm_list_base.h
+++ b/src/external/vm_list_base.h
@@ -1,4 +1,5 @@
-/** @file vm_list_base.h The platform's lagging list of VMs. */
+/** @file vm_list_base.h Client interface of the platform's list of VMs, which
+ * may be out of date. */
 #ifndef SAPPHIRE_EXTERNAL_VM_LIST_BASE_H_
 #define SAPPHIRE_EXTERNAL_VM_LIST_BASE_H_
 
@@ -18,7 +19,7 @@
   core::ZoneId zone;
   VmRole role = VmRole::kEntry;
   VmState state = VmState::kLive;
-  /** Where the process on this VM listens for links, "ip:port". */
+  /** Address at which the process on this VM accepts links, "ip:port". */
   std::string link_address;
 };
 
