--- a/src/link/link_test.cc
+++ b/src/link/link_test.cc
@@ -187,7 +187,7 @@
   }
 }
 
-// A caller drops its call while the request runs. The server must be notified
+// A caller drops its call while the request runs. The peer must be notified
 // immediately, or engines would go on working for callers that have left.
 BOOST_FIXTURE_TEST_CASE(DroppingACallCancelsIt, Fixture) {
   BOOST_TEST(
