--- a/src/link/connection.cc
+++ b/src/link/connection.cc
@@ -229,7 +229,7 @@
       break;
     }
     if (IsIdle()) {
-      Close(LinkLost("no call for long"));
+      Close(LinkLost("the link is idle"));
       break;
     }
     SendHeartbeat();
--- a/src/link/node.cc
+++ b/src/link/node.cc
@@ -157,7 +157,7 @@
     // Two coroutines may have connected at the same time; the link that was
     // ready first is used.
     if (connection) {
-      fresh->Close(Error(ErrorCode::kLinkLost, "a second link"));
+      fresh->Close(Error(ErrorCode::kLinkLost, "duplicate link"));
     } else {
       connection = fresh;
       state->Keep(connection);
