--- a/src/link/connection.cc
+++ b/src/link/connection.cc
@@ -229,7 +229,7 @@
       break;
     }
     if (IsIdle()) {
-      Close(LinkLost("the link is idle"));
+      Close(LinkLost("no call for long"));
       break;
     }
     SendHeartbeat();
