--- a/src/link/call.cc
+++ b/src/link/call.cc
@@ -91,7 +91,7 @@
     failure_.emplace(ErrorCode::kCancelled, "call ended here");
   }
   sink_->Push(key_, CancelMessage());
-  sink_->Forget(key_);
+  sink_->RemoveCall(key_);
   changed_.Notify();
 }
 
@@ -132,7 +132,7 @@
     if (failure_) return;
     failure_ = error;
   }
-  sink_->Forget(key_);
+  sink_->RemoveCall(key_);
   changed_.Notify();
 }
 
--- a/src/link/call_base.h
+++ b/src/link/call_base.h
@@ -34,7 +34,7 @@
   /** Queues a frame for sending; drops it if the link is lost. Never blocks. */
   virtual void Push(const CallKey& key, gen::Message message) = 0;
   /** Removes a call; frames that arrive for it later are dropped. */
-  virtual void Forget(const CallKey& key) = 0;
+  virtual void RemoveCall(const CallKey& key) = 0;
   [[nodiscard]] virtual PeerInfo peer() const = 0;
 };
 
--- a/src/link/connection.cc
+++ b/src/link/connection.cc
@@ -28,7 +28,7 @@
 constexpr auto kTuple = asio::as_tuple(asio::use_awaitable);
 constexpr std::chrono::milliseconds kWriteRecheck{60'000};
 /** Key of the frames that belong to the link itself: Hello and heartbeats. */
-constexpr CallKey kLinkItself{0, true};
+constexpr CallKey kLinkKey{0, true};
 
 Error LinkLost(const std::string& why) {
   return Error(ErrorCode::kLinkLost, why);
@@ -63,7 +63,7 @@
                        asio::ip::tcp::socket socket)
     : context_(std::move(context)),
       socket_(std::move(socket)),
-      last_call_(context_->clock.Now()) {}
+      last_call_end_(context_->clock.Now()) {}
 
 Task<> Connection::Start() {
   const auto self = shared_from_this();
@@ -82,7 +82,7 @@
 Task<> Connection::ExchangeHello() {
   gen::Message message;
   message.__set_hello(context_->options.self);
-  Push(kLinkItself, std::move(message));
+  Push(kLinkKey, std::move(message));
   const gen::Frame frame = co_await ReadFrame();
   if (!frame.message.__isset.hello) {
     Close(LinkLost("the peer did not say hello"));
@@ -131,12 +131,12 @@
 }
 
 void Connection::Receive(gen::Frame frame) {
-  NoteVersion(frame.config_version);
+  HandlePeerVersion(frame.config_version);
   if (frame.message.__isset.heartbeat || frame.message.__isset.hello) return;
   Dispatch(CallKey{frame.call, !frame.from_opener}, std::move(frame.message));
 }
 
-void Connection::NoteVersion(std::int64_t version) {
+void Connection::HandlePeerVersion(std::int64_t version) {
   {
     const std::lock_guard lock(mutex_);
     peer_.config_version = std::max(peer_.config_version, version);
@@ -174,11 +174,11 @@
     const std::lock_guard lock(mutex_);
     // A late frame of an ended call must not open a new call. The peer numbers
     // its calls in ascending order, so an id up to the highest seen is old.
-    if (key.id <= newest_accepted_) {
+    if (key.id <= highest_accepted_id_) {
       ++context_->counters.frames_dropped;
       return;
     }
-    newest_accepted_ = key.id;
+    highest_accepted_id_ = key.id;
   }
   const auto state = std::make_shared<CallState>(key, shared_from_this(),
                                                  context_->options.window);
@@ -224,7 +224,7 @@
   while (!lost_) {
     co_await core::SleepFor(context_->options.heartbeat_interval);
     if (lost_) break;
-    if (PeerIsSilent()) {
+    if (PeerTimedOut()) {
       Close(LinkLost("the peer is silent"));
       break;
     }
@@ -240,7 +240,7 @@
  * connection; TCP alone takes many minutes. If only one direction is cut, the
  * side that receives nothing detects it and closes the connection, which the
  * other side sees. */
-bool Connection::PeerIsSilent() const {
+bool Connection::PeerTimedOut() const {
   const core::SteadyTime last(
       core::SteadyTime::duration(last_received_ns_.load()));
   return context_->clock.Now() - last > context_->options.dead_after;
@@ -250,13 +250,13 @@
   const core::Millis limit = context_->options.idle_close;
   if (limit.count() == 0) return false;
   const std::lock_guard lock(mutex_);
-  return calls_.empty() && context_->clock.Now() - last_call_ > limit;
+  return calls_.empty() && context_->clock.Now() - last_call_end_ > limit;
 }
 
 void Connection::SendHeartbeat() {
   gen::Message message;
   message.__set_heartbeat(gen::Heartbeat());
-  Push(kLinkItself, std::move(message));
+  Push(kLinkKey, std::move(message));
 }
 
 void Connection::Push(const CallKey& key, gen::Message message) {
@@ -275,10 +275,10 @@
   outgoing_added_.Notify();
 }
 
-void Connection::Forget(const CallKey& key) {
+void Connection::RemoveCall(const CallKey& key) {
   const std::lock_guard lock(mutex_);
   calls_.erase(key);
-  last_call_ = context_->clock.Now();
+  last_call_end_ = context_->clock.Now();
 }
 
 PeerInfo Connection::peer() const {
--- a/src/link/connection_base.h
+++ b/src/link/connection_base.h
@@ -81,7 +81,7 @@
   core::Task<std::shared_ptr<Call>> Open(gen::Message first) override;
 
   void Push(const CallKey& key, gen::Message message) override;
-  void Forget(const CallKey& key) override;
+  void RemoveCall(const CallKey& key) override;
 
  private:
   core::Task<> ExchangeHello();
@@ -90,10 +90,10 @@
   core::Task<> WriteLoop();
   core::Task<> HeartbeatLoop();
   void Receive(gen::Frame frame);
-  void NoteVersion(std::int64_t version);
+  void HandlePeerVersion(std::int64_t version);
   void Dispatch(const CallKey& key, gen::Message message);
   void AcceptCall(const CallKey& key, gen::Message first);
-  [[nodiscard]] bool PeerIsSilent() const;
+  [[nodiscard]] bool PeerTimedOut() const;
   [[nodiscard]] bool IsIdle() const;
 
   const std::shared_ptr<NodeContext> context_;
@@ -108,9 +108,9 @@
   std::map<CallKey, std::shared_ptr<CallState>> calls_;
   std::int64_t next_call_ = 1;
   /** When the last call ended; initially when the link was created. */
-  core::SteadyTime last_call_;
+  core::SteadyTime last_call_end_;
   /** Highest id of the calls that the peer has opened. */
-  std::int64_t newest_accepted_ = 0;
+  std::int64_t highest_accepted_id_ = 0;
   std::string outgoing_;
   core::Signal outgoing_added_;
 };
--- a/src/link/link_test.cc
+++ b/src/link/link_test.cc
@@ -22,7 +22,7 @@
 using core::Task;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kLong{10'000};
+constexpr milliseconds kLongTimeout{10'000};
 
 gen::Message ChunkMessage(std::int64_t sequence) {
   gen::Chunk chunk;
@@ -44,7 +44,7 @@
 
 /** Handles calls by path: "refuse" throws an error, "wait" waits until the call
  * is cancelled, and any other path sends `remaining_ms` chunks. */
-struct Server {
+struct TestHandler {
   std::atomic<int> cancelled{0};
   std::atomic<int> started{0};
 
@@ -56,7 +56,7 @@
     }
     if (path == "wait") {
       try {
-        co_await call->Receive(kLong);
+        co_await call->Receive(kLongTimeout);
       } catch (const Error& e) {
         if (e.code() != ErrorCode::kTimedOut) ++cancelled;
       }
@@ -73,27 +73,29 @@
       : work(asio::make_work_guard(io)),
         log({"test", core::VmId("t"), core::ZoneId("z")},
             core::LogLevel::kError, clock),
-        far(
+        server_node(
             io.get_executor(), Options("far"),
             [this](std::shared_ptr<Call> call, gen::Message first) {
-              return server.Handle(std::move(call), std::move(first));
+              return handler.Handle(std::move(call), std::move(first));
             },
-            VersionHooks{[this] { return far_version.load(); },
+            VersionHooks{[this] { return server_version.load(); },
                          [](const std::shared_ptr<Link>&, std::int64_t) {}},
             clock, log),
-        near(
+        client_node(
             io.get_executor(), Options("near"),
             [](std::shared_ptr<Call>, gen::Message) -> Task<> { co_return; },
-            VersionHooks{[] { return std::int64_t{1}; },
-                         [this](const std::shared_ptr<Link>&,
-                                std::int64_t version) { seen = version; }},
+            VersionHooks{
+                [] { return std::int64_t{1}; },
+                [this](const std::shared_ptr<Link>&, std::int64_t version) {
+                  seen_version = version;
+                }},
             clock, log) {
-    address = far.Listen("127.0.0.1:0");
+    address = server_node.Listen("127.0.0.1:0");
     for (auto& thread : threads) thread = std::thread([this] { io.run(); });
   }
   ~Fixture() {
-    near.Close();
-    far.Close();
+    client_node.Close();
+    server_node.Close();
     work.reset();
     io.stop();
     for (auto& thread : threads) thread.join();
@@ -127,10 +129,11 @@
 
   /** Reads `count` chunks of a call. @return How many were out of order. */
   Task<int> ReadStream(std::string to, std::int64_t count) {
-    const auto call = co_await near.Open(to, RunMessage("stream", count));
+    const auto call =
+        co_await client_node.Open(to, RunMessage("stream", count));
     int wrong = 0;
     for (std::int64_t i = 0; i < count; ++i) {
-      const gen::Message message = co_await call->Receive(kLong);
+      const gen::Message message = co_await call->Receive(kLongTimeout);
       if (message.chunk.sequence != i) ++wrong;
     }
     co_return wrong;
@@ -138,7 +141,7 @@
 
   Task<ErrorCode> FailureOf(std::string path, milliseconds timeout) {
     try {
-      const auto call = co_await near.Open(address, RunMessage(path));
+      const auto call = co_await client_node.Open(address, RunMessage(path));
       co_await call->Receive(timeout);
     } catch (const Error& e) {
       co_return e.code();
@@ -150,16 +153,16 @@
   asio::executor_work_guard<asio::io_context::executor_type> work;
   core::SystemClock clock;
   core::Logger log;
-  Server server;
-  std::atomic<std::int64_t> far_version{1};
-  std::atomic<std::int64_t> seen{0};
-  LinkNode far;
-  LinkNode near;
+  TestHandler handler;
+  std::atomic<std::int64_t> server_version{1};
+  std::atomic<std::int64_t> seen_version{0};
+  LinkNode server_node;
+  LinkNode client_node;
   std::string address;
   std::array<std::thread, 3> threads;
 };
 
-BOOST_FIXTURE_TEST_CASE(ManyStreamsLongerThanTheWindow, Fixture) {
+BOOST_FIXTURE_TEST_CASE(ConcurrentStreamsLongerThanTheWindow, Fixture) {
   constexpr int kStreams = 40;
   constexpr std::int64_t kChunks = 500;
   std::vector<std::future<int>> results;
@@ -169,15 +172,16 @@
         asio::make_strand(io), ReadStream(address, kChunks), asio::use_future));
   }
   for (auto& result : results) BOOST_TEST(result.get() == 0);
-  BOOST_TEST(near.Peers().size() == 1U);
-  BOOST_TEST(near.Peers()[0].vm.value() == "far");
+  BOOST_TEST(client_node.Peers().size() == 1U);
+  BOOST_TEST(client_node.Peers()[0].vm.value() == "far");
 }
 
-BOOST_FIXTURE_TEST_CASE(RefusalArrivesAsItsError, Fixture) {
+BOOST_FIXTURE_TEST_CASE(RefusalIsThrownAsItsError, Fixture) {
   try {
     Run([](Fixture& f) -> Task<> {
-      const auto call = co_await f.near.Open(f.address, RunMessage("refuse"));
-      co_await call->Receive(kLong);
+      const auto call =
+          co_await f.client_node.Open(f.address, RunMessage("refuse"));
+      co_await call->Receive(kLongTimeout);
     }(*this));
     BOOST_FAIL("not refused");
   } catch (const Error& e) {
@@ -192,38 +196,38 @@
 BOOST_FIXTURE_TEST_CASE(DroppingACallCancelsIt, Fixture) {
   BOOST_TEST(
       (Run(FailureOf("wait", milliseconds(10))) == ErrorCode::kTimedOut));
-  BOOST_TEST(Eventually([this] { return server.cancelled == 1; }));
+  BOOST_TEST(Eventually([this] { return handler.cancelled == 1; }));
 }
 
-BOOST_FIXTURE_TEST_CASE(NewerVersionIsSeenWithoutCalls, Fixture) {
+BOOST_FIXTURE_TEST_CASE(AnnouncedVersionArrivesWithoutCalls, Fixture) {
   Run(ReadStream(address, 1));
-  far_version = 7;
-  far.AnnounceVersion();
-  BOOST_TEST(Eventually([this] { return seen == 7; }));
+  server_version = 7;
+  server_node.AnnounceVersion();
+  BOOST_TEST(Eventually([this] { return seen_version == 7; }));
 }
 
 // The peer's VM freezes: its sockets stay open, but it sends nothing. Without
 // heartbeats the caller would wait until its deadline; with them the call fails
 // as soon as the link counts as lost.
-BOOST_FIXTURE_TEST_CASE(SilentPeerFailsItsCalls, Fixture) {
+BOOST_FIXTURE_TEST_CASE(CallsFailIfThePeerIsSilent, Fixture) {
   asio::ip::tcp::acceptor frozen(io);
   core::ListenOn(frozen, "127.0.0.1:0");
   address = core::AddressText(frozen);
-  BOOST_TEST((Run(FailureOf("wait", kLong)) == ErrorCode::kLinkLost));
+  BOOST_TEST((Run(FailureOf("wait", kLongTimeout)) == ErrorCode::kLinkLost));
 }
 
 BOOST_FIXTURE_TEST_CASE(ClosingFailsCallsInProgress, Fixture) {
-  auto result = asio::co_spawn(asio::make_strand(io), FailureOf("wait", kLong),
-                               asio::use_future);
-  BOOST_TEST(Eventually([this] { return server.started == 1; }));
-  far.Close();
+  auto result = asio::co_spawn(
+      asio::make_strand(io), FailureOf("wait", kLongTimeout), asio::use_future);
+  BOOST_TEST(Eventually([this] { return handler.started == 1; }));
+  server_node.Close();
   BOOST_TEST((result.get() == ErrorCode::kLinkLost));
 }
 
 BOOST_FIXTURE_TEST_CASE(LeavingNodeRefusesNewCalls, Fixture) {
   Run(ReadStream(address, 1));
-  far.StopAccepting();
-  BOOST_TEST((Run(FailureOf("stream", kLong)) == ErrorCode::kLeaving));
+  server_node.StopAccepting();
+  BOOST_TEST((Run(FailureOf("stream", kLongTimeout)) == ErrorCode::kLeaving));
 }
 
 /**
@@ -232,7 +236,7 @@
  * second. An idle link is closed, one with a call in progress stays open, and
  * the next call opens a new link.
  */
-BOOST_FIXTURE_TEST_CASE(ALinkThatNobodyUsesIsClosed, Fixture) {
+BOOST_FIXTURE_TEST_CASE(IdleLinkIsClosed, Fixture) {
   LinkOptions options = Options("asking");
   options.idle_close = milliseconds(200);
   LinkNode asking(
@@ -241,7 +245,7 @@
       NoVersions(), clock, log);
   const auto ask = [&]() -> Task<int> {
     const auto call = co_await asking.Open(address, RunMessage("stream", 1));
-    co_await call->Receive(kLong);
+    co_await call->Receive(kLongTimeout);
     co_return 1;
   };
   BOOST_TEST(Run(ask()) == 1);
@@ -260,7 +264,7 @@
 
 // A client that is not a peer connects and sends invalid data, or a length of
 // 4 GB. The node closes that connection and must still serve its peers.
-BOOST_FIXTURE_TEST_CASE(RubbishClosesOnlyItsOwnLink, Fixture) {
+BOOST_FIXTURE_TEST_CASE(InvalidDataClosesOnlyItsOwnLink, Fixture) {
   for (const std::string& bytes :
        {std::string("\xff\xff\xff\xff"), std::string("\0\0\0\4abcd", 8)}) {
     asio::io_context own;
--- a/src/link/node.cc
+++ b/src/link/node.cc
@@ -24,7 +24,7 @@
 namespace {
 
 constexpr auto kTuple = asio::as_tuple(asio::use_awaitable);
-constexpr std::chrono::milliseconds kAcceptPause{10};
+constexpr std::chrono::milliseconds kAcceptRetryDelay{10};
 
 }  // namespace
 
@@ -39,15 +39,15 @@
         acceptor(accept_strand) {}
 
   Task<> AcceptLoop();
-  Task<> Welcome(std::shared_ptr<Connection> connection);
+  Task<> StartAccepted(std::shared_ptr<Connection> connection);
   Task<std::shared_ptr<Connection>> Dial(std::string address);
   Task<std::shared_ptr<Connection>> DialOnStrand(
       asio::strand<core::Executor> strand, std::string address);
   /** @return The existing link to `address`, or null. */
-  std::shared_ptr<Connection> Existing(const std::string& address);
-  /** Adds a link to `all` and removes those that are lost. */
-  void Keep(const std::shared_ptr<Connection>& connection);
-  [[nodiscard]] std::vector<std::shared_ptr<Connection>> All() const;
+  std::shared_ptr<Connection> FindLink(const std::string& address);
+  /** Adds a link to `links` and removes those that are lost. */
+  void AddLink(const std::shared_ptr<Connection>& connection);
+  [[nodiscard]] std::vector<std::shared_ptr<Connection>> Links() const;
 
   const std::shared_ptr<NodeContext> context;
   asio::strand<core::Executor> accept_strand;
@@ -55,7 +55,7 @@
   std::atomic<bool> closed{false};
   mutable std::mutex mutex;
   std::map<std::string, std::shared_ptr<Connection>> dialed;
-  std::set<std::shared_ptr<Connection>> all;
+  std::set<std::shared_ptr<Connection>> links;
 };
 
 Task<> LinkNode::State::AcceptLoop() {
@@ -65,29 +65,29 @@
     const auto [ec] = co_await acceptor.async_accept(socket, kTuple);
     if (!acceptor.is_open()) break;
     if (ec) {
-      co_await core::SleepFor(kAcceptPause);
+      co_await core::SleepFor(kAcceptRetryDelay);
       continue;
     }
     const auto strand = socket.get_executor();
     asio::co_spawn(
         strand,
-        Welcome(std::make_shared<Connection>(context, std::move(socket))),
+        StartAccepted(std::make_shared<Connection>(context, std::move(socket))),
         asio::detached);
   }
 }
 
-Task<> LinkNode::State::Welcome(std::shared_ptr<Connection> connection) {
+Task<> LinkNode::State::StartAccepted(std::shared_ptr<Connection> connection) {
   const auto self = shared_from_this();
   try {
     co_await connection->Start();
-    Keep(connection);
+    AddLink(connection);
   } catch (const Error& e) {
     context->log.Event(core::LogLevel::kDebug, core::LogCategory::kLink,
                        "link_refused", {{"error", e.what()}});
   }
 }
 
-std::shared_ptr<Connection> LinkNode::State::Existing(
+std::shared_ptr<Connection> LinkNode::State::FindLink(
     const std::string& address) {
   const std::lock_guard lock(mutex);
   const auto it = dialed.find(address);
@@ -95,15 +95,15 @@
   return it->second;
 }
 
-void LinkNode::State::Keep(const std::shared_ptr<Connection>& connection) {
+void LinkNode::State::AddLink(const std::shared_ptr<Connection>& connection) {
   const std::lock_guard lock(mutex);
-  std::erase_if(all, [](const auto& it) { return it->lost(); });
-  all.insert(connection);
+  std::erase_if(links, [](const auto& it) { return it->lost(); });
+  links.insert(connection);
 }
 
-std::vector<std::shared_ptr<Connection>> LinkNode::State::All() const {
+std::vector<std::shared_ptr<Connection>> LinkNode::State::Links() const {
   const std::lock_guard lock(mutex);
-  return {all.begin(), all.end()};
+  return {links.begin(), links.end()};
 }
 
 /** Connects on the socket's own strand: on any other executor, the connect
@@ -150,17 +150,17 @@
                                            gen::Message first) {
   const auto state = state_;
   if (state->closed) throw Error(ErrorCode::kLinkLost, "this process ends");
-  auto connection = state->Existing(address);
+  auto connection = state->FindLink(address);
   if (!connection) {
     auto fresh = co_await state->Dial(address);
-    connection = state->Existing(address);
+    connection = state->FindLink(address);
     // Two coroutines may have connected at the same time; the link that was
     // ready first is used.
     if (connection) {
       fresh->Close(Error(ErrorCode::kLinkLost, "duplicate link"));
     } else {
       connection = fresh;
-      state->Keep(connection);
+      state->AddLink(connection);
       const std::lock_guard lock(state->mutex);
       state->dialed[address] = connection;
     }
@@ -170,7 +170,7 @@
 
 std::vector<PeerInfo> LinkNode::Peers() const {
   std::vector<PeerInfo> peers;
-  for (const auto& connection : state_->All()) {
+  for (const auto& connection : state_->Links()) {
     if (!connection->lost()) peers.push_back(connection->peer());
   }
   return peers;
@@ -184,7 +184,7 @@
 }
 
 void LinkNode::AnnounceVersion() {
-  for (const auto& connection : state_->All()) connection->SendHeartbeat();
+  for (const auto& connection : state_->Links()) connection->SendHeartbeat();
 }
 
 void LinkNode::StopAccepting() {
@@ -198,7 +198,7 @@
 void LinkNode::Close() {
   if (state_->closed.exchange(true)) return;
   StopAccepting();
-  for (const auto& connection : state_->All()) {
+  for (const auto& connection : state_->Links()) {
     connection->Close(Error(ErrorCode::kLinkLost, "this process ends"));
   }
 }
