--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -52,7 +52,7 @@
 
 /** @return The N of a `Keep-Alive: timeout=N` header field; nothing if absent.
  */
-std::optional<std::chrono::milliseconds> NamedKeepAlive(
+std::optional<std::chrono::milliseconds> KeepAliveTimeout(
     const std::vector<Header>& headers) {
   static constexpr std::string_view kTimeout = "timeout=";
   const auto value = FindHeader(headers, "Keep-Alive");
@@ -104,7 +104,7 @@
     idle.clear();
   }
 
-  void GiveBack(tcp::socket socket, std::chrono::milliseconds usable_for) {
+  void AddIdle(tcp::socket socket, std::chrono::milliseconds usable_for) {
     beast::error_code ec;
     const int fd = socket.release(ec);
     if (ec) return;
@@ -205,13 +205,13 @@
       part.resize(kReadBytes - parser_.get().body().size);
       if (!part.empty()) co_return part;
     }
-    Finish();
+    RecycleConnection();
     co_return std::nullopt;
   }
 
  private:
   /** Returns the connection for reuse after a complete answer. */
-  void Finish() {
+  void RecycleConnection() {
     if (!recycle_ || !parser_.keep_alive() || buf_.size() > 0) return;
     stream_.expires_never();
     if (abort_) std::exchange(abort_, nullptr)->Attach(nullptr);
@@ -219,7 +219,7 @@
   }
 
   [[nodiscard]] std::chrono::milliseconds IdleTime() const {
-    const auto named = NamedKeepAlive(head_.headers);
+    const auto named = KeepAliveTimeout(head_.headers);
     if (!named) return max_idle_time_;
     return std::min(max_idle_time_, *named - kKeepAliveMargin);
   }
@@ -282,7 +282,7 @@
   auto answer = std::make_unique<BeastStream>(
       state->address, std::move(socket),
       [state](tcp::socket s, std::chrono::milliseconds usable_for) {
-        state->GiveBack(std::move(s), usable_for);
+        state->AddIdle(std::move(s), usable_for);
       },
       state->options.max_idle_time, options.abort);
   if (options.abort && options.abort->requested()) {
--- a/src/http/http_test.cc
+++ b/src/http/http_test.cc
@@ -25,7 +25,7 @@
 using core::Task;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kLong{10'000};
+constexpr milliseconds kLongTimeout{10'000};
 
 Task<> Echo(const Request& request, ResponseWriter& writer) {
   const std::string_view path = PathOf(request.target);
@@ -76,7 +76,7 @@
   }
 
   /** Sends raw bytes and reads until the server closes. */
-  std::string Raw(const std::string& bytes) {
+  std::string SendRaw(const std::string& bytes) {
     asio::io_context own;
     asio::ip::tcp::socket socket(own);
     socket.connect(core::ParseAddress(server.address()));
@@ -96,24 +96,24 @@
   std::array<std::thread, 2> threads;
 };
 
-BOOST_FIXTURE_TEST_CASE(WholeAnswersOverOneConnection, Fixture) {
+BOOST_FIXTURE_TEST_CASE(SuccessiveRequestsGetTheirAnswers, Fixture) {
   for (int i = 0; i < 5; ++i) {
     const std::string body = "body " + std::to_string(i);
     const Response response =
-        Run(client.Fetch({"POST", "/echo", {}, body}, kLong));
+        Run(client.Fetch({"POST", "/echo", {}, body}, kLongTimeout));
     BOOST_TEST(response.head.status == 200);
     BOOST_TEST(response.body == body);
   }
 }
 
-BOOST_FIXTURE_TEST_CASE(PartsArriveWhole, Fixture) {
-  BOOST_TEST(Run(client.Fetch({"GET", "/parts", {}, ""}, kLong)).body ==
+BOOST_FIXTURE_TEST_CASE(ChunkedAnswerArrivesComplete, Fixture) {
+  BOOST_TEST(Run(client.Fetch({"GET", "/parts", {}, ""}, kLongTimeout)).body ==
              "partpartpart");
 }
 
-BOOST_FIXTURE_TEST_CASE(RefusalIsAProblemWithRetryAfter, Fixture) {
-  const Response response = Run(
-      client.Fetch({"GET", "/refuse", {{"X-Request-Id", "r1"}}, ""}, kLong));
+BOOST_FIXTURE_TEST_CASE(RefusalBecomesProblemJsonWithRetryAfter, Fixture) {
+  const Response response = Run(client.Fetch(
+      {"GET", "/refuse", {{"X-Request-Id", "r1"}}, ""}, kLongTimeout));
   BOOST_TEST(response.head.status == 503);
   BOOST_TEST(*FindHeader(response.head.headers, "retry-after") == "2");
   BOOST_TEST(response.body.find("\"outcome\":\"not_run\"") !=
@@ -122,12 +122,12 @@
 }
 
 /** Accepts one connection and sends one answer to it in a single write. */
-class OneAnswer {
+class OneAnswerServer {
  public:
-  explicit OneAnswer(std::string answer)
+  explicit OneAnswerServer(std::string answer)
       : acceptor_(io_, core::ParseAddress("127.0.0.1:0")),
         thread_([this, text = std::move(answer)] { Send(text); }) {}
-  ~OneAnswer() { thread_.join(); }
+  ~OneAnswerServer() { thread_.join(); }
 
   [[nodiscard]] std::string address() const {
     return core::AddressText(acceptor_);
@@ -151,13 +151,13 @@
   std::thread thread_;
 };
 
-Task<int> CountParts(Client& client, OneAnswer& peer) {
+Task<int> CountParts(Client& client, OneAnswerServer& peer) {
   Request request;
-  const auto stream = co_await client.Open(std::move(request), kLong);
+  const auto stream = co_await client.Open(std::move(request), kLongTimeout);
   peer.AwaitSent();
   int parts = 0;
   while (true) {
-    const auto part = co_await stream->Read(kLong);
+    const auto part = co_await stream->Read(kLongTimeout);
     if (!part) co_return parts;
     ++parts;
   }
@@ -166,10 +166,11 @@
 /** Guards against reading an answer in many small parts: on a busy thread each
  * read waits until the thread is free, so an answer of the key-value store took
  * seconds. */
-BOOST_FIXTURE_TEST_CASE(AnswerThatHasArrivedIsReadInFewTurns, Fixture) {
+BOOST_FIXTURE_TEST_CASE(ArrivedAnswerIsReadInFewParts, Fixture) {
   constexpr std::size_t kBody = 48 * 1024;
-  OneAnswer peer("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kBody) +
-                 "\r\n\r\n" + std::string(kBody, 'x'));
+  OneAnswerServer peer(
+      "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(kBody) +
+      "\r\n\r\n" + std::string(kBody, 'x'));
   Client reader(peer.address());
   const int parts = Run(CountParts(reader, peer));
   BOOST_TEST(parts <= 8);
@@ -178,36 +179,39 @@
 // An engine crashes in the middle of an answer. The caller must not mistake the
 // part for the complete answer: the chunked body ends without its last chunk,
 // which HTTP clients report as an error.
-BOOST_FIXTURE_TEST_CASE(CutAnswerIsAnError, Fixture) {
-  BOOST_CHECK_THROW(Run(client.Fetch({"GET", "/cut", {}, ""}, kLong)),
+BOOST_FIXTURE_TEST_CASE(IncompleteAnswerThrows, Fixture) {
+  BOOST_CHECK_THROW(Run(client.Fetch({"GET", "/cut", {}, ""}, kLongTimeout)),
                     TransportError);
 }
 
-BOOST_FIXTURE_TEST_CASE(BadInputGetsTypedErrors, Fixture) {
-  BOOST_TEST(Raw("nonsense\r\n\r\n").starts_with("HTTP/1.1 400"));
+BOOST_FIXTURE_TEST_CASE(InvalidRequestsGetTheirErrorStatus, Fixture) {
+  BOOST_TEST(SendRaw("nonsense\r\n\r\n").starts_with("HTTP/1.1 400"));
   const std::string large(20000, 'x');
   BOOST_TEST(
-      Raw("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 20000\r\n\r\n" + large)
+      SendRaw("POST / HTTP/1.1\r\nHost: a\r\nContent-Length: 20000\r\n\r\n" +
+              large)
           .starts_with("HTTP/1.1 413"));
-  BOOST_TEST(Raw("GET / HTTP/1.1\r\nHost: a\r\nX-Long: " + large + "\r\n\r\n")
-                 .starts_with("HTTP/1.1 431"));
-  BOOST_TEST(Run(client.Fetch({"POST", "/", {}, "on"}, kLong)).body == "on");
+  BOOST_TEST(
+      SendRaw("GET / HTTP/1.1\r\nHost: a\r\nX-Long: " + large + "\r\n\r\n")
+          .starts_with("HTTP/1.1 431"));
+  BOOST_TEST(Run(client.Fetch({"POST", "/", {}, "on"}, kLongTimeout)).body ==
+             "on");
 }
 
 BOOST_FIXTURE_TEST_CASE(UnsentRequestIsKnownNotToHaveRun, Fixture) {
   asio::ip::tcp::acceptor closed(io);
   core::ListenOn(closed, "127.0.0.1:0");
-  Client nobody(core::AddressText(closed));
+  Client unreachable(core::AddressText(closed));
   closed.close();
   try {
-    Run(nobody.Fetch({}, kLong));
+    Run(unreachable.Fetch({}, kLongTimeout));
     BOOST_FAIL("connected to a closed port");
   } catch (const TransportError& e) {
     BOOST_TEST(!e.may_have_run());
   }
 }
 
-BOOST_AUTO_TEST_CASE(TargetsAreTakenApart) {
+BOOST_AUTO_TEST_CASE(TargetsAreParsed) {
   BOOST_TEST(PathOf("/kv?key=a%2Fb") == "/kv");
   BOOST_TEST(*QueryValue("/kv?x=1&key=a%2Fb+c", "key") == "a/b c");
   BOOST_TEST(!QueryValue("/kv?x=1", "key").has_value());
--- a/src/http/probe.cc
+++ b/src/http/probe.cc
@@ -17,7 +17,7 @@
   const auto remote = core::ParseAddress(address);
   const auto [ec] = co_await stream.async_connect(
       remote, asio::as_tuple(asio::use_awaitable));
-  if (!ec) co_return ProbeResult::kTaken;
+  if (!ec) co_return ProbeResult::kAccepted;
   co_return ec == asio::error::connection_refused ? ProbeResult::kRefused
                                                   : ProbeResult::kUnknown;
 }
--- a/src/http/probe_func.h
+++ b/src/http/probe_func.h
@@ -10,9 +10,9 @@
 namespace sapphire::http {
 
 enum class ProbeResult {
-  kTaken,    ///< The connection was accepted; it is closed again.
-  kRefused,  ///< Nothing listens at the address: the process has ended.
-  kUnknown,  ///< No answer in time, or another network error.
+  kAccepted,  ///< The connection was accepted; it is closed again.
+  kRefused,   ///< Nothing listens at the address: the process has ended.
+  kUnknown,   ///< No answer in time, or another network error.
 };
 
 /** Tries to connect. @param address "ip:port". */
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -38,7 +38,7 @@
 /** How long data is still read from a caller whose request was refused: closing
  * the connection with unread data would reset it before the caller has read the
  * answer. */
-constexpr std::chrono::milliseconds kLinger{1000};
+constexpr std::chrono::milliseconds kLingerTime{1000};
 
 /** A connection from a caller. */
 struct Connection {
@@ -73,7 +73,7 @@
     socket_.async_wait(
         tcp::socket::wait_read,
         [self = shared_from_this()](const beast::error_code& ec) {
-          if (!ec && self->callback_) self->Look();
+          if (!ec && self->callback_) self->CheckClosed();
         });
   }
 
@@ -85,7 +85,7 @@
   }
 
  private:
-  void Look() {
+  void CheckClosed() {
     char c = 0;
     const auto n =
         ::recv(socket_.native_handle(), &c, 1, MSG_PEEK | MSG_DONTWAIT);
@@ -125,13 +125,13 @@
   Task<> Send(Response response) override {
     started_ = true;
     beast::http::response<beast::http::string_body> out;
-    Fill(out, response.head);
+    FillHead(out, response.head);
     out.body() = std::move(response.body);
     out.prepare_payload();
     stream_.expires_after(write_timeout_);
     const auto [ec, n] =
         co_await beast::http::async_write(stream_, out, kTuple);
-    Check(ec);
+    ThrowOnError(ec);
     finished_ = true;
   }
 
@@ -140,13 +140,13 @@
     chunked_ = version_ != kHttp10;
     keep_alive_ = keep_alive_ && chunked_;
     beast::http::response<beast::http::empty_body> out;
-    Fill(out, head);
+    FillHead(out, head);
     out.chunked(chunked_);
     beast::http::response_serializer<beast::http::empty_body> serializer(out);
     stream_.expires_after(write_timeout_);
     const auto [ec, n] =
         co_await beast::http::async_write_header(stream_, serializer, kTuple);
-    Check(ec);
+    ThrowOnError(ec);
   }
 
   Task<> Write(std::string_view data) override {
@@ -157,10 +157,10 @@
     if (chunked_) {
       const auto [ec, n] = co_await asio::async_write(
           stream_, beast::http::make_chunk(buf), kTuple);
-      Check(ec);
+      ThrowOnError(ec);
     } else {
       const auto [ec, n] = co_await asio::async_write(stream_, buf, kTuple);
-      Check(ec);
+      ThrowOnError(ec);
     }
   }
 
@@ -169,7 +169,7 @@
       stream_.expires_after(write_timeout_);
       const auto [ec, n] = co_await asio::async_write(
           stream_, beast::http::make_chunk_last(), kTuple);
-      Check(ec);
+      ThrowOnError(ec);
     }
     finished_ = true;
   }
@@ -180,8 +180,8 @@
     char c = 0;
     const auto n = ::recv(stream_.socket().native_handle(), &c, 1,
                           MSG_PEEK | MSG_DONTWAIT);
-    const bool silent = n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-    return n <= 0 && !silent;
+    const bool would_block = n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+    return n <= 0 && !would_block;
   }
 
   void WhenCallerGone(std::function<void()> callback) override {
@@ -198,7 +198,7 @@
 
  private:
   template <typename Message>
-  void Fill(Message& out, const ResponseHead& head) {
+  void FillHead(Message& out, const ResponseHead& head) {
     if (leaving_) keep_alive_ = false;
     out.version(version_);
     out.result(static_cast<unsigned>(head.status));
@@ -208,7 +208,7 @@
     out.keep_alive(keep_alive_);
   }
 
-  void Check(const beast::error_code& ec) {
+  void ThrowOnError(const beast::error_code& ec) {
     if (!ec) return;
     keep_alive_ = false;
     throw TransportError("caller: " + ec.message(), true,
@@ -293,7 +293,7 @@
   Task<> Session(std::shared_ptr<Connection> connection);
   Task<bool> ServeOne(Connection& connection, beast::flat_buffer& buf);
   Task<> Answer(const Request& request, BeastWriter& writer);
-  Task<> Refuse(Connection& connection, const core::Error& error);
+  Task<> AnswerReadError(Connection& connection, const core::Error& error);
 
   ServerLimits CurrentLimits() {
     const std::lock_guard lock(limits_mutex);
@@ -390,7 +390,7 @@
   if (ec) {
     const auto failure = ReadFailure(ec);
     if (failure) {
-      co_await Refuse(connection, *failure);
+      co_await AnswerReadError(connection, *failure);
     }
     co_return false;
   }
@@ -436,19 +436,20 @@
 
 /** Answers a request that could not be read with an error, then reads until the
  * caller stops sending: closing earlier would reset the connection. */
-Task<> Server::State::Refuse(Connection& connection, const core::Error& error) {
+Task<> Server::State::AnswerReadError(Connection& connection,
+                                      const core::Error& error) {
   constexpr unsigned kHttp11 = 11;
   BeastWriter writer(connection.stream, kHttp11, false, leaving,
                      CurrentLimits().write_timeout);
   co_await writer.Send(ProblemResponse(error, ""));
   beast::error_code ec;
   connection.stream.socket().shutdown(tcp::socket::shutdown_send, ec);
-  connection.stream.expires_after(kLinger);
-  std::array<char, 4096> scrap;
+  connection.stream.expires_after(kLingerTime);
+  std::array<char, 4096> discarded;
   while (!ec) {
     std::size_t n = 0;
-    std::tie(ec, n) =
-        co_await connection.stream.async_read_some(asio::buffer(scrap), kTuple);
+    std::tie(ec, n) = co_await connection.stream.async_read_some(
+        asio::buffer(discarded), kTuple);
   }
 }
 
