--- a/src/external/counting_store.cc
+++ b/src/external/counting_store.cc
@@ -34,7 +34,7 @@
 }  // namespace
 
 template <typename T>
-Task<T> CountingStore::Counted(std::string_view kind, Task<T> call) {
+Task<T> CountingStore::Observed(std::string_view kind, Task<T> call) {
   const core::SteadyTime began = clock_.Now();
   const auto took = [this, began] {
     return std::chrono::duration_cast<std::chrono::milliseconds>(clock_.Now() -
@@ -51,42 +51,42 @@
 }
 
 Task<std::optional<KvEntry>> CountingStore::Get(std::string key) {
-  return Counted("get", store_.Get(std::move(key)));
+  return Observed("get", store_.Get(std::move(key)));
 }
 
 Task<std::vector<KvEntry>> CountingStore::List(std::string prefix) {
-  return Counted("list", store_.List(std::move(prefix)));
+  return Observed("list", store_.List(std::move(prefix)));
 }
 
 Task<KvSnapshot> CountingStore::Snapshot(std::string prefix) {
-  return Counted("list", store_.Snapshot(std::move(prefix)));
+  return Observed("list", store_.Snapshot(std::move(prefix)));
 }
 
 Task<CasResult> CountingStore::CompareAndSwap(std::string key,
                                               std::int64_t expected,
                                               std::string value,
                                               std::string lease_id) {
-  return Counted(
+  return Observed(
       "cas", store_.CompareAndSwap(std::move(key), expected, std::move(value),
                                    std::move(lease_id)));
 }
 
 Task<bool> CountingStore::DeleteIf(std::string key, std::int64_t expected) {
-  return Counted("delete", store_.DeleteIf(std::move(key), expected));
+  return Observed("delete", store_.DeleteIf(std::move(key), expected));
 }
 
 Task<KvLease> CountingStore::GrantLease(
     std::chrono::milliseconds time_to_live) {
-  return Counted("lease", store_.GrantLease(time_to_live));
+  return Observed("lease", store_.GrantLease(time_to_live));
 }
 
 Task<bool> CountingStore::KeepAlive(std::string lease_id) {
-  return Counted("keepalive", store_.KeepAlive(std::move(lease_id)));
+  return Observed("keepalive", store_.KeepAlive(std::move(lease_id)));
 }
 
 Task<WatchBatch> CountingStore::Watch(std::string prefix, std::int64_t revision,
                                       std::chrono::milliseconds wait) {
-  return Counted("watch", store_.Watch(std::move(prefix), revision, wait));
+  return Observed("watch", store_.Watch(std::move(prefix), revision, wait));
 }
 
 }  // namespace sapphire::external
--- a/src/external/counting_store_base.h
+++ b/src/external/counting_store_base.h
@@ -53,7 +53,7 @@
 
  private:
   template <typename T>
-  core::Task<T> Counted(std::string_view kind, core::Task<T> call);
+  core::Task<T> Observed(std::string_view kind, core::Task<T> call);
 
   KeyValueStore& store_;
   const Observer observer_;
--- a/src/external/http_call.cc
+++ b/src/external/http_call.cc
@@ -12,7 +12,7 @@
 constexpr int kFirstClientError = 400;
 constexpr int kFirstServerError = 500;
 
-std::string Describe(const std::string& target, int status) {
+std::string StatusText(const std::string& target, int status) {
   return target + ": status " + std::to_string(status);
 }
 
@@ -27,12 +27,12 @@
 
 }  // namespace
 
-HttpCall::HttpCall(const std::string& address,
-                   std::chrono::milliseconds timeout)
+PlatformClient::PlatformClient(const std::string& address,
+                               std::chrono::milliseconds timeout)
     : client_(address), timeout_(timeout) {}
 
-core::Task<std::string> HttpCall::Read(std::string target,
-                                       std::chrono::milliseconds wait) {
+core::Task<std::string> PlatformClient::Read(std::string target,
+                                             std::chrono::milliseconds wait) {
   http::Request request;
   request.target = target;
   http::Response response;
@@ -44,12 +44,13 @@
   }
   if (response.head.status != kOk) {
     throw core::Error(core::ErrorCode::kPlatformUnavailable,
-                      Describe(target, response.head.status));
+                      StatusText(target, response.head.status));
   }
   co_return std::move(response.body);
 }
 
-core::Task<std::string> HttpCall::Write(std::string target, std::string body) {
+core::Task<std::string> PlatformClient::Write(std::string target,
+                                              std::string body) {
   http::Request request;
   request.method = "POST";
   request.target = target;
@@ -69,7 +70,7 @@
   }
   if (response.head.status != kOk) {
     throw core::Error(CodeOfFailedWrite(response.head.status),
-                      Describe(target, response.head.status));
+                      StatusText(target, response.head.status));
   }
   co_return std::move(response.body);
 }
--- a/src/external/http_call_base.h
+++ b/src/external/http_call_base.h
@@ -1,7 +1,7 @@
 /** @file http_call_base.h HTTP calls to a platform service, with typed errors.
  */
-#ifndef SAPPHIRE_EXTERNAL_HTTP_CALL_BASE_H_
-#define SAPPHIRE_EXTERNAL_HTTP_CALL_BASE_H_
+#ifndef SAPPHIRE_EXTERNAL_PLATFORM_CLIENT_BASE_H_
+#define SAPPHIRE_EXTERNAL_PLATFORM_CLIENT_BASE_H_
 
 #include <chrono>
 #include <string>
@@ -12,9 +12,9 @@
 namespace sapphire::external {
 
 /** Client of one platform service that is called over HTTP with JSON bodies. */
-class HttpCall {
+class PlatformClient {
  public:
-  HttpCall(const std::string& address, std::chrono::milliseconds timeout);
+  PlatformClient(const std::string& address, std::chrono::milliseconds timeout);
 
   /**
    * Sends a GET request; it has no effect, so the caller may repeat it.
@@ -40,4 +40,4 @@
 
 }  // namespace sapphire::external
 
-#endif  // SAPPHIRE_EXTERNAL_HTTP_CALL_BASE_H_
+#endif  // SAPPHIRE_EXTERNAL_PLATFORM_CLIENT_BASE_H_
--- a/src/external/http_key_value.cc
+++ b/src/external/http_key_value.cc
@@ -103,17 +103,17 @@
  public:
   HttpKeyValueStore(const std::string& address,
                     std::chrono::milliseconds timeout)
-      : call_(address, timeout) {}
+      : client_(address, timeout) {}
 
   core::Task<std::optional<KvEntry>> Get(std::string key) override {
     const std::string body =
-        co_await call_.Read("/kv?key=" + http::UrlEncode(key));
+        co_await client_.Read("/kv?key=" + http::UrlEncode(key));
     co_return Decode(body, ToGetResult, ErrorCode::kPlatformUnavailable);
   }
 
   core::Task<std::vector<KvEntry>> List(std::string prefix) override {
     const std::string body =
-        co_await call_.Read("/kv?prefix=" + http::UrlEncode(prefix));
+        co_await client_.Read("/kv?prefix=" + http::UrlEncode(prefix));
     co_return Decode(body, ToEntries, ErrorCode::kPlatformUnavailable);
   }
 
@@ -126,7 +126,7 @@
     request["value"] = value;
     request["lease"] = lease_id;
     const std::string body =
-        co_await call_.Write("/cas", json::serialize(request));
+        co_await client_.Write("/cas", json::serialize(request));
     co_return Decode(body, ToCasResult, ErrorCode::kPlatformUnknownOutcome);
   }
 
@@ -135,7 +135,7 @@
     request["key"] = key;
     request["expected"] = expected;
     const std::string body =
-        co_await call_.Write("/delete", json::serialize(request));
+        co_await client_.Write("/delete", json::serialize(request));
     co_return Decode(body, ToDeleted, ErrorCode::kPlatformUnknownOutcome);
   }
 
@@ -144,7 +144,7 @@
     json::object request;
     request["ttl_ms"] = time_to_live.count();
     const std::string body =
-        co_await call_.Write("/lease", json::serialize(request));
+        co_await client_.Write("/lease", json::serialize(request));
     co_return Decode(body, ToLease, ErrorCode::kPlatformUnknownOutcome);
   }
 
@@ -152,7 +152,7 @@
     json::object request;
     request["id"] = lease_id;
     const std::string body =
-        co_await call_.Write("/lease/keepalive", json::serialize(request));
+        co_await client_.Write("/lease/keepalive", json::serialize(request));
     co_return Decode(body, ToAlive, ErrorCode::kPlatformUnknownOutcome);
   }
 
@@ -161,12 +161,12 @@
     const std::string target = "/watch?prefix=" + http::UrlEncode(prefix) +
                                "&after=" + std::to_string(revision) +
                                "&wait_ms=" + std::to_string(wait.count());
-    const std::string body = co_await call_.Read(target, wait);
+    const std::string body = co_await client_.Read(target, wait);
     co_return Decode(body, ToWatchBatch, ErrorCode::kPlatformUnavailable);
   }
 
  private:
-  HttpCall call_;
+  PlatformClient client_;
 };
 
 }  // namespace
--- a/src/external/http_platform_test.cc
+++ b/src/external/http_platform_test.cc
@@ -16,9 +16,9 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kTimeout{5000};
-constexpr milliseconds kShort{50};
+constexpr milliseconds kShortTimeout{50};
 /** Nothing listens on this port of the loopback address. */
-constexpr const char* kNobody = "127.0.0.1:1";
+constexpr const char* kClosedAddress = "127.0.0.1:1";
 
 using Answer = std::optional<http::Response>;
 
@@ -63,7 +63,7 @@
   http::Server server;
 };
 
-EngineOrder SomeOrder() {
+EngineOrder MakeOrder() {
   EngineOrder order;
   order.kind = OrderKind::kLoadAdapter;
   order.model = core::ModelId("m");
@@ -85,14 +85,16 @@
                                       const std::string& address,
                                       milliseconds timeout = kTimeout) {
   const auto engine = MakeHttpEngine(address, kTimeout);
-  return service.runner.FailureOf(engine->Order(SomeOrder(), timeout));
+  return service.runner.FailureOf(engine->Order(MakeOrder(), timeout));
 }
 
 // The service can't be reached when a process writes. Nothing was sent, so the
 // process may report to its caller that the write had no effect.
 BOOST_FIXTURE_TEST_CASE(UnsentWriteHadNoEffect, Service) {
-  BOOST_TEST((SwapFailure(*this, kNobody) == ErrorCode::kPlatformUnavailable));
-  BOOST_TEST((OrderFailure(*this, kNobody) == ErrorCode::kEngineUnavailable));
+  BOOST_TEST(
+      (SwapFailure(*this, kClosedAddress) == ErrorCode::kPlatformUnavailable));
+  BOOST_TEST(
+      (OrderFailure(*this, kClosedAddress) == ErrorCode::kEngineUnavailable));
 }
 
 // The service executes the write but its answer is lost, or the service is slow
@@ -105,9 +107,9 @@
       (OrderFailure(*this, server.address()) == ErrorCode::kOutcomeUnknown));
   AnswerWith(200, R"({"swapped":true,"revision":1})");
   delay = milliseconds(500);
-  BOOST_TEST((SwapFailure(*this, server.address(), kShort) ==
+  BOOST_TEST((SwapFailure(*this, server.address(), kShortTimeout) ==
               ErrorCode::kPlatformUnknownOutcome));
-  BOOST_TEST((OrderFailure(*this, server.address(), kShort) ==
+  BOOST_TEST((OrderFailure(*this, server.address(), kShortTimeout) ==
               ErrorCode::kOutcomeUnknown));
 }
 
@@ -144,7 +146,7 @@
   check();
 }
 
-BOOST_FIXTURE_TEST_CASE(OrderAnswersAreTyped, Service) {
+BOOST_FIXTURE_TEST_CASE(OrderStatusDecidesItsError, Service) {
   const std::string address = server.address();
   AnswerWith(200, "{}");
   BOOST_TEST(!OrderFailure(*this, address).has_value());
--- a/src/external/http_vm_list.cc
+++ b/src/external/http_vm_list.cc
@@ -14,8 +14,8 @@
 namespace {
 
 /** @return True for `yes`, false for `no`. @throws core::Error if neither. */
-bool IsFirstOf(const json::object& object, std::string_view field,
-               std::string_view yes, std::string_view no) {
+bool ParseEither(const json::object& object, std::string_view field,
+                 std::string_view yes, std::string_view no) {
   const std::string value = StringAt(object, field);
   if (value == yes) return true;
   if (value == no) return false;
@@ -28,10 +28,10 @@
   VmRecord record;
   record.vm = core::VmId(StringAt(object, "vm"));
   record.zone = core::ZoneId(StringAt(object, "zone"));
-  record.role = IsFirstOf(object, "role", "entry", "endpoint")
+  record.role = ParseEither(object, "role", "entry", "endpoint")
                     ? VmRole::kEntry
                     : VmRole::kEndpoint;
-  record.state = IsFirstOf(object, "state", "live", "leaving")
+  record.state = ParseEither(object, "state", "live", "leaving")
                      ? VmState::kLive
                      : VmState::kLeaving;
   record.link_address = StringAt(object, "link_address");
@@ -50,10 +50,10 @@
 class HttpVmList final : public VmList {
  public:
   HttpVmList(const std::string& address, std::chrono::milliseconds timeout)
-      : call_(address, timeout) {}
+      : client_(address, timeout) {}
 
   core::Task<std::vector<VmRecord>> Read() override {
-    const std::string body = co_await call_.Read("/vms");
+    const std::string body = co_await client_.Read("/vms");
     try {
       co_return ToRecords(body);
     } catch (const core::Error& e) {
@@ -62,7 +62,7 @@
   }
 
  private:
-  HttpCall call_;
+  PlatformClient client_;
 };
 
 }  // namespace
