--- a/src/external/http_vm_list.cc
+++ b/src/external/http_vm_list.cc
@@ -4,8 +4,8 @@
 
 #include "core/error_type.h"
 #include "external/external_func.h"
-#include "external/http_call_base.h"
 #include "external/json_func.h"
+#include "external/platform_client_base.h"
 
 namespace sapphire::external {
 
--- a/src/external/http_call.cc
+++ b/src/external/platform_client.cc
@@ -1,8 +1,9 @@
-/** @file http_call.cc HTTP calls to a platform service, with typed errors. */
+/** @file platform_client.cc HTTP calls to a platform service, with typed
+ * errors. */
 #include <utility>
 
 #include "core/error_type.h"
-#include "external/http_call_base.h"
+#include "external/platform_client_base.h"
 
 namespace sapphire::external {
 
--- a/src/external/http_call_base.h
+++ b/src/external/platform_client_base.h
@@ -1,4 +1,5 @@
-/** @file http_call_base.h HTTP calls to a platform service, with typed errors.
+/** @file platform_client_base.h HTTP calls to a platform service, with typed
+ * errors.
  */
 #ifndef SAPPHIRE_EXTERNAL_PLATFORM_CLIENT_BASE_H_
 #define SAPPHIRE_EXTERNAL_PLATFORM_CLIENT_BASE_H_
