--- a/deploy/soak/soak_engine.cc
+++ b/deploy/soak/soak_engine.cc
@@ -235,7 +235,7 @@
     co_await writer.Begin(Mark(id));
     for (int i = last.empty() ? 1 : std::stoi(last) + 1; i <= events; ++i) {
       co_await Pause(kEventPause, start);
-      if (writer.CallerGone()) throw http::ConnectionCut("caller gone");
+      if (writer.CallerDisconnected()) throw http::ConnectionCut("caller gone");
       co_await writer.Write(fmt::format("id: {}\ndata: {}\n\n", i, id));
     }
     co_await writer.End();
--- a/src/contract/config_pull.cc
+++ b/src/contract/config_pull.cc
@@ -206,8 +206,9 @@
 link::VersionHooks ConfigPuller::Hooks() {
   link::VersionHooks hooks;
   hooks.current = [state = state_] { return state->holder.version(); };
-  hooks.newer_seen = [state = state_](const std::shared_ptr<link::Link>& link,
-                                      std::int64_t) { state->NewerSeen(link); };
+  hooks.on_newer_version = [state = state_](
+                               const std::shared_ptr<link::Link>& link,
+                               std::int64_t) { state->NewerSeen(link); };
   return hooks;
 }
 
--- a/src/entry/answer_sink_base.h
+++ b/src/entry/answer_sink_base.h
@@ -47,7 +47,9 @@
   core::Task<> End() override;
   void Reset() override;
   [[nodiscard]] bool started() const override { return writer_.started(); }
-  [[nodiscard]] bool abandoned() const override { return writer_.CallerGone(); }
+  [[nodiscard]] bool abandoned() const override {
+    return writer_.CallerDisconnected();
+  }
 
  private:
   [[nodiscard]] http::ResponseHead MakeHead() const;
--- a/src/entry/fleet_fake_base.h
+++ b/src/entry/fleet_fake_base.h
@@ -188,7 +188,7 @@
 
 inline link::VersionHooks NoVersions() {
   return {.current = [] { return std::int64_t{0}; },
-          .newer_seen = [](auto, auto) {}};
+          .on_newer_version = [](auto, auto) {}};
 }
 
 inline link::LinkOptions LinkOptionsOf(const std::string& vm,
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -176,7 +176,7 @@
 
   [[nodiscard]] bool started() const override { return started_; }
 
-  [[nodiscard]] bool CallerGone() override {
+  [[nodiscard]] bool CallerDisconnected() override {
     char c = 0;
     const auto n = ::recv(stream_.socket().native_handle(), &c, 1,
                           MSG_PEEK | MSG_DONTWAIT);
@@ -184,7 +184,7 @@
     return n <= 0 && !would_block;
   }
 
-  void WhenCallerGone(std::function<void()> callback) override {
+  void OnCallerDisconnect(std::function<void()> callback) override {
     if (watch_) std::exchange(watch_, nullptr)->Stop();
     if (!callback) return;
     watch_ =
--- a/src/http/server_base.h
+++ b/src/http/server_base.h
@@ -38,7 +38,7 @@
   [[nodiscard]] virtual bool started() const = 0;
 
   /** @return True if the caller has closed its connection. */
-  [[nodiscard]] virtual bool CallerGone() { return false; }
+  [[nodiscard]] virtual bool CallerDisconnected() { return false; }
 
   /**
    * Calls `callback` once, on the connection's strand, when the caller closes
@@ -46,7 +46,7 @@
    * further bytes, its close is detected only by a failing write. An empty
    * callback ends the watch.
    */
-  virtual void WhenCallerGone(std::function<void()> /*callback*/) {}
+  virtual void OnCallerDisconnect(std::function<void()> /*callback*/) {}
 };
 
 /** Thrown by a handler to close the connection immediately, without an answer.
--- a/src/link/connection.cc
+++ b/src/link/connection.cc
@@ -142,7 +142,7 @@
     peer_.config_version = std::max(peer_.config_version, version);
   }
   if (version > context_->hooks.current()) {
-    context_->hooks.newer_seen(shared_from_this(), version);
+    context_->hooks.on_newer_version(shared_from_this(), version);
   }
 }
 
@@ -247,7 +247,7 @@
 }
 
 bool Connection::IsIdle() const {
-  const core::Millis limit = context_->options.idle_close;
+  const core::Millis limit = context_->options.idle_timeout;
   if (limit.count() == 0) return false;
   const std::lock_guard lock(mutex_);
   return calls_.empty() && context_->clock.Now() - last_call_end_ > limit;
--- a/src/link/link_base.h
+++ b/src/link/link_base.h
@@ -73,7 +73,8 @@
   std::function<std::int64_t()> current;
   /** Called for each frame of a peer with a version above `current`. Must not
    * block. */
-  std::function<void(std::shared_ptr<Link>, std::int64_t version)> newer_seen;
+  std::function<void(std::shared_ptr<Link>, std::int64_t version)>
+      on_newer_version;
 };
 
 /** @return Hooks for a process that exchanges no configuration over its links:
--- a/src/link/link_test.cc
+++ b/src/link/link_test.cc
@@ -238,7 +238,7 @@
  */
 BOOST_FIXTURE_TEST_CASE(IdleLinkIsClosed, Fixture) {
   LinkOptions options = Options("asking");
-  options.idle_close = milliseconds(200);
+  options.idle_timeout = milliseconds(200);
   LinkNode asking(
       io.get_executor(), options,
       [](std::shared_ptr<Call>, gen::Message) -> Task<> { co_return; },
--- a/src/link/link_type.cc
+++ b/src/link/link_type.cc
@@ -69,7 +69,7 @@
 VersionHooks NoVersions() {
   VersionHooks hooks;
   hooks.current = [] { return std::int64_t{0}; };
-  hooks.newer_seen = [](const std::shared_ptr<Link>&, std::int64_t) {};
+  hooks.on_newer_version = [](const std::shared_ptr<Link>&, std::int64_t) {};
   return hooks;
 }
 
--- a/src/link/link_type.h
+++ b/src/link/link_type.h
@@ -37,7 +37,7 @@
   /** A link without a call for this long is closed; 0: never. Used by processes
    * that call each other only rarely: with links kept open, hundreds of them
    * would each send heartbeats to hundreds of others. */
-  std::chrono::milliseconds idle_close{0};
+  std::chrono::milliseconds idle_timeout{0};
   /** Messages a sender may have outstanding on one call. */
   int window = 64;
   /** Largest frame accepted, in bytes. */
--- a/src/serving/dispatcher.cc
+++ b/src/serving/dispatcher.cc
@@ -62,12 +62,12 @@
 class LeaveWatch {
  public:
   explicit LeaveWatch(CallerSide& caller) : caller_(caller) {
-    caller.writer.WhenCallerGone([&caller] {
+    caller.writer.OnCallerDisconnect([&caller] {
       caller.left = true;
       if (caller.abort) caller.abort->Now();
     });
   }
-  ~LeaveWatch() { caller_.writer.WhenCallerGone({}); }
+  ~LeaveWatch() { caller_.writer.OnCallerDisconnect({}); }
   LeaveWatch(const LeaveWatch&) = delete;
   LeaveWatch& operator=(const LeaveWatch&) = delete;
 
--- a/src/serving/dispatcher_rig_test.h
+++ b/src/serving/dispatcher_rig_test.h
@@ -120,7 +120,7 @@
     co_return;
   }
   [[nodiscard]] bool started() const override { return answers > 0; }
-  void WhenCallerGone(std::function<void()> callback) override {
+  void OnCallerDisconnect(std::function<void()> callback) override {
     leave = std::move(callback);
   }
 
--- a/src/serving/front.cc
+++ b/src/serving/front.cc
@@ -34,7 +34,7 @@
   links.self.vm = options.vm.value();
   links.self.zone = options.zone.value();
   links.self.role = gen::Role::ENTRY;
-  links.idle_close = kIdleLink;
+  links.idle_timeout = kIdleLink;
   links.self.incarnation = core::RandomPositive();
   return links;
 }
--- a/standin/engine_stand_in.cc
+++ b/standin/engine_stand_in.cc
@@ -113,7 +113,7 @@
   void CutIfEnded(http::ResponseWriter& writer) const {
     engine_.CutIfDown();
     if (!engine_.state_.IsRunning(ticket_)) CutConnection("request ended");
-    if (writer.CallerGone()) CutConnection("caller gone");
+    if (writer.CallerDisconnected()) CutConnection("caller gone");
   }
 
   EngineStandIn& engine_;
@@ -276,7 +276,7 @@
     const Admission admission = state_.Admit(call);
     if (admission.verdict != AdmissionVerdict::kNoRoom) co_return admission;
     CutIfDown();
-    if (writer.CallerGone()) CutConnection("caller gone");
+    if (writer.CallerDisconnected()) CutConnection("caller gone");
     co_await disrupted_.Wait(seen, options_.token_time);
   }
 }
