--- a/src/external/http_key_value.cc
+++ b/src/external/http_key_value.cc
@@ -1,12 +1,12 @@
-/** @file http_key_value.cc The key-value service's client over HTTP. */
+/** @file http_key_value.cc HTTP client of the key-value service. */
 #include <boost/json.hpp>
 #include <functional>
 #include <utility>
 
 #include "core/error_type.h"
 #include "external/external_func.h"
-#include "external/http_call_base.h"
 #include "external/json_func.h"
+#include "external/platform_client_base.h"
 
 namespace sapphire::external {
 
@@ -87,8 +87,8 @@
   return batch;
 }
 
-/** @return The answer as read by `convert`. @throws Error `code` if it can't be
- * read: an answer that makes no sense tells nothing of the effect. */
+/** @return The answer, parsed by `convert`. @throws core::Error `code` if it is
+ * invalid; the effect of a write is then unknown. */
 template <typename T>
 T Decode(const std::string& body, T (*convert)(const json::object&),
          ErrorCode code) {
@@ -103,17 +103,17 @@
  public:
   HttpKeyValueStore(const std::string& address,
                     std::chrono::milliseconds timeout)
-      : call_(address, timeout) {}
+      : client_(address, timeout) {}
 
   core::Task<std::optional<KvEntry>> Get(std::string key) override {
     const std::string body =
-        co_await call_.Read("/kv?key=" + http::UrlEncode(key));
+        co_await client_.Read("/kv?key=" + http::UrlEncode(key));
     co_return Decode(body, ToGetResult, ErrorCode::kPlatformUnavailable);
   }
 
   core::Task<std::vector<KvEntry>> List(std::string prefix) override {
     const std::string body =
-        co_await call_.Read("/kv?prefix=" + http::UrlEncode(prefix));
+        co_await client_.Read("/kv?prefix=" + http::UrlEncode(prefix));
     co_return Decode(body, ToEntries, ErrorCode::kPlatformUnavailable);
   }
 
@@ -126,7 +126,7 @@
     request["value"] = value;
     request["lease"] = lease_id;
     const std::string body =
-        co_await call_.Write("/cas", json::serialize(request));
+        co_await client_.Write("/cas", json::serialize(request));
     co_return Decode(body, ToCasResult, ErrorCode::kPlatformUnknownOutcome);
   }
 
@@ -135,7 +135,7 @@
     request["key"] = key;
     request["expected"] = expected;
     const std::string body =
-        co_await call_.Write("/delete", json::serialize(request));
+        co_await client_.Write("/delete", json::serialize(request));
     co_return Decode(body, ToDeleted, ErrorCode::kPlatformUnknownOutcome);
   }
 
@@ -144,7 +144,7 @@
     json::object request;
     request["ttl_ms"] = time_to_live.count();
     const std::string body =
-        co_await call_.Write("/lease", json::serialize(request));
+        co_await client_.Write("/lease", json::serialize(request));
     co_return Decode(body, ToLease, ErrorCode::kPlatformUnknownOutcome);
   }
 
@@ -152,7 +152,7 @@
     json::object request;
     request["id"] = lease_id;
     const std::string body =
-        co_await call_.Write("/lease/keepalive", json::serialize(request));
+        co_await client_.Write("/lease/keepalive", json::serialize(request));
     co_return Decode(body, ToAlive, ErrorCode::kPlatformUnknownOutcome);
   }
 
@@ -161,12 +161,12 @@
     const std::string target = "/watch?prefix=" + http::UrlEncode(prefix) +
                                "&after=" + std::to_string(revision) +
                                "&wait_ms=" + std::to_string(wait.count());
-    const std::string body = co_await call_.Read(target, wait);
+    const std::string body = co_await client_.Read(target, wait);
     co_return Decode(body, ToWatchBatch, ErrorCode::kPlatformUnavailable);
   }
 
  private:
-  HttpCall call_;
+  PlatformClient client_;
 };
 
 }  // namespace
--- a/src/external/http_call.cc
+++ b/src/external/platform_client.cc
@@ -1,8 +1,9 @@
-/** @file http_call.cc Calls to a platform service, their failures typed. */
+/** @file platform_client.cc HTTP calls to a platform service, with typed
+ * errors. */
 #include <utility>
 
 #include "core/error_type.h"
-#include "external/http_call_base.h"
+#include "external/platform_client_base.h"
 
 namespace sapphire::external {
 
@@ -12,11 +13,12 @@
 constexpr int kFirstClientError = 400;
 constexpr int kFirstServerError = 500;
 
-std::string Describe(const std::string& target, int status) {
+std::string StatusText(const std::string& target, int status) {
   return target + ": status " + std::to_string(status);
 }
 
-/** A 4xx answer is a refusal and had no effect; of a 5xx nothing is known. */
+/** A write answered by 4xx was refused and had no effect; after any other
+ * failed status its effect is unknown. */
 core::ErrorCode CodeOfFailedWrite(int status) {
   const bool refused =
       status >= kFirstClientError && status < kFirstServerError;
@@ -26,12 +28,12 @@
 
 }  // namespace
 
-HttpCall::HttpCall(const std::string& address,
-                   std::chrono::milliseconds timeout)
+PlatformClient::PlatformClient(const std::string& address,
+                               std::chrono::milliseconds timeout)
     : client_(address), timeout_(timeout) {}
 
-core::Task<std::string> HttpCall::Read(std::string target,
-                                       std::chrono::milliseconds wait) {
+core::Task<std::string> PlatformClient::Read(std::string target,
+                                             std::chrono::milliseconds wait) {
   http::Request request;
   request.target = target;
   http::Response response;
@@ -43,12 +45,13 @@
   }
   if (response.head.status != kOk) {
     throw core::Error(core::ErrorCode::kPlatformUnavailable,
-                      Describe(target, response.head.status));
+                      StatusText(target, response.head.status));
   }
   co_return std::move(response.body);
 }
 
-core::Task<std::string> HttpCall::Write(std::string target, std::string body) {
+core::Task<std::string> PlatformClient::Write(std::string target,
+                                              std::string body) {
   http::Request request;
   request.method = "POST";
   request.target = target;
@@ -58,9 +61,9 @@
   try {
     response = co_await client_.Fetch(std::move(request), timeout_);
   } catch (const http::TransportError& e) {
-    // An answer may be lost after the write took effect, and a request that
-    // timed out may take effect later still: only one that never left is safe
-    // to call ineffective.
+    // The answer may be lost after the write took effect, and a request that
+    // timed out may still take effect later. Only a request that was not sent
+    // certainly had no effect.
     throw core::Error(e.may_have_run()
                           ? core::ErrorCode::kPlatformUnknownOutcome
                           : core::ErrorCode::kPlatformUnavailable,
@@ -68,7 +71,7 @@
   }
   if (response.head.status != kOk) {
     throw core::Error(CodeOfFailedWrite(response.head.status),
-                      Describe(target, response.head.status));
+                      StatusText(target, response.head.status));
   }
   co_return std::move(response.body);
 }
--- a/src/external/http_call_base.h
+++ b/src/external/platform_client_base.h
@@ -1,6 +1,8 @@
-/** @file http_call_base.h Calls to a platform service, their failures typed. */
-#ifndef SAPPHIRE_EXTERNAL_HTTP_CALL_BASE_H_
-#define SAPPHIRE_EXTERNAL_HTTP_CALL_BASE_H_
+/** @file platform_client_base.h HTTP calls to a platform service, with typed
+ * errors.
+ */
+#ifndef SAPPHIRE_EXTERNAL_PLATFORM_CLIENT_BASE_H_
+#define SAPPHIRE_EXTERNAL_PLATFORM_CLIENT_BASE_H_
 
 #include <chrono>
 #include <string>
@@ -10,14 +12,14 @@
 
 namespace sapphire::external {
 
-/** One service of the platform, reached over HTTP with JSON bodies. */
-class HttpCall {
+/** Client of one platform service that is called over HTTP with JSON bodies. */
+class PlatformClient {
  public:
-  HttpCall(const std::string& address, std::chrono::milliseconds timeout);
+  PlatformClient(const std::string& address, std::chrono::milliseconds timeout);
 
   /**
-   * Reads, which may be repeated at will.
-   * @param wait How much longer than other calls the service may take.
+   * Sends a GET request; it has no effect, so the caller may repeat it.
+   * @param wait Added to the time limit of the call.
    * @return The body of the answer.
    * @throws core::Error kPlatformUnavailable.
    */
@@ -25,7 +27,7 @@
                                std::chrono::milliseconds wait = {});
 
   /**
-   * Writes, at most once.
+   * Sends a POST request, at most once.
    * @return The body of the answer.
    * @throws core::Error kPlatformUnavailable (no effect), or
    *   kPlatformUnknownOutcome.
@@ -39,4 +41,4 @@
 
 }  // namespace sapphire::external
 
-#endif  // SAPPHIRE_EXTERNAL_HTTP_CALL_BASE_H_
+#endif  // SAPPHIRE_EXTERNAL_PLATFORM_CLIENT_BASE_H_
--- a/src/http/probe.cc
+++ b/src/http/probe.cc
@@ -1,4 +1,4 @@
-/** @file probe.cc Asks whether a server takes connections. */
+/** @file probe.cc Tests whether a server accepts connections. */
 #include <boost/asio/as_tuple.hpp>
 #include <boost/asio/this_coro.hpp>
 #include <boost/asio/use_awaitable.hpp>
@@ -17,7 +17,7 @@
   const auto remote = core::ParseAddress(address);
   const auto [ec] = co_await stream.async_connect(
       remote, asio::as_tuple(asio::use_awaitable));
-  if (!ec) co_return ProbeResult::kTaken;
+  if (!ec) co_return ProbeResult::kAccepted;
   co_return ec == asio::error::connection_refused ? ProbeResult::kRefused
                                                   : ProbeResult::kUnknown;
 }
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -1,4 +1,4 @@
-/** @file server.cc A small HTTP/1.1 server on Beast. */
+/** @file server.cc A small HTTP/1.1 server, built on Boost.Beast. */
 #include <fmt/format.h>
 #include <sys/socket.h>
 
@@ -35,15 +35,17 @@
 
 constexpr auto kTuple = asio::as_tuple(asio::use_awaitable);
 constexpr unsigned kHttp10 = 10;
-/** How long a refused sender is listened to, so that it reads our answer
- * instead of a reset connection. */
-constexpr std::chrono::milliseconds kLinger{1000};
+/** How long data is still read from a caller whose request was refused: closing
+ * the connection with unread data would reset it before the caller has read the
+ * answer. */
+constexpr std::chrono::milliseconds kLingerTime{1000};
 
-/** One caller's connection. */
+/** A connection from a caller. */
 struct Connection {
   explicit Connection(tcp::socket socket) : stream(std::move(socket)) {}
   beast::tcp_stream stream;
-  /** Waiting for a request: may be closed at any time. Strand only. */
+  /** True while waiting for a request, when the connection may be closed at any
+   * time. Used only on the strand. */
   bool idle = false;
 };
 
@@ -61,7 +63,7 @@
   return request;
 }
 
-/** Watches a socket for its peer's close while a request is being answered. */
+/** Detects that the peer closes its connection while a request is handled. */
 class CloseWatch final : public std::enable_shared_from_this<CloseWatch> {
  public:
   CloseWatch(tcp::socket& socket, std::function<void()> callback)
@@ -71,11 +73,11 @@
     socket_.async_wait(
         tcp::socket::wait_read,
         [self = shared_from_this()](const beast::error_code& ec) {
-          if (!ec && self->callback_) self->Look();
+          if (!ec && self->callback_) self->CheckClosed();
         });
   }
 
-  /** The answer is over: nothing is called any more. */
+  /** Ends the watch; the callback is not called any more. */
   void Stop() {
     callback_ = nullptr;
     beast::error_code ignored;
@@ -83,11 +85,12 @@
   }
 
  private:
-  void Look() {
+  void CheckClosed() {
     char c = 0;
     const auto n =
         ::recv(socket_.native_handle(), &c, 1, MSG_PEEK | MSG_DONTWAIT);
-    // More bytes hide a later close, and waiting again would return at once.
+    // A close can't be seen behind unread bytes, and another wait would
+    // complete immediately.
     if (n > 0) return;
     if (n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) {
       Arm();
@@ -103,7 +106,7 @@
 /** Writes one answer to a connection. */
 class BeastWriter final : public ResponseWriter {
  public:
-  /** @param leaving Looked at when the head is written. */
+  /** @param leaving Read when the head is written. */
   BeastWriter(beast::tcp_stream& stream, unsigned version, bool keep_alive,
               const std::atomic<bool>& leaving,
               std::chrono::milliseconds write_timeout)
@@ -122,13 +125,13 @@
   Task<> Send(Response response) override {
     started_ = true;
     beast::http::response<beast::http::string_body> out;
-    Fill(out, response.head);
+    FillHead(out, response.head);
     out.body() = std::move(response.body);
     out.prepare_payload();
     stream_.expires_after(write_timeout_);
     const auto [ec, n] =
         co_await beast::http::async_write(stream_, out, kTuple);
-    Check(ec);
+    ThrowOnError(ec);
     finished_ = true;
   }
 
@@ -137,13 +140,13 @@
     chunked_ = version_ != kHttp10;
     keep_alive_ = keep_alive_ && chunked_;
     beast::http::response<beast::http::empty_body> out;
-    Fill(out, head);
+    FillHead(out, head);
     out.chunked(chunked_);
     beast::http::response_serializer<beast::http::empty_body> serializer(out);
     stream_.expires_after(write_timeout_);
     const auto [ec, n] =
         co_await beast::http::async_write_header(stream_, serializer, kTuple);
-    Check(ec);
+    ThrowOnError(ec);
   }
 
   Task<> Write(std::string_view data) override {
@@ -154,10 +157,10 @@
     if (chunked_) {
       const auto [ec, n] = co_await asio::async_write(
           stream_, beast::http::make_chunk(buf), kTuple);
-      Check(ec);
+      ThrowOnError(ec);
     } else {
       const auto [ec, n] = co_await asio::async_write(stream_, buf, kTuple);
-      Check(ec);
+      ThrowOnError(ec);
     }
   }
 
@@ -166,22 +169,22 @@
       stream_.expires_after(write_timeout_);
       const auto [ec, n] = co_await asio::async_write(
           stream_, beast::http::make_chunk_last(), kTuple);
-      Check(ec);
+      ThrowOnError(ec);
     }
     finished_ = true;
   }
 
   [[nodiscard]] bool started() const override { return started_; }
 
-  [[nodiscard]] bool CallerGone() override {
+  [[nodiscard]] bool CallerDisconnected() override {
     char c = 0;
     const auto n = ::recv(stream_.socket().native_handle(), &c, 1,
                           MSG_PEEK | MSG_DONTWAIT);
-    const bool silent = n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
-    return n <= 0 && !silent;
+    const bool would_block = n < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+    return n <= 0 && !would_block;
   }
 
-  void WhenCallerGone(std::function<void()> callback) override {
+  void OnCallerDisconnect(std::function<void()> callback) override {
     if (watch_) std::exchange(watch_, nullptr)->Stop();
     if (!callback) return;
     watch_ =
@@ -195,7 +198,7 @@
 
  private:
   template <typename Message>
-  void Fill(Message& out, const ResponseHead& head) {
+  void FillHead(Message& out, const ResponseHead& head) {
     if (leaving_) keep_alive_ = false;
     out.version(version_);
     out.result(static_cast<unsigned>(head.status));
@@ -205,7 +208,7 @@
     out.keep_alive(keep_alive_);
   }
 
-  void Check(const beast::error_code& ec) {
+  void ThrowOnError(const beast::error_code& ec) {
     if (!ec) return;
     keep_alive_ = false;
     throw TransportError("caller: " + ec.message(), true,
@@ -229,7 +232,8 @@
                                    "application/problem+json",
                                    core::ProblemJson(error, request_id));
   if (error.retry_after()) {
-    // The header counts whole seconds; rounding up never invites too early.
+    // The header holds whole seconds. Rounding up avoids retries that come too
+    // early.
     const double seconds =
         std::chrono::duration<double>(*error.retry_after()).count();
     response.head.headers.push_back(
@@ -241,8 +245,8 @@
   return response;
 }
 
-/** @return The typed error that a failed read of a request means, if the
- * sender is still there to be told. */
+/** @return The error to answer after a failed read of a request; nothing if the
+ * caller has closed the connection. */
 std::optional<core::Error> ReadFailure(const beast::error_code& ec) {
   if (ec == beast::http::error::header_limit ||
       ec == beast::http::error::buffer_overflow) {
@@ -289,7 +293,7 @@
   Task<> Session(std::shared_ptr<Connection> connection);
   Task<bool> ServeOne(Connection& connection, beast::flat_buffer& buf);
   Task<> Answer(const Request& request, BeastWriter& writer);
-  Task<> Refuse(Connection& connection, const core::Error& error);
+  Task<> AnswerReadError(Connection& connection, const core::Error& error);
 
   ServerLimits CurrentLimits() {
     const std::lock_guard lock(limits_mutex);
@@ -323,7 +327,8 @@
     const auto [ec] = co_await acceptor.async_accept(socket, kTuple);
     if (stopping) break;
     if (ec) {
-      // Out of descriptors, or a caller that left at once: go on accepting.
+      // Out of file descriptors, or the caller has already closed the
+      // connection: continue to accept.
       co_await core::SleepFor(std::chrono::milliseconds(10));
       continue;
     }
@@ -357,7 +362,8 @@
   connections.erase(connection);
 }
 
-/** @return True if the connection can carry another request. */
+/** Reads and answers one request. @return True if the connection can be used
+ * for another one. */
 Task<bool> Server::State::ServeOne(Connection& connection,
                                    beast::flat_buffer& buf) {
   const ServerLimits now = CurrentLimits();
@@ -384,7 +390,7 @@
   if (ec) {
     const auto failure = ReadFailure(ec);
     if (failure) {
-      co_await Refuse(connection, *failure);
+      co_await AnswerReadError(connection, *failure);
     }
     co_return false;
   }
@@ -397,7 +403,8 @@
   co_return writer.finished() && writer.keep_alive();
 }
 
-/** Runs the handler; a failure before the answer began becomes a problem. */
+/** Runs the handler. An error before the answer has begun is answered as
+ * problem+json. */
 Task<> Server::State::Answer(const Request& request, BeastWriter& writer) {
   std::optional<core::Error> failure;
   try {
@@ -427,21 +434,22 @@
   }
 }
 
-/** Tells a sender that its request could not be read, and waits until it has
- * stopped sending: closing earlier would reset the connection under it. */
-Task<> Server::State::Refuse(Connection& connection, const core::Error& error) {
+/** Answers a request that could not be read with an error, then reads until the
+ * caller stops sending: closing earlier would reset the connection. */
+Task<> Server::State::AnswerReadError(Connection& connection,
+                                      const core::Error& error) {
   constexpr unsigned kHttp11 = 11;
   BeastWriter writer(connection.stream, kHttp11, false, leaving,
                      CurrentLimits().write_timeout);
   co_await writer.Send(ProblemResponse(error, ""));
   beast::error_code ec;
   connection.stream.socket().shutdown(tcp::socket::shutdown_send, ec);
-  connection.stream.expires_after(kLinger);
-  std::array<char, 4096> scrap;
+  connection.stream.expires_after(kLingerTime);
+  std::array<char, 4096> discarded;
   while (!ec) {
     std::size_t n = 0;
-    std::tie(ec, n) =
-        co_await connection.stream.async_read_some(asio::buffer(scrap), kTuple);
+    std::tie(ec, n) = co_await connection.stream.async_read_some(
+        asio::buffer(discarded), kTuple);
   }
 }
 
--- a/src/link/call.cc
+++ b/src/link/call.cc
@@ -1,4 +1,4 @@
-/** @file call.cc The inside of one call on one link. */
+/** @file call.cc State and flow control of one call on a link. */
 #include <utility>
 
 #include "core/clock_base.h"
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** Re-check interval of a blocked sender; it is woken by credit or failure. */
+/** Upper bound of one wait for credit; credit or a failure ends it earlier. */
 constexpr std::chrono::milliseconds kSendRecheck{60'000};
 
 gen::Message CancelMessage() {
@@ -91,7 +91,7 @@
     failure_.emplace(ErrorCode::kCancelled, "call ended here");
   }
   sink_->Push(key_, CancelMessage());
-  sink_->Forget(key_);
+  sink_->RemoveCall(key_);
   changed_.Notify();
 }
 
@@ -132,7 +132,7 @@
     if (failure_) return;
     failure_ = error;
   }
-  sink_->Forget(key_);
+  sink_->RemoveCall(key_);
   changed_.Notify();
 }
 
--- a/src/link/link_type.cc
+++ b/src/link/link_type.cc
@@ -1,4 +1,5 @@
-/** @file link_type.cc Refusals as errors, and names of messages. */
+/** @file link_type.cc Converts between errors and Refusals, and names messages.
+ */
 #include <array>
 #include <string_view>
 
@@ -68,7 +69,7 @@
 VersionHooks NoVersions() {
   VersionHooks hooks;
   hooks.current = [] { return std::int64_t{0}; };
-  hooks.newer_seen = [](const std::shared_ptr<Link>&, std::int64_t) {};
+  hooks.on_newer_version = [](const std::shared_ptr<Link>&, std::int64_t) {};
   return hooks;
 }
 
--- a/src/serving/dispatcher.cc
+++ b/src/serving/dispatcher.cc
@@ -62,12 +62,12 @@
 class DisconnectWatch {
  public:
   explicit DisconnectWatch(CallerConnection& caller) : caller_(caller) {
-    caller.writer.WhenCallerGone([&caller] {
+    caller.writer.OnCallerDisconnect([&caller] {
       caller.left = true;
       if (caller.abort) caller.abort->Now();
     });
   }
-  ~DisconnectWatch() { caller_.writer.WhenCallerGone({}); }
+  ~DisconnectWatch() { caller_.writer.OnCallerDisconnect({}); }
   DisconnectWatch(const DisconnectWatch&) = delete;
   DisconnectWatch& operator=(const DisconnectWatch&) = delete;
 
