--- a/src/core/address.cc
+++ b/src/core/address.cc
@@ -1,4 +1,4 @@
-/** @file address.cc "ip:port" texts and listening sockets. */
+/** @file address.cc Addresses, socket options, atomic file writes. */
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 #include <sys/socket.h>
@@ -75,7 +75,8 @@
   constexpr int kProbes = 2;
   constexpr unsigned kUnacknowledgedMs = 3000;
   const int fd = socket.native_handle();
-  // A socket that can't take an option still serves; it only fails later.
+  // Errors are ignored: without an option the socket works, but detects a dead
+  // peer later.
   ::setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &kOn, sizeof kOn);
   ::setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &kIdleSeconds,
                sizeof kIdleSeconds);
--- a/src/core/address_func.h
+++ b/src/core/address_func.h
@@ -1,4 +1,4 @@
-/** @file address_func.h "ip:port" texts and listening sockets. */
+/** @file address_func.h Addresses, socket options, atomic file writes. */
 #ifndef SAPPHIRE_CORE_ADDRESS_FUNC_H_
 #define SAPPHIRE_CORE_ADDRESS_FUNC_H_
 
@@ -8,14 +8,14 @@
 namespace sapphire::core {
 
 /**
- * @param address "ip:port"; IPv6 in brackets. Names are not looked up.
+ * @param address "ip:port", IPv6 in brackets. Host names are not resolved.
  * @throws Error kBadSettings
  */
 boost::asio::ip::tcp::endpoint ParseAddress(const std::string& address);
 
 /**
- * Opens, binds and listens; port 0 takes a free one.
- * @throws Error kBadSettings if the address is taken or can't be bound.
+ * Opens, binds and listens; port 0 picks a free port.
+ * @throws Error kBadSettings if the address is in use or can't be bound.
  */
 void ListenOn(boost::asio::ip::tcp::acceptor& acceptor,
               const std::string& address);
@@ -24,13 +24,13 @@
 std::string AddressText(const boost::asio::ip::tcp::acceptor& acceptor);
 
 /**
- * Makes the kernel end a connection whose peer is gone without a word (power
- * lost, network cut): unacknowledged bytes or keep-alive probes fail it after
- * about three seconds. Without it a read on such a connection waits for good.
+ * Makes the kernel close a connection whose peer vanished without closing it
+ * (power loss, network failure): unacknowledged data or keep-alive probes time
+ * out after about three seconds. Otherwise a read would wait forever.
  */
 void NoticeDeadPeer(boost::asio::ip::tcp::socket& socket);
 
-/** Writes `text` to a file in one step (rename): a reader never sees a part.
+/** Replaces a file atomically (by rename): readers never see a partial file.
  * @throws Error kBadSettings */
 void WriteFileAtomically(const std::string& path, const std::string& text);
 
--- a/src/core/clock_base.h
+++ b/src/core/clock_base.h
@@ -1,4 +1,4 @@
-/** @file clock_base.h The clock every time-dependent object is given. */
+/** @file clock_base.h Clock interface, system clock and test clock. */
 #ifndef SAPPHIRE_CORE_CLOCK_BASE_H_
 #define SAPPHIRE_CORE_CLOCK_BASE_H_
 
@@ -13,7 +13,7 @@
 using WallTime = std::chrono::system_clock::time_point;
 using Millis = std::chrono::milliseconds;
 
-/** Source of time. Passed in, so that tests decide what time it is. */
+/** Source of time, injected so that tests control it. */
 class Clock {
  public:
   virtual ~Clock() = default;
@@ -21,15 +21,15 @@
   /** @return Monotonic time: for timeouts and durations. */
   [[nodiscard]] virtual SteadyTime Now() const = 0;
 
-  /** @return Wall time: for log lines and values kept in the platform only. */
+  /** @return Wall time: only for log lines and values kept in the platform. */
   [[nodiscard]] virtual WallTime WallNow() const = 0;
 };
 
-/** The machine's clocks. */
+/** The clocks of the operating system. */
 class SystemClock final : public Clock {
  public:
-  /** Counts the time for which the machine was suspended, which the steady
-   * clock of the library leaves out: leases end meanwhile. */
+  /** Includes the time for which the machine was suspended, unlike
+   * std::chrono::steady_clock: leases expire meanwhile. */
   [[nodiscard]] SteadyTime Now() const override {
     timespec now{};
     clock_gettime(CLOCK_BOOTTIME, &now);
@@ -41,7 +41,7 @@
   }
 };
 
-/** A clock that stands still until it is told to move. */
+/** A clock that only changes when it is advanced. */
 class ManualClock final : public Clock {
  public:
   [[nodiscard]] SteadyTime Now() const override {
@@ -51,7 +51,7 @@
     return WallTime(std::chrono::nanoseconds(nanos_.load()));
   }
 
-  /** Moves both times forward. */
+  /** Advances the monotonic and the wall time. */
   void Advance(std::chrono::nanoseconds by) { nanos_ += by.count(); }
 
  private:
--- a/src/core/command_line.cc
+++ b/src/core/command_line.cc
@@ -1,4 +1,4 @@
-/** @file command_line.cc The command line every daemon shares. */
+/** @file command_line.cc Command line shared by all daemons. */
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
--- a/src/core/daemon.cc
+++ b/src/core/daemon.cc
@@ -1,4 +1,4 @@
-/** @file daemon.cc What the main functions of the daemons share. */
+/** @file daemon.cc Startup code shared by the daemons. */
 #include <fmt/format.h>
 
 #include <cstdio>
--- a/src/core/daemon_func.h
+++ b/src/core/daemon_func.h
@@ -1,4 +1,4 @@
-/** @file daemon_func.h What the main functions of the daemons share. */
+/** @file daemon_func.h Startup code shared by the daemons. */
 #ifndef SAPPHIRE_CORE_DAEMON_FUNC_H_
 #define SAPPHIRE_CORE_DAEMON_FUNC_H_
 
@@ -16,7 +16,7 @@
 
 /** Exit codes of the daemons. */
 constexpr int kExitBadSettings = 2;
-/** Left with something still in progress after the drain limit. */
+/** Ended while work was still in progress after the drain timeout. */
 constexpr int kExitUnfinished = 3;
 
 struct DaemonInfo {
@@ -32,7 +32,7 @@
 using DaemonBody =
     std::function<int(const Settings&, const Logger&, const Clock&)>;
 
-/** What a daemon that takes over changed settings is given. */
+/** Dependencies of a daemon that reloads changed settings. */
 struct DaemonSetup {
   const Settings& settings;
   /** Reads the settings file again. @throws Error kBadSettings */
@@ -41,22 +41,22 @@
   const Clock& clock;
 };
 
-/** As DaemonBody. */
+/** Like DaemonBody, for a daemon that reloads changed settings. */
 using ReloadingBody = std::function<int(const DaemonSetup&)>;
 
 /**
- * Reads the command line and the settings, makes clock and logger, and runs the
- * body. Bad settings, also those found when ports are opened, are printed.
+ * Reads the command line and the settings, creates clock and logger, and runs
+ * the body. Invalid settings and ports that can't be opened are printed.
  * @return The exit code of the program.
  */
 int RunDaemon(int argc, char** argv, const DaemonInfo& info,
               const DaemonBody& body);
 
-/** The same for a daemon that takes over changed settings. */
+/** Like RunDaemon, for a daemon that reloads changed settings. */
 int RunReloadingDaemon(int argc, char** argv, const DaemonInfo& info,
                        const ReloadingBody& body);
 
-/** Runs the context on `threads` threads, this one included, until it stops. */
+/** Runs the context on `threads` threads, including this one, until stopped. */
 void RunOnThreads(boost::asio::io_context& context, std::int64_t threads);
 
 }  // namespace sapphire::core
--- a/src/core/error_type.h
+++ b/src/core/error_type.h
@@ -1,4 +1,4 @@
-/** @file error_type.h Every failure's type, and what a caller is told of it. */
+/** @file error_type.h Error codes, the Error exception and error responses. */
 #ifndef SAPPHIRE_CORE_ERROR_TYPE_H_
 #define SAPPHIRE_CORE_ERROR_TYPE_H_
 
@@ -10,7 +10,7 @@
 
 namespace sapphire::core {
 
-/** What went wrong. The table in error.cc gives each its name and meaning. */
+/** Error codes. The table in error.cc has the name and meaning of each. */
 enum class ErrorCode {
   // Bad input.
   kMalformedRequest,
@@ -42,7 +42,7 @@
   kAttemptVoided,
   kInProgress,
   kOverMemory,
-  // Failures in between.
+  // Failures during processing.
   kLoadFailed,
   kEngineCrashed,
   kEngineRefusedOrder,
@@ -69,9 +69,9 @@
 /** One row of the error table. */
 struct ErrorInfo {
   ErrorCode code;
-  std::string_view name;  ///< Stable, for wires, logs and metrics.
+  std::string_view name;  ///< Stable; used on the wire, in logs and metrics.
   int http_status;
-  Outcome outcome;  ///< Unless the error itself says otherwise.
+  Outcome outcome;  ///< Default; Error::WithOutcome overrides it.
   std::string_view title;
 };
 
@@ -81,13 +81,13 @@
 /** @return The code with this stable name; kInternal if there is none. */
 ErrorCode CodeNamed(std::string_view name);
 
-/** The one exception type that crosses module borders. */
+/** The only exception type that crosses module boundaries. */
 class Error : public std::runtime_error {
  public:
   /**
-   * @param code What went wrong.
-   * @param detail For a person; names the field at fault where there is one.
-   * @param retry_after When a retry can help; nothing if it can't.
+   * @param code Kind of the error.
+   * @param detail Human-readable; names the invalid field, if there is one.
+   * @param retry_after Time until a retry may succeed; empty if none can.
    */
   explicit Error(
       ErrorCode code, const std::string& detail = {},
@@ -100,7 +100,7 @@
   }
   [[nodiscard]] Outcome outcome() const { return outcome_; }
 
-  /** @return The same error with a stronger or weaker outcome. */
+  /** @return A copy of this error with another outcome. */
   [[nodiscard]] Error WithOutcome(Outcome outcome) const;
 
  private:
@@ -110,7 +110,7 @@
   Outcome outcome_;
 };
 
-/** @return The body of an `application/problem+json` answer (RFC 9457). */
+/** @return The body of an `application/problem+json` response (RFC 9457). */
 std::string ProblemJson(const Error& error, std::string_view request_id);
 
 }  // namespace sapphire::core
--- a/src/core/id_type.h
+++ b/src/core/id_type.h
@@ -1,4 +1,4 @@
-/** @file id_type.h Strong identifier types: one per kind of thing. */
+/** @file id_type.h Strong identifier types, one for each kind of object. */
 #ifndef SAPPHIRE_CORE_ID_TYPE_H_
 #define SAPPHIRE_CORE_ID_TYPE_H_
 
@@ -9,7 +9,7 @@
 
 namespace sapphire::core {
 
-/** A string that can't be mistaken for an identifier of another kind. */
+/** A string that does not convert to an identifier of another kind. */
 template <typename Tag>
 class StrongId {
  public:
@@ -31,7 +31,7 @@
 
 using VmId = StrongId<struct VmTag>;
 using ZoneId = StrongId<struct ZoneTag>;
-/** An endpoint is named by the VM it stands on. */
+/** The name of the VM that the endpoint runs on. */
 using EndpointId = StrongId<struct EndpointTag>;
 using ServiceId = StrongId<struct ServiceTag>;
 using ModelId = StrongId<struct ModelTag>;
--- a/src/core/log.cc
+++ b/src/core/log.cc
@@ -1,4 +1,4 @@
-/** @file log.cc One key=value line an event, to standard output. */
+/** @file log.cc Event log: one line of key=value fields per event. */
 #include <fmt/chrono.h>
 #include <unistd.h>
 
@@ -19,7 +19,7 @@
     "process", "request",  "replica", "ledger", "config",
     "link",    "platform", "admin",   "fault"};
 
-/** Lines that wait for a slow reader: some seconds of a busy process. */
+/** Buffer size in bytes: some seconds of log lines of a busy process. */
 constexpr std::size_t kMaxWaiting = 256 * 1024;
 
 bool NeedsQuotes(std::string_view value) {
--- a/src/core/log_base.h
+++ b/src/core/log_base.h
@@ -1,4 +1,4 @@
-/** @file log_base.h One key=value line an event, to standard output. */
+/** @file log_base.h Event log: one line of key=value fields per event. */
 #ifndef SAPPHIRE_CORE_LOG_BASE_H_
 #define SAPPHIRE_CORE_LOG_BASE_H_
 
@@ -46,7 +46,7 @@
   std::string value;
 };
 
-/** Who writes the lines. */
+/** The process that writes the log; part of every line. */
 struct LogIdentity {
   std::string process;
   VmId vm;
@@ -55,17 +55,17 @@
 
 inline constexpr int kStandardOutput = 1;
 
-/** Writes events; safe to use from several threads. */
+/** Writes events. Thread-safe. */
 class Logger {
  public:
   /**
-   * @param fd Where lines go; see LogSink.
+   * @param fd Descriptor to write to; see LogSink.
    * @pre `clock` outlives it.
    */
   Logger(LogIdentity identity, LogLevel threshold, const Clock& clock,
          int fd = kStandardOutput);
 
-  /** @return What was written and dropped so far. */
+  /** @return Counts of what was written and dropped so far. */
   [[nodiscard]] LogSinkCounters counters() const { return sink_->counters(); }
 
   /** Changes the level below which events are not written. */
--- a/src/core/log_sink.cc
+++ b/src/core/log_sink.cc
@@ -1,4 +1,4 @@
-/** @file log_sink.cc Where log lines go, without ever waiting. */
+/** @file log_sink.cc Writes log lines without blocking. */
 #include <fmt/format.h>
 #include <poll.h>
 #include <unistd.h>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/** A pipe that is ready for writing takes this many bytes without waiting. */
+/** A pipe that polls as writable accepts this many bytes without blocking. */
 constexpr std::size_t kReadyBytes = PIPE_BUF;
 
 bool ReadyNow(int fd) {
@@ -60,7 +60,7 @@
   while (written < waiting_.size() && ReadyNow(fd_)) {
     const std::size_t size = std::min(waiting_.size() - written, kReadyBytes);
     const auto n = ::write(fd_, waiting_.data() + written, size);
-    // A reader that is gone for good: lines are dropped as they find no room.
+    // The reader closed the pipe: lines are dropped once the buffer is full.
     if (n <= 0) break;
     written += static_cast<std::size_t>(n);
   }
--- a/src/core/log_sink_base.h
+++ b/src/core/log_sink_base.h
@@ -1,4 +1,4 @@
-/** @file log_sink_base.h Where log lines go, without ever waiting. */
+/** @file log_sink_base.h Writes log lines without blocking. */
 #ifndef SAPPHIRE_CORE_LOG_SINK_BASE_H_
 #define SAPPHIRE_CORE_LOG_SINK_BASE_H_
 
@@ -13,30 +13,30 @@
 struct LogSinkCounters {
   std::int64_t lines = 0;
   std::int64_t bytes = 0;
-  /** Lines that had no room. */
+  /** Lines that did not fit into the buffer. */
   std::int64_t dropped = 0;
 };
 
 /**
- * Writes lines to a descriptor as far as it takes them at once.
+ * Writes lines to a descriptor without blocking. Thread-safe.
  *
- * The failure met: whoever reads standard output stops reading; the pipe fills
- * up, and the next write would stop the process in the middle of a request.
- * What does not go out now waits in a bounded buffer; what has no room there is
- * dropped, and a line says how many were. Safe to use from several threads.
+ * If the reader of standard output stops reading, the pipe fills up, and a
+ * blocking write would stop the process in the middle of a request. Lines that
+ * can't be written at once are kept in a bounded buffer; lines that don't fit
+ * are dropped, and a later line reports their number.
  */
 class LogSink {
  public:
-  /** @param fd Stays open. @param max_waiting Bytes that may wait. */
+  /** @param fd Never closed. @param max_waiting Size of the buffer, bytes. */
   LogSink(int fd, std::size_t max_waiting);
-  /** Tries once more to write what waits. */
+  /** Tries once more to write the buffered lines. */
   ~LogSink();
 
   LogSink(const LogSink&) = delete;
   LogSink& operator=(const LogSink&) = delete;
 
-  /** Takes one line with its end. @param prefix What a line about dropped ones
-   * begins with. */
+  /** Writes a line that ends in a newline. @param prefix First fields of the
+   * line that reports dropped lines, if one is due. */
   void Write(std::string_view line, std::string_view prefix);
 
   [[nodiscard]] LogSinkCounters counters() const;
@@ -49,7 +49,7 @@
   const std::size_t max_waiting_;
   mutable std::mutex mutex_;
   std::string waiting_;
-  /** Dropped since the last line that said so. */
+  /** Dropped lines that were not reported yet. */
   std::int64_t unsaid_ = 0;
   LogSinkCounters counters_;
 };
--- a/src/core/log_sink_test.cc
+++ b/src/core/log_sink_test.cc
@@ -1,4 +1,4 @@
-/** @file log_sink_test.cc Tests of log lines that nobody reads. */
+/** @file log_sink_test.cc Tests of log output whose reader stops reading. */
 #define BOOST_TEST_MODULE log_sink
 #include <fcntl.h>
 #include <unistd.h>
@@ -16,7 +16,7 @@
 
 constexpr std::size_t kMaxWaiting = 64 * 1024;
 
-/** A pipe whose reader can be left alone. */
+/** A pipe that is only read by ReadAll(). */
 struct Pipe {
   Pipe() { BOOST_REQUIRE_EQUAL(::pipe(ends.data()), 0); }
   ~Pipe() {
@@ -24,7 +24,7 @@
     ::close(ends[1]);
   }
 
-  /** @return Everything that is there now. */
+  /** @return All data that can be read without blocking. */
   std::string ReadAll() {
     ::fcntl(ends[0], F_SETFL, O_NONBLOCK);
     std::string text;
@@ -49,9 +49,9 @@
 }
 
 /**
- * Callers get no answers any more: the log collector has stopped reading, the
- * pipe is full, and the process waits in the middle of a request.
- * Under load lines are dropped instead, and a later line says how many.
+ * Guards against a process that blocks in the middle of a request because the
+ * log collector has stopped reading and the pipe is full. Lines are dropped
+ * instead, and a later line reports how many.
  */
 BOOST_AUTO_TEST_CASE(AReaderThatStopsReadingHoldsUpNobody) {
   constexpr int kLines = 20'000;
--- a/src/core/metric_family_func.h
+++ b/src/core/metric_family_func.h
@@ -1,4 +1,4 @@
-/** @file metric_family_func.h Families of metrics, each registered in one line.
+/** @file metric_family_func.h Helpers that register and update metrics.
  */
 #ifndef SAPPHIRE_CORE_METRIC_FAMILY_FUNC_H_
 #define SAPPHIRE_CORE_METRIC_FAMILY_FUNC_H_
--- a/src/core/random_func.h
+++ b/src/core/random_func.h
@@ -8,13 +8,13 @@
 
 namespace sapphire::core {
 
-/** @return 16 random hexadecimal digits from the operating system's source. */
+/** @return 16 hexadecimal digits from the operating system's random source. */
 std::string RandomHexId();
 
 /** @return A random positive 63-bit number, never 0. */
 std::int64_t RandomPositive();
 
-/** @return xxHash64 of the bytes; stable over processes and versions. */
+/** @return xxHash64 of the bytes; the same in all processes and versions. */
 std::uint64_t HashOf(std::string_view bytes, std::uint64_t seed = 0);
 
 /** @return The hash as 16 hexadecimal digits. */
--- a/src/core/settings.cc
+++ b/src/core/settings.cc
@@ -1,4 +1,4 @@
-/** @file settings.cc Reads and documents settings by their table. */
+/** @file settings.cc Reads and documents the settings of a table. */
 #include <fmt/format.h>
 #include <toml++/toml.h>
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Where a bad setting stands. */
+/** Throws an error that names the file, line and key. */
 [[noreturn]] void Fail(std::string_view file, const toml::source_region& at,
                        std::string_view key, std::string_view what) {
   throw Error(ErrorCode::kBadSettings,
--- a/src/core/settings_func.h
+++ b/src/core/settings_func.h
@@ -1,4 +1,4 @@
-/** @file settings_func.h Reads and documents settings by their table. */
+/** @file settings_func.h Reads and documents the settings of a table. */
 #ifndef SAPPHIRE_CORE_SETTINGS_FUNC_H_
 #define SAPPHIRE_CORE_SETTINGS_FUNC_H_
 
@@ -11,19 +11,19 @@
 namespace sapphire::core {
 
 /**
- * Reads a TOML text by a table.
+ * Parses a TOML text according to a settings table.
  * @param table Every setting the program knows.
  * @param toml The text.
- * @param file_name For messages.
+ * @param file_name Used in error messages.
  * @return A value for every row.
- * @throws Error kBadSettings naming file, line and key: for text that is no
- *   TOML, an unknown key, a missing required key, a wrong type, a value out of
+ * @throws Error kBadSettings naming file, line and key: for invalid TOML, an
+ *   unknown key, a missing required key, a wrong type, or a value out of
  *   range.
  */
 Settings ParseSettings(std::span<const SettingDef> table, std::string_view toml,
                        std::string_view file_name);
 
-/** Reads a settings file by a table. @throws Error kBadSettings */
+/** Like ParseSettings, for a file. @throws Error kBadSettings */
 Settings ReadSettings(std::span<const SettingDef> table,
                       const std::string& path);
 
@@ -31,9 +31,9 @@
 std::string SettingsReference(std::span<const SettingDef> table);
 
 /**
- * The whole command line of a daemon: `--config FILE`, `--check-config`,
- * `--settings-reference`, `--help`. Bad settings are printed to standard error
- * and give exit code 2, before anything else happens.
+ * Parses the command line of a daemon: `--config FILE`, `--check-config`,
+ * `--settings-reference`, `--help`. Invalid settings are reported on standard
+ * error with exit code 2 before anything else happens.
  */
 CommandLine ParseCommandLine(int argc, char** argv, std::string_view purpose,
                              std::span<const SettingDef> table);
--- a/src/core/settings_test.cc
+++ b/src/core/settings_test.cc
@@ -1,4 +1,4 @@
-/** @file settings_test.cc Settings are checked against their table. */
+/** @file settings_test.cc Tests of reading settings according to a table. */
 #define BOOST_TEST_MODULE settings
 #include <boost/test/unit_test.hpp>
 
--- a/src/core/settings_type.h
+++ b/src/core/settings_type.h
@@ -1,4 +1,4 @@
-/** @file settings_type.h The declarative table of a program's settings. */
+/** @file settings_type.h Table of a program's settings, and their values. */
 #ifndef SAPPHIRE_CORE_SETTINGS_TYPE_H_
 #define SAPPHIRE_CORE_SETTINGS_TYPE_H_
 
@@ -24,16 +24,16 @@
 struct SettingDef {
   std::string_view name;
   SettingType type;
-  /** As it would stand in the TOML file; empty: the setting is required. */
+  /** Default as written in the TOML file; empty: the setting is required. */
   std::string_view default_toml;
-  /** "ms", "bytes", "1/s" and the like; empty for a bare value. */
+  /** Such as "ms", "bytes" or "1/s"; empty for a value without a unit. */
   std::string_view unit;
   double min = std::numeric_limits<double>::lowest();
   double max = std::numeric_limits<double>::max();
   std::string_view help;
 };
 
-/** Checked values of every row of a table. */
+/** Validated values of all settings of a table. */
 class Settings {
  public:
   explicit Settings(std::map<std::string, SettingValue, std::less<>> values)
@@ -48,7 +48,7 @@
       std::string_view name) const;
   friend bool operator==(const Settings&, const Settings&) = default;
 
-  /** @return The names whose values differ. @pre Both are of one table. */
+  /** @return Names whose values differ. @pre Both have the same table. */
   [[nodiscard]] std::vector<std::string> Changes(const Settings& other) const;
 
   /** @pre The row's unit is "ms". */
@@ -58,12 +58,12 @@
   std::map<std::string, SettingValue, std::less<>> values_;
 };
 
-/** What the command line asked for. */
+/** Result of parsing the command line. */
 struct CommandLine {
-  /** Set if the program has to end now, with this exit code. */
+  /** Set if the program must exit at once, with this code. */
   std::optional<int> exit_code;
   std::optional<Settings> settings;
-  /** The settings file. */
+  /** Path of the settings file. */
   std::string path;
 };
 
--- a/src/core/settings_watch.cc
+++ b/src/core/settings_watch.cc
@@ -1,4 +1,4 @@
-/** @file settings_watch.cc Takes over a changed settings file. */
+/** @file settings_watch.cc Reloads the settings when their file changes. */
 #include <fmt/ranges.h>
 
 #include <csignal>
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** A file that changed without a signal is in force this much later. */
+/** Longest delay until a file that changed without a signal is applied. */
 constexpr std::chrono::seconds kLookInterval{5};
 
 }  // namespace
--- a/src/core/settings_watch_base.h
+++ b/src/core/settings_watch_base.h
@@ -1,4 +1,4 @@
-/** @file settings_watch_base.h Takes over a changed settings file. */
+/** @file settings_watch_base.h Reloads the settings when their file changes. */
 #ifndef SAPPHIRE_CORE_SETTINGS_WATCH_BASE_H_
 #define SAPPHIRE_CORE_SETTINGS_WATCH_BASE_H_
 
@@ -14,16 +14,16 @@
 namespace sapphire::core {
 
 /**
- * Reads the settings again on SIGHUP, and now and then without one, as files
- * may change without a signal. Settings that can't be used are logged and
- * change nothing. Without it SIGHUP would end the process and cut every answer
- * in progress.
+ * Reloads the settings on SIGHUP, and periodically because the file may change
+ * without a signal. Invalid settings are logged and change nothing.
+ * Without a handler, SIGHUP would end the process and cut every answer in
+ * progress.
  */
 class SettingsWatch {
  public:
-  /** @throws Error for settings that can't be used. */
+  /** Reads the settings. @throws Error if they are invalid. */
   using Read = std::function<Settings()>;
-  /** Puts new settings in force, as far as that goes without a restart. */
+  /** Applies new settings, as far as possible without a restart. */
   using Apply = std::function<void(const Settings&)>;
 
   /** @pre `context` and `log` outlive it. */
--- a/src/core/settings_watch_test.cc
+++ b/src/core/settings_watch_test.cc
@@ -1,5 +1,4 @@
-/** @file settings_watch_test.cc Tests of taking over a changed settings file.
- */
+/** @file settings_watch_test.cc Tests of reloading a changed settings file. */
 #define BOOST_TEST_MODULE settings_watch
 #include <array>
 #include <boost/asio/io_context.hpp>
@@ -20,8 +19,8 @@
 }  // namespace
 
 /**
- * A caller's answer is cut in the middle: SIGHUP says that the settings file
- * has changed, and a process that does not expect it ends at once.
+ * Guards against answers that are cut because SIGHUP, sent after a change of
+ * the settings file, ends a process that does not handle it.
  */
 BOOST_AUTO_TEST_CASE(ASignalReadsTheFileAndBadSettingsChangeNothing) {
   boost::asio::io_context io;
--- a/src/core/signal.cc
+++ b/src/core/signal.cc
@@ -12,7 +12,7 @@
 
 namespace asio = boost::asio;
 
-/** One suspended coroutine; its timer is touched on its own strand only. */
+/** One suspended coroutine; its timer is only accessed on its own strand. */
 struct Signal::Waiter {
   explicit Waiter(const Executor& executor)
       : strand(executor), timer(executor) {}
@@ -47,8 +47,8 @@
     if (epoch_ != seen) co_return true;
     waiters_.push_back(waiter);
   }
-  // Between here and the suspension this coroutine holds its strand, so the
-  // cancel that Notify posts to the strand can't come before the wait.
+  // This coroutine occupies its strand until it suspends, so the cancel that
+  // Notify posts to the strand can't run before the wait has started.
   co_await waiter->timer.async_wait(asio::as_tuple(asio::use_awaitable));
   const std::lock_guard lock(mutex_);
   std::erase(waiters_, waiter);
--- a/src/core/signal_base.h
+++ b/src/core/signal_base.h
@@ -14,19 +14,19 @@
 
 /**
  * Wakes coroutines on any thread. A waiter reads the epoch, checks its
- * condition under its own lock, then waits for the epoch to move on: a
+ * condition under its own lock, then waits for the epoch to change: a
  * notification between the check and the wait is not missed.
  */
 class Signal {
  public:
   [[nodiscard]] std::uint64_t epoch() const;
 
-  /** Moves the epoch on and wakes every waiter. Any thread. */
+  /** Increments the epoch and wakes every waiter. Thread-safe. */
   void Notify();
 
   /**
    * Waits until the epoch differs from `seen`, or until `timeout`.
-   * @return True if the epoch moved.
+   * @return True if the epoch changed.
    * @pre The calling coroutine runs on a strand.
    */
   Task<bool> Wait(std::uint64_t seen, std::chrono::milliseconds timeout);
--- a/src/core/stall_watch.cc
+++ b/src/core/stall_watch.cc
@@ -1,4 +1,4 @@
-/** @file stall_watch.cc Tells of work that holds up a thread's sockets. */
+/** @file stall_watch.cc Reports work that blocks a thread's sockets. */
 #include <utility>
 
 #include "core/stall_watch_base.h"
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Between two log lines. */
+/** Shortest time between two log lines. */
 constexpr std::chrono::milliseconds kLogPause{1000};
 
 }  // namespace
--- a/src/core/stall_watch_base.h
+++ b/src/core/stall_watch_base.h
@@ -1,4 +1,4 @@
-/** @file stall_watch_base.h Tells of work that holds up a thread's sockets. */
+/** @file stall_watch_base.h Reports work that blocks a thread's sockets. */
 #ifndef SAPPHIRE_CORE_STALL_WATCH_BASE_H_
 #define SAPPHIRE_CORE_STALL_WATCH_BASE_H_
 
@@ -14,19 +14,19 @@
 namespace sapphire::core {
 
 /**
- * Measures work on a thread that also serves sockets: while it goes on, no
- * event of any stream is passed on. One thread.
+ * Measures work on a thread that also serves sockets: no event of any stream
+ * is relayed while it runs. Not thread-safe.
  */
 class StallWatch {
  public:
-  /** Work that takes as long is told of: with a fifth of a core it is 25 ms of
-   * the time of day, a fifth of the delay that makes an event late. */
+  /** Shortest stall that is reported. With a fifth of a core it is 25 ms of
+   * wall time, a fifth of the delay that makes an event late. */
   static constexpr std::chrono::milliseconds kLeast{5};
 
   using Observe =
       std::function<void(std::string_view work, std::chrono::milliseconds)>;
 
-  /** Measures from its construction to its end. */
+  /** Measures the time from its construction to its destruction. */
   class Span {
    public:
     Span(StallWatch& watch, std::string_view work)
@@ -47,10 +47,10 @@
    */
   StallWatch(Observe observe, const Clock& clock, const Logger& log);
 
-  /** Work took this long, or a timer fired this late. */
+  /** Records that work took this long, or that a timer fired this late. */
   void Note(std::string_view work, std::chrono::milliseconds took);
 
-  /** @return Stalls so far. */
+  /** @return The number of stalls so far. */
   [[nodiscard]] std::int64_t stalls() const { return stalls_; }
 
  private:
--- a/src/core/stall_watch_test.cc
+++ b/src/core/stall_watch_test.cc
@@ -1,4 +1,4 @@
-/** @file stall_watch_test.cc Tests of how stalls of a thread are told. */
+/** @file stall_watch_test.cc Tests of how stalls of a thread are reported. */
 #define BOOST_TEST_MODULE stall_watch
 #include <unistd.h>
 
@@ -37,9 +37,9 @@
 }  // namespace
 
 /**
- * Callers' streams pause and no line says why.
- * The entry's thread reads a large configuration meanwhile. Each stall is
- * counted with what it was; the log keeps to one line a second.
+ * Guards against pauses in callers' streams that no log line explains, such as
+ * while the entry's thread reads a large configuration. Each stall is counted
+ * with the work that caused it; the log has at most one line per second.
  */
 BOOST_AUTO_TEST_CASE(WorkThatHoldsUpSocketsIsTold) {
   std::array<int, 2> ends{};
--- a/src/core/task.cc
+++ b/src/core/task.cc
@@ -1,4 +1,4 @@
-/** @file task.cc Sleeping and spawning in coroutines. */
+/** @file task.cc Sleeping in coroutines and starting them. */
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/detached.hpp>
 #include <boost/asio/post.hpp>
@@ -37,8 +37,8 @@
 
 void Spawn(const Executor& executor, const Logger& log, std::string_view name,
            std::function<Task<>()> task) {
-  // Posted, as co_spawn may run the first step inline: under a lock that the
-  // caller holds.
+  // Posted because co_spawn may run the first step inline, under a lock that
+  // the caller holds.
   const auto strand = asio::make_strand(executor);
   asio::post(strand, [strand, &log, name = std::string(name),
                       task = std::move(task)]() mutable {
--- a/src/core/task_func.h
+++ b/src/core/task_func.h
@@ -1,4 +1,4 @@
-/** @file task_func.h Sleeping and spawning in coroutines. */
+/** @file task_func.h Sleeping in coroutines and starting them. */
 #ifndef SAPPHIRE_CORE_TASK_FUNC_H_
 #define SAPPHIRE_CORE_TASK_FUNC_H_
 
@@ -14,8 +14,8 @@
 Task<> SleepFor(std::chrono::milliseconds duration);
 
 /**
- * Runs a coroutine on a strand of its own, never before returning. What it
- * throws is logged as event `task_failed` with the task's name; it never ends
+ * Starts a coroutine on its own strand, never inline. An exception that it
+ * throws is logged as event `task_failed` with the task's name and never ends
  * the process.
  */
 void Spawn(const Executor& executor, const Logger& log, std::string_view name,
--- a/src/core/task_type.h
+++ b/src/core/task_type.h
@@ -1,4 +1,4 @@
-/** @file task_type.h Short names for the Asio pieces used everywhere. */
+/** @file task_type.h Short names for common Asio types. */
 #ifndef SAPPHIRE_CORE_TASK_TYPE_H_
 #define SAPPHIRE_CORE_TASK_TYPE_H_
 
@@ -7,7 +7,7 @@
 
 namespace sapphire::core {
 
-/** A coroutine that gives a T. */
+/** A coroutine that returns a T. */
 template <typename T = void>
 using Task = boost::asio::awaitable<T>;
 
