--- a/src/contract/byte_size.cc
+++ b/src/contract/byte_size.cc
@@ -1,4 +1,4 @@
-/** @file byte_size.cc Sizes in bytes as people write them. */
+/** @file byte_size.cc Parses and formats byte sizes such as "8 GiB". */
 #include <fmt/format.h>
 
 #include <array>
@@ -16,7 +16,7 @@
   std::int64_t bytes;
 };
 
-/** Ascending: FormatByteSize takes the last that divides. */
+/** Ascending: FormatByteSize uses the last unit that divides the size. */
 constexpr std::array kUnits = {
     Unit{"B", 1},           Unit{"KB", 1'000},
     Unit{"KiB", 1LL << 10}, Unit{"MB", 1'000'000},
@@ -25,7 +25,7 @@
     Unit{"TiB", 1LL << 40},
 };
 
-/** Beyond this a double no longer holds every whole number. */
+/** Above this a double can't represent every integer. */
 constexpr double kMaxBytes = 9e15;
 
 const Unit* FindUnit(std::string_view name) {
--- a/src/contract/byte_size_func.h
+++ b/src/contract/byte_size_func.h
@@ -1,4 +1,4 @@
-/** @file byte_size_func.h Sizes in bytes as people write them. */
+/** @file byte_size_func.h Parses and formats byte sizes such as "8 GiB". */
 #ifndef SAPPHIRE_CONTRACT_BYTE_SIZE_FUNC_H_
 #define SAPPHIRE_CONTRACT_BYTE_SIZE_FUNC_H_
 
@@ -10,7 +10,7 @@
 namespace sapphire::contract {
 
 /** @return The bytes of a text like "8 GiB", "1.5 GB" or "300 B"; nothing if
- * it is no such text. */
+ * the text is invalid. */
 std::optional<std::int64_t> ParseByteSize(std::string_view text);
 
 /** @return The size with the largest unit that gives a whole number. */
--- a/src/contract/config_base.h
+++ b/src/contract/config_base.h
@@ -12,20 +12,20 @@
 
 namespace sapphire::contract {
 
-/** Holds the newest configuration seen; its version never goes down. */
+/** Holds the newest known configuration; its version never decreases. */
 class ConfigHolder {
  public:
-  /** @return What is in force; a null pointer before the first. */
+  /** @return The configuration in force; null before the first. */
   [[nodiscard]] std::shared_ptr<const Config> Current() const;
 
   /** @return The version in force, 0 before the first. */
   [[nodiscard]] std::int64_t version() const;
 
   /**
-   * Puts a configuration in force unless one as new already is. This is the
-   * only way in, so an older version shown by a lagging or restarted source
-   * can't come into force again.
-   * @return True if it came into force.
+   * Replaces the configuration in force if `config` is newer. This is the only
+   * way to change it, so an older version that a lagging or restarted source
+   * sends can't come into force again.
+   * @return True if `config` came into force.
    */
   bool Adopt(Config config);
 
--- a/src/contract/config_codec.cc
+++ b/src/contract/config_codec.cc
@@ -1,4 +1,4 @@
-/** @file config_codec.cc A configuration as small content-addressed parts. */
+/** @file config_codec.cc Encodes a configuration as content-addressed parts. */
 #include <fmt/format.h>
 
 #include <boost/json.hpp>
@@ -16,12 +16,12 @@
 
 namespace {
 
-/** Two seeds give 128 bits: at thousands of changes a day, 64 could collide by
- * chance within the life of a deployment. */
+/** Two seeds give 128 bits: at thousands of changes a day, 64 bits could
+ * collide by chance during the lifetime of a deployment. */
 constexpr std::uint64_t kFirstSeed = 0;
 constexpr std::uint64_t kSecondSeed = 0x5a17;
 
-/** Collects lists of things into parts of at most about kPartTargetBytes. */
+/** Collects list elements into parts of about kPartTargetBytes at most. */
 class PartWriter {
  public:
   explicit PartWriter(std::vector<Part>& parts) : parts_(parts) {}
@@ -29,7 +29,7 @@
   /** Starts a part with these fields. */
   void Begin(json::object fields) { open_ = std::move(fields); }
 
-  /** Adds one element to a list; begins another part if this one is full. */
+  /** Adds an element to a list; starts another part if this one is full. */
   void Add(std::string_view list, json::object element) {
     const std::size_t n = json::serialize(element).size();
     if (open_bytes_ + n > kPartTargetBytes) Finish();
@@ -39,7 +39,7 @@
     open_bytes_ += n;
   }
 
-  /** Closes the part in hand, if it holds anything. */
+  /** Completes the current part, unless it is empty. */
   void Finish() {
     if (open_.empty()) return;
     std::string data = json::serialize(open_);
@@ -103,7 +103,7 @@
   return std::move(value.get_object());
 }
 
-/** Lists are put end to end; other fields are taken over. */
+/** Concatenates lists and overwrites other fields. */
 void MergeInto(json::object& whole, json::object part) {
   for (auto& field : part) {
     json::value& target = whole[field.key()];
--- a/src/contract/config_codec_test.cc
+++ b/src/contract/config_codec_test.cc
@@ -1,4 +1,4 @@
-/** @file config_codec_test.cc Configurations as content-addressed parts. */
+/** @file config_codec_test.cc Tests of encoding a configuration as parts. */
 #define BOOST_TEST_MODULE config_codec
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -27,7 +27,7 @@
   return n;
 }
 
-// The naive version is the whole document as one JSON text.
+// The reference is the whole document as one JSON text.
 BOOST_DATA_TEST_CASE(PartsGiveTheWholeDocument,
                      boost::unit_test::data::xrange(40), seed) {
   testing::Random random(seed);
@@ -48,8 +48,8 @@
   BOOST_TEST(NewParts(before, after) <= 1);
 }
 
-/** The worst case: models of the longest lists of the longest names, all in
- * one bucket. */
+/** @return The worst case: models with the longest lists of the longest names,
+ * all in one bucket. */
 Intent CrowdedIntent() {
   Intent intent;
   intent.deployment = "crowded";
@@ -82,8 +82,8 @@
   BOOST_CHECK(DecodeConfig(1, kPlan, encoded.parts).intent == config.intent);
 }
 
-// A user would see a model that nobody declared, or miss one. A part is damaged
-// on its way or swapped for another; its hash no longer tells of its content.
+// Guards against undeclared or missing models after a part was damaged in
+// transit or swapped for another: its hash no longer matches its content.
 BOOST_AUTO_TEST_CASE(DamagedPartIsNotAdopted) {
   testing::Random random(1);
   const EncodedConfig encoded =
@@ -99,9 +99,9 @@
   BOOST_TEST(holder.version() == 1);
 }
 
-// Halfway through an upgrade a newer release confirms a configuration with a
-// field that this one does not know. It must come into force all the same, and
-// be passed on unchanged.
+// During an upgrade, a newer release confirms a configuration with a field that
+// this release does not know. It must still come into force and be forwarded
+// unchanged.
 BOOST_AUTO_TEST_CASE(FieldsOfNewerReleasesArePassedOn) {
   const std::string data =
       R"({"deployment":"d","colour":"red","service":[{"name":"s",)"
--- a/src/contract/config_func.h
+++ b/src/contract/config_func.h
@@ -1,4 +1,4 @@
-/** @file config_func.h A configuration as small content-addressed parts. */
+/** @file config_func.h Encodes a configuration as content-addressed parts. */
 #ifndef SAPPHIRE_CONTRACT_CONFIG_FUNC_H_
 #define SAPPHIRE_CONTRACT_CONFIG_FUNC_H_
 
@@ -13,13 +13,13 @@
 
 namespace sapphire::contract {
 
-/** Models are spread over this many parts by their names' hash. */
+/** Models are distributed over this many parts by the hash of their name. */
 inline constexpr std::size_t kModelBuckets = 64;
-/** A bucket above this is split; the platform holds values up to 1 MB. */
+/** A larger bucket is split; the platform stores values of up to 1 MB. */
 inline constexpr std::size_t kPartTargetBytes = 512 * 1024;
 inline constexpr std::size_t kMaxPartBytes = 1000 * 1000;
 
-/** An immutable piece of a configuration, named by its content. */
+/** An immutable part of a configuration, named by its content hash. */
 struct Part {
   std::string hash;
   std::string data;
@@ -34,7 +34,7 @@
   std::vector<Part> parts;
 };
 
-/** A plan that came into force, and as which version. */
+/** A plan that came into force, and its version. */
 struct ConfirmedPlan {
   core::PlanId plan;
   std::int64_t version = 0;
@@ -47,8 +47,9 @@
   std::int64_t version = 0;
   core::PlanId plan;
   std::vector<std::string> part_hashes;
-  /** The plans confirmed last, newest first, `plan` included: they settle a
-   * confirmation whose answer was lost, also after later ones. */
+  /** The plans confirmed last, newest first, including `plan`. They show
+   * whether a confirmation whose answer was lost took effect, even after later
+   * confirmations. */
   std::vector<ConfirmedPlan> history;
 
   friend bool operator==(const ConfigHead&, const ConfigHead&) = default;
@@ -58,15 +59,15 @@
 std::string PartHash(std::string_view data);
 
 /**
- * Splits a configuration into parts. A change to one model changes the one
- * part of its bucket, so little is written and sent for it.
- * @throws core::Error kIntentOverLimit if a part would be over kMaxPartBytes.
+ * Splits a configuration into parts. A change to one model changes only the
+ * part of its bucket, so that little has to be written and sent.
+ * @throws core::Error kIntentOverLimit if a part would exceed kMaxPartBytes.
  */
 EncodedConfig EncodeConfig(const Config& config);
 
 /**
- * Puts the parts together again. Keys it does not know are passed over: a
- * newer release may have written them.
+ * Reassembles a configuration. Unknown keys are ignored: a newer release may
+ * have written them.
  * @throws core::Error kBadIntent if a part can't be read or does not match its
  *   hash.
  */
@@ -78,7 +79,7 @@
 
 std::string HeadToJson(const ConfigHead& head);
 
-/** @throws core::Error kBadIntent if the text is no head. */
+/** @throws core::Error kBadIntent if the text is not a valid head. */
 ConfigHead HeadFromJson(std::string_view text);
 
 }  // namespace sapphire::contract
--- a/src/contract/config_pull.cc
+++ b/src/contract/config_pull.cc
@@ -1,4 +1,4 @@
-/** @file config_pull.cc Configuration spreads over links. */
+/** @file config_pull.cc Distributes configurations over links. */
 #include <algorithm>
 #include <atomic>
 #include <exception>
@@ -20,10 +20,10 @@
 
 namespace {
 
-/** Parts in one message, bytes: well below the longest frame of a link. */
+/** Bytes of parts in one message: well below the maximum frame of a link. */
 constexpr std::size_t kMessageBytes = 1024 * 1024;
 constexpr std::chrono::milliseconds kReceiveTimeout{2000};
-/** How long a peer is not asked again after its answer could not be used. */
+/** Time until a peer whose answer could not be used is pulled from again. */
 constexpr std::chrono::milliseconds kRestAfterFailure{200};
 
 using PartMap = std::map<std::string, std::string, std::less<>>;
@@ -46,7 +46,7 @@
   });
 }
 
-/** Parts the peer left out because we said that we hold them. */
+/** @return The local parts, which the peer leaves out of its answer. */
 PartMap HeldParts(const EncodedConfig* have) {
   PartMap parts;
   if (have == nullptr) return parts;
@@ -62,7 +62,7 @@
   return config;
 }
 
-/** Reads messages until every part is there. */
+/** Receives messages until all parts are complete. */
 core::Task<EncodedConfig> ReceiveConfig(std::shared_ptr<link::Call> call,
                                         PartMap parts) {
   while (true) {
@@ -104,17 +104,18 @@
         parts(own_parts),
         log(own_log) {}
 
-  /** Starts a pull unless one runs; called for every frame of a newer peer. */
+  /** Starts a pull unless one is running. Called for every frame of a peer
+   * with a newer version. */
   void NewerSeen(const std::shared_ptr<link::Link>& link) {
     if (Resting(link->peer().vm) || !Begin(link)) return;
     core::Spawn(executor, log, "config_pull",
                 [self = shared_from_this(), link] { return Run(self, link); });
   }
 
-  // Guards against one broken peer keeping all others from being asked: it
-  // would show as a process that stays behind while many have the version.
-  // Frames come in step with heartbeats, so after a pause for everybody the
-  // same peer may well be first again, each time. Here only it has to rest.
+  // After a failure only the failed peer is paused, so that one broken peer
+  // can't keep this process on an old version while many peers have a newer
+  // one: frames arrive at heartbeat intervals, so after a pause for all peers
+  // the broken one could be the first again each time.
   static core::Task<> Run(std::shared_ptr<State> self,
                           std::shared_ptr<link::Link> link) {
     std::string failure;
@@ -133,7 +134,8 @@
     self->SetResting(peer, false);
   }
 
-  /** @return True if a pull may start; else its peer is asked afterwards. */
+  /** @return True if a pull may start; otherwise the peer is pulled from when
+   * the running pull has ended. */
   bool Begin(const std::shared_ptr<link::Link>& link) {
     const std::lock_guard lock(mutex);
     if (pulling) {
@@ -144,9 +146,9 @@
     return true;
   }
 
-  // Guards against a version that is told of while a pull is ending: the peer
-  // tells it once, and without this the process stays behind until the peer
-  // sends its next frame.
+  // Starts the next pull if a peer announced a newer version during this one:
+  // the peer announces it once, so this process would otherwise stay behind
+  // until the peer sends its next frame.
   void End() {
     std::shared_ptr<link::Link> again;
     {
@@ -191,9 +193,9 @@
   const core::Logger& log;
   std::mutex mutex;
   bool pulling = false;
-  /** The last peer that told of a newer version during a pull. */
+  /** The last peer that announced a newer version during a pull. */
   std::shared_ptr<link::Link> missed;
-  /** Peers that are not asked for now. */
+  /** Peers that are paused after a failed pull. */
   std::set<core::VmId> resting;
 };
 
--- a/src/contract/config_pull_base.h
+++ b/src/contract/config_pull_base.h
@@ -1,4 +1,4 @@
-/** @file config_pull_base.h Configuration spreads over links. */
+/** @file config_pull_base.h Distributes configurations over links. */
 #ifndef SAPPHIRE_CONTRACT_CONFIG_PULL_BASE_H_
 #define SAPPHIRE_CONTRACT_CONFIG_PULL_BASE_H_
 
@@ -14,11 +14,11 @@
 namespace sapphire::contract {
 
 /**
- * Pulls a newer configuration from whichever peer shows one, and serves ours
- * to peers that are behind. Needs no key-value service, so configuration goes
- * on spreading while that is down. Entries and endpoints use it alike.
+ * Pulls newer configurations from any peer that has one, and serves the local
+ * one to peers that are behind. Does not use the key-value service, so
+ * configurations spread even while that is down. Used by entries and endpoints.
  *
- * To pass a new version on at once, the program connects
+ * To announce a new version at once, the program connects
  * `ConfigHolder::OnChange` with `LinkNode::AnnounceVersion`.
  */
 class ConfigPuller {
@@ -35,7 +35,7 @@
   [[nodiscard]] link::VersionHooks Hooks();
 
   /** Answers a ConfigPull call.
-   * @throws core::Error kNotConfigured if nothing is in force here. */
+   * @throws core::Error kNotConfigured if no configuration is in force. */
   core::Task<> Serve(std::shared_ptr<link::Call> call, gen::ConfigPull request);
 
  private:
--- a/src/contract/config_pull_test.cc
+++ b/src/contract/config_pull_test.cc
@@ -1,4 +1,5 @@
-/** @file config_pull_test.cc Configuration spreads over real links. */
+/** @file config_pull_test.cc Tests of distributing configurations over links.
+ */
 #define BOOST_TEST_MODULE config_pull
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/io_context.hpp>
@@ -19,9 +20,9 @@
 using testing::RandomIntent;
 
 const core::PlanId kPlan("p");
-/** Of ten chances to ask an honest peer one must be taken. */
+/** One of this many chances to pull from the intact peer must be used. */
 constexpr int kTries = 10;
-/** Frames come with calls only. */
+/** Effectively disables heartbeats: frames are only sent for calls. */
 constexpr milliseconds kNoHeartbeats{60'000};
 
 /** A process that holds a configuration and links. */
@@ -92,7 +93,7 @@
     for (auto& thread : threads) thread.join();
   }
 
-  /** Brings a link up. */
+  /** Establishes a link. */
   void Connect(Node& from, const Node& to) {
     gen::Message message;
     message.__set_subscribe(gen::Subscribe());
@@ -102,7 +103,7 @@
         .get();
   }
 
-  /** Waits, for a long time if need be, for a version. */
+  /** Waits for a version, for up to about 10 s. */
   static bool Reaches(const Node& node, std::int64_t version) {
     for (int i = 0; i < 2000; ++i) {
       if (node.holder.version() == version) return true;
@@ -122,13 +123,13 @@
   std::array<std::thread, 2> threads;
   Node a{io, "a", kNoHeartbeats, clock, log};
   Node b{io, "b", milliseconds(300), clock, log};
-  /** Its frames come so often that after any pause they are first. */
+  /** Sends frames so often that one of them is the first after any pause. */
   Node c{io, "c", milliseconds(1), clock, log};
 };
 
-// The key-value service is down when a plan has just come into force at one
-// entry. The others, and endpoints that no operator's entry is linked to, get
-// it from whoever has it.
+// The key-value service goes down right after a plan came into force at one
+// entry. The other entries, and endpoints that this entry has no link to, get
+// the plan from any peer that has it.
 BOOST_FIXTURE_TEST_CASE(VersionsSpreadFromLinkToLink, Fixture) {
   Connect(b, a);
   Connect(c, b);
@@ -141,8 +142,8 @@
   }
 }
 
-// A VM is replaced, and its new process starts with nothing while the service
-// is down. Its first link brings it up to date.
+// A VM is replaced while the key-value service is down, and its new process
+// starts without a configuration. It gets the current one over its first link.
 BOOST_FIXTURE_TEST_CASE(FreshProcessCatchesUp, Fixture) {
   a.holder.Adopt({41, kPlan, RandomIntent(random, 30)});
   Connect(b, a);
@@ -163,7 +164,7 @@
   BOOST_TEST(change * 5 < whole);
 }
 
-// A configuration near the limits is longer than any frame of a link may be.
+// A configuration near the size limits exceeds the maximum frame of a link.
 BOOST_FIXTURE_TEST_CASE(LargeConfigurationTakesSeveralMessages, Fixture) {
   Intent intent = RandomIntent(random, 200);
   for (auto& [name, model] : intent.models) {
@@ -179,9 +180,9 @@
   BOOST_CHECK(b.holder.Current()->intent == intent);
 }
 
-// One peer's memory is damaged: it shows a newer version, and the parts that it
-// sends don't match. Nobody may take them, and it must not keep others from
-// being asked: the true ones still come from them.
+// One peer with damaged memory announces a newer version but sends parts that
+// don't match their hashes. No process may adopt them, and the peer must not
+// prevent pulls of the correct parts from other peers.
 BOOST_FIXTURE_TEST_CASE(DamagedPartsAreNotTaken, Fixture) {
   const Intent wanted = RandomIntent(random, 30);
   c.liar = true;
@@ -190,8 +191,8 @@
   while (c.pulls < 2) std::this_thread::sleep_for(milliseconds(5));
   BOOST_TEST(b.holder.version() == 0);
   a.holder.Adopt({9, kPlan, wanted});
-  // Each brings a few frames of the honest peer; they must not all fall into
-  // the pauses after the other's failures.
+  // Each call brings a few frames of the intact peer. They must not all arrive
+  // while pulls are paused after failures of the damaged peer.
   int tries = 0;
   for (; b.holder.version() == 0 && tries < kTries; ++tries) {
     Connect(b, a);
@@ -202,8 +203,8 @@
   BOOST_CHECK(b.holder.Current()->intent == wanted);
 }
 
-// A process that was frozen still shows an older version after all others have
-// moved on. Nobody goes back, and it catches up.
+// A process that was frozen still announces an older version than its peers.
+// No peer reverts to it, and the process catches up.
 BOOST_FIXTURE_TEST_CASE(OlderVersionIsNotTaken, Fixture) {
   a.holder.Adopt({5, kPlan, RandomIntent(random, 30)});
   b.holder.Adopt({4, kPlan, RandomIntent(random, 30)});
--- a/src/contract/intent_check.cc
+++ b/src/contract/intent_check.cc
@@ -1,4 +1,4 @@
-/** @file intent_check.cc Checks an intent as a whole. */
+/** @file intent_check.cc Validates an intent as a whole. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -45,7 +45,7 @@
          (c >= '0' && c <= '9') || c == '.' || c == '_' || c == '-';
 }
 
-/** Names go into paths, keys and "model:adapter" without any escaping. */
+/** Names are used in paths, keys and "model:adapter" without escaping. */
 void CheckName(const std::string& field, const std::string& name,
                std::size_t max_bytes) {
   if (name.empty()) Bad(field, "must not be empty");
--- a/src/contract/intent_func.h
+++ b/src/contract/intent_func.h
@@ -10,16 +10,16 @@
 
 namespace sapphire::contract {
 
-/** The sizes an intent may have; beyond them it is kIntentOverLimit. */
+/** Size limits of an intent; exceeding one gives kIntentOverLimit. */
 struct IntentLimits {
   std::size_t services = 200;
   std::size_t models = 2'000;
   std::size_t adapters = 20'000;
   std::size_t adapters_per_model = 2'000;
   std::size_t owners = 1'000;
-  /** Bytes of a name or version. */
+  /** Maximum length of a name or version, bytes. */
   std::size_t name_bytes = 64;
-  /** Calls in one plain service's list of non-idempotent ones. */
+  /** Non-idempotent calls of one plain service. */
   std::size_t non_idempotent_calls = 64;
   int replicas = 100'000;
   int concurrent = 10'000;
@@ -27,14 +27,14 @@
 
 /**
  * Reads and checks an intent in TOML.
- * @param file_name For messages.
+ * @param file_name Used in error messages.
  * @throws core::Error kBadIntent or kIntentOverLimit; the detail names file,
  *   line and field, as in "m.toml:12: model.itinerary.max_replicas: ...".
  */
 Intent ParseIntentToml(std::string_view text, std::string_view file_name);
 
 /**
- * Reads and checks an intent in JSON of the same shape.
+ * Reads and checks an intent in JSON, with the same structure as in TOML.
  * @throws core::Error kBadIntent or kIntentOverLimit naming the field.
  */
 Intent ParseIntentJson(std::string_view text);
@@ -47,7 +47,7 @@
 std::string ToToml(const Intent& intent);
 
 /**
- * Checks what single fields can't show: references, names and sizes.
+ * Checks references, names, ranges and sizes.
  * @throws core::Error kBadIntent or kIntentOverLimit naming the field.
  */
 void Validate(const Intent& intent, const IntentLimits& limits = {});
--- a/src/contract/intent_json_func.h
+++ b/src/contract/intent_json_func.h
@@ -1,4 +1,4 @@
-/** @file intent_json_func.h Intents as JSON values; inside `contract` only. */
+/** @file intent_json_func.h Intents as JSON values; internal to `contract`. */
 #ifndef SAPPHIRE_CONTRACT_INTENT_JSON_FUNC_H_
 #define SAPPHIRE_CONTRACT_INTENT_JSON_FUNC_H_
 
@@ -12,7 +12,7 @@
 
 namespace sapphire::contract {
 
-/** A fault in one field, before it is known where that stands in a file. */
+/** An invalid field whose position in the file is not known yet. */
 class FieldFault : public std::exception {
  public:
   FieldFault(core::ErrorCode fault_code, std::string fault_field,
@@ -20,8 +20,8 @@
 
   [[nodiscard]] const char* what() const noexcept override;
 
-  /** @return The error to throw, its detail led by `place` ("" or "f:12: ").
-   */
+  /** @return The error to throw; its detail starts with `place` ("" or
+   * "f:12: "). */
   [[nodiscard]] core::Error ToError(std::string_view place) const;
 
   [[nodiscard]] const std::string& field() const { return field_; }
@@ -32,15 +32,15 @@
   std::string reason_;
 };
 
-/** What to do with keys that this release does not know. */
+/** How to handle keys that this release does not know. */
 enum class UnknownKeys {
-  kReject,  ///< What a person wrote: most likely a slip.
-  kIgnore,  ///< What a newer release wrote.
+  kReject,  ///< For operators' input: most likely a typing error.
+  kIgnore,  ///< For stored data: a newer release may have written them.
 };
 
 /**
- * Lists of named things: "model.itinerary" is the path of the element named
- * "itinerary", "model[3]" that of one without a name.
+ * @return The path of a list element: "model.itinerary" for the element named
+ *   "itinerary", "model[3]" for one without a name.
  */
 std::string ElementPath(std::string_view list, std::size_t index,
                         std::string_view name);
@@ -54,7 +54,7 @@
 boost::json::object ToJsonObject(const Service& service);
 boost::json::object ToJsonObject(const Model& model);
 boost::json::object ToJsonObject(const Owner& owner);
-/** @return The fields that are no lists: deployment, weights, store. */
+/** @return All fields but the lists: deployment, weights, weight store. */
 boost::json::object ScalarsToJson(const Intent& intent);
 
 }  // namespace sapphire::contract
--- a/src/contract/intent_read.cc
+++ b/src/contract/intent_read.cc
@@ -1,4 +1,4 @@
-/** @file intent_read.cc Reads an intent from its JSON value. */
+/** @file intent_read.cc Reads an intent from a JSON value. */
 #include <fmt/format.h>
 
 #include <boost/json.hpp>
@@ -25,7 +25,7 @@
   throw FieldFault(ErrorCode::kBadIntent, std::move(field), std::move(reason));
 }
 
-/** Reads the fields of one object and remembers which were asked for. */
+/** Reads the fields of one object and remembers which keys were read. */
 class ObjectReader {
  public:
   ObjectReader(const json::value& value, std::string path, UnknownKeys unknown)
@@ -108,7 +108,7 @@
     return value->get_array();
   }
 
-  /** Rejects keys that nothing asked for. */
+  /** Rejects keys that were not read. */
   void Finish() const {
     if (unknown_ == UnknownKeys::kIgnore) return;
     for (const auto& field : *object_) {
@@ -150,7 +150,7 @@
   return name->get_string();
 }
 
-/** Calls `read(reader)` for each element of a list of named things. */
+/** Calls `read(reader)` for each element of a list of named objects. */
 template <typename Read>
 void ForEachNamed(ObjectReader& parent, std::string_view key,
                   UnknownKeys unknown, Read read) {
@@ -173,7 +173,8 @@
   Bad(reader.PathOf("kind"), "must be \"model\" or \"plain\"");
 }
 
-/** A field that has no meaning for the service's kind is most likely a slip. */
+/** Rejects a field that does not apply to the service's kind: it is most
+ * likely a mistake. */
 void RejectField(ObjectReader& reader, std::string_view key,
                  std::string_view only_for) {
   if (reader.Find(key) == nullptr) return;
@@ -204,7 +205,7 @@
   return adapter;
 }
 
-/** TOML has [[model.adapter]] and `adapters = [...]`; they mean the same. */
+/** Accepts both [[model.adapter]] and `adapters = [...]`. */
 void ReadAdapters(ObjectReader& reader, UnknownKeys unknown, Model& model) {
   for (const std::string_view key : {"adapters", "adapter"}) {
     ForEachNamed(reader, key, unknown, [&](ObjectReader& element) {
@@ -235,7 +236,7 @@
   return owner;
 }
 
-/** Adds to a map by name; a name that stands twice is a fault. */
+/** Adds to a map by name; rejects duplicate names. */
 template <typename Map, typename Thing>
 void AddOnce(Map& map, Thing thing, ObjectReader& reader) {
   const auto name = thing.name;
--- a/src/contract/intent_test.cc
+++ b/src/contract/intent_test.cc
@@ -1,4 +1,4 @@
-/** @file intent_test.cc Reading, checking and writing intents. */
+/** @file intent_test.cc Tests of reading, checking and writing intents. */
 #define BOOST_TEST_MODULE intent
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -160,7 +160,7 @@
   BOOST_CHECK_EXCEPTION(Validate(LargeIntent(1, 2'001)), core::Error, over);
 }
 
-/** @return How many models and adapters an intent has. */
+/** @return The numbers of models and adapters of an intent. */
 std::pair<std::size_t, std::size_t> SizesOf(const Intent& intent) {
   std::size_t adapters = 0;
   for (const auto& [name, model] : intent.models) {
@@ -181,7 +181,7 @@
     const std::string name = item.path().stem().string();
     sizes[name] = SizesOf(ParseIntentToml(text.str(), name));
   }
-  // The users' two deployments of today.
+  // The two deployments that users run today.
   BOOST_CHECK(sizes["meander"] == Sizes(65, 75));
   BOOST_CHECK(sizes["hanbit"] == Sizes(50, 40));
 }
--- a/src/contract/intent_toml.cc
+++ b/src/contract/intent_toml.cc
@@ -16,11 +16,11 @@
 
 using Line = toml::source_index;
 
-/** Where each field stands, by its path. */
+/** Line of each field, by its path. */
 using LineMap = std::map<std::string, Line, std::less<>>;
 
-/** Turns TOML nodes into JSON values and notes their lines, so that one reader
- * serves both formats. */
+/** Converts TOML nodes to JSON values, so that one reader serves both formats,
+ * and records their lines. */
 class TomlConverter {
  public:
   json::value Convert(const toml::node& node, const std::string& path) {
@@ -34,7 +34,7 @@
     return ConvertScalar(node, path);
   }
 
-  /** @return The line of the field, or of what it should stand in. */
+  /** @return The line of the field, or of its parent if it is missing. */
   [[nodiscard]] Line LineOf(std::string_view path) const {
     while (!path.empty()) {
       const auto it = lines_.find(path);
--- a/src/contract/intent_type.h
+++ b/src/contract/intent_type.h
@@ -1,4 +1,4 @@
-/** @file intent_type.h What operators declare: the contract of a deployment. */
+/** @file intent_type.h The intent: what operators declare for a deployment. */
 #ifndef SAPPHIRE_CONTRACT_INTENT_TYPE_H_
 #define SAPPHIRE_CONTRACT_INTENT_TYPE_H_
 
@@ -18,11 +18,11 @@
 struct Service {
   core::ServiceId name;
   ServiceKind kind = ServiceKind::kModel;
-  /** Replicas of all the service's models that may be loaded at once. */
+  /** Limit on loaded replicas of all the service's models together. */
   int max_replicas = 0;
   /** Plain services: "METHOD /path-prefix" of calls that run at most once. */
   std::vector<std::string> non_idempotent;
-  /** Plain services: requests in progress at one endpoint. */
+  /** Plain services: limit on requests in progress at one endpoint. */
   int max_concurrent = 16;
 
   friend bool operator==(const Service&, const Service&) = default;
@@ -41,10 +41,10 @@
   core::ServiceId service;
   std::string version = "1";
   std::int64_t weight_bytes = 0;
-  /** KV cache and cached prefixes of one replica. */
+  /** Memory for the KV cache and cached prefixes of one replica. */
   std::int64_t kv_budget_bytes = 0;
   int max_replicas = 1;
-  /** Requests in progress at one replica. */
+  /** Limit on requests in progress at one replica. */
   int max_concurrent = 8;
   /** True: every request for this model runs at most once. */
   bool non_idempotent = false;
@@ -61,21 +61,21 @@
   friend bool operator==(const Owner&, const Owner&) = default;
 };
 
-/** The two measures' prices. */
+/** Weights of the two cost terms, cold starts and idle replicas. */
 struct Weights {
-  /** Price of one second that a caller waits for a cold start. */
+  /** Cost of one second that a caller waits for a cold start. */
   double cold_start = 1.0;
-  /** Price of one second that an accelerator holds an idle model. */
+  /** Cost of one second that an accelerator holds an idle model. */
   double idle = 1.0;
 
   friend bool operator==(const Weights&, const Weights&) = default;
 };
 
-/** A whole intent: everything that operators decide. */
+/** Everything that operators configure for a deployment. */
 struct Intent {
   std::string deployment;
   Weights weights;
-  /** The weight store's allowance, fleet-wide. */
+  /** Fleet-wide limits on loads from the weight store. */
   double loads_per_second = 3.0;
   int loads_at_once = 4;
   std::map<core::ServiceId, Service> services;
@@ -85,7 +85,7 @@
   friend bool operator==(const Intent&, const Intent&) = default;
 };
 
-/** A confirmed intent. Versions start at 1 and only grow. */
+/** A confirmed intent. Versions start at 1 and only increase. */
 struct Config {
   std::int64_t version = 0;
   core::PlanId plan;
--- a/src/contract/intent_write.cc
+++ b/src/contract/intent_write.cc
@@ -26,8 +26,8 @@
   return list;
 }
 
-/** Names and calls hold no character that TOML would want escaped, but this
- * must not depend on the intent having been checked. */
+/** Quotes a text for TOML. Names and calls of a valid intent need no escaping,
+ * but the intent may not have been validated. */
 std::string Quoted(std::string_view text) {
   return json::serialize(json::string(text));
 }
--- a/src/contract/part_cache.cc
+++ b/src/contract/part_cache.cc
@@ -1,4 +1,4 @@
-/** @file part_cache.cc The parts of the configuration in force. */
+/** @file part_cache.cc Caches the parts of the configuration in force. */
 #include <utility>
 
 #include "contract/part_cache_base.h"
--- a/src/contract/part_cache_base.h
+++ b/src/contract/part_cache_base.h
@@ -1,4 +1,4 @@
-/** @file part_cache_base.h The parts of the configuration in force. */
+/** @file part_cache_base.h Caches the parts of the configuration in force. */
 #ifndef SAPPHIRE_CONTRACT_PART_CACHE_BASE_H_
 #define SAPPHIRE_CONTRACT_PART_CACHE_BASE_H_
 
@@ -11,8 +11,8 @@
 namespace sapphire::contract {
 
 /**
- * Keeps the parts of the newest configuration as they came, so that the next
- * one needs only those that changed. Safe to use from any thread.
+ * Keeps the parts of the newest configuration as received, so that only the
+ * changed parts of the next one have to be fetched. Thread-safe.
  */
 class PartCache {
  public:
@@ -21,7 +21,8 @@
 
   /**
    * Verifies, decodes and adopts a configuration, and keeps its parts.
-   * @return True if it came into force; false if one as new already is.
+   * @return True if it came into force; false if it is not newer than the
+   *   current one.
    * @throws core::Error kBadIntent if a part does not match its hash.
    */
   bool Adopt(EncodedConfig config);
@@ -30,7 +31,7 @@
   std::shared_ptr<const EncodedConfig> Current();
 
  private:
-  /** Remembers `config` unless a newer one is remembered already. */
+  /** Keeps `config` if it is newer than the kept one. */
   void Keep(std::shared_ptr<const EncodedConfig> config);
 
   ConfigHolder& holder_;
--- a/src/contract/plan.cc
+++ b/src/contract/plan.cc
@@ -1,4 +1,4 @@
-/** @file plan.cc Works out what confirming an intent would change. */
+/** @file plan.cc Computes what confirming an intent would change. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -17,7 +17,7 @@
 /** Field name to value as text. */
 using Fields = std::map<std::string, std::string, std::less<>>;
 
-/** Every declared thing by kind and name. */
+/** Every declared object by kind and name. */
 using Things = std::map<std::pair<Subject, std::string>, Fields>;
 
 std::string Text(bool flag) { return flag ? "true" : "false"; }
@@ -112,7 +112,7 @@
   return it == model.adapters.end() || it->name != name ? nullptr : &*it;
 }
 
-/** @return True if a replica of the model may be loaded at all. */
+/** @return True if the limits allow at least one replica of the model. */
 bool Offered(const Intent& intent, const core::ModelId& name) {
   const Model* model = FindModel(intent, name);
   if (model == nullptr || model->max_replicas == 0) return false;
@@ -125,7 +125,7 @@
  public:
   explicit LimitCounter(const Intent& intent) : intent_(intent) {}
 
-  /** Counts a replica. @return Why it is too many; empty if it may stay. */
+  /** Counts a replica. @return Why it is over a limit; empty if it is not. */
   std::string Admit(const core::ModelId& name) {
     const Model* model = FindModel(intent_, name);
     if (model == nullptr) return "the model is no longer offered";
@@ -149,7 +149,7 @@
   std::map<core::ServiceId, int> by_service_;
 };
 
-/** Why a replica loaded under `before` has to be loaded anew. */
+/** @return Why a replica of `before` must be reloaded; empty if it need not. */
 std::string ReloadReason(const Model& before, const Model& after) {
   if (before.version != after.version) return "the model's version changes";
   if (before.service != after.service) return "the model's service changes";
@@ -160,7 +160,7 @@
   return {};
 }
 
-/** Works out the effects of one plan. */
+/** Computes the effects of one plan. */
 class EffectWriter {
  public:
   EffectWriter(const Intent& before, const Intent& after)
@@ -195,7 +195,7 @@
     }
   }
 
-  /** Adapters of models that stay. */
+  /** Adds the removed adapters of models that are kept. */
   void AddAdapters() {
     for (const auto& [name, model] : before_.models) {
       const Model* wanted = FindModel(after_, name);
--- a/src/contract/plan_func.h
+++ b/src/contract/plan_func.h
@@ -1,4 +1,4 @@
-/** @file plan_func.h Works out and shows plans: pure functions. */
+/** @file plan_func.h Computes and formats plans; pure functions. */
 #ifndef SAPPHIRE_CONTRACT_PLAN_FUNC_H_
 #define SAPPHIRE_CONTRACT_PLAN_FUNC_H_
 
@@ -12,26 +12,26 @@
 namespace sapphire::contract {
 
 /**
- * @param base What is in force; null: nothing yet.
- * @param wanted A checked intent.
- * @param observed The replicas loaded now, as far as they are known.
+ * @param base The configuration in force; null if there is none yet.
+ * @param wanted A valid intent.
+ * @param observed The replicas known to be loaded now.
  * @return What confirming `wanted` would change. Deterministic.
  */
 Plan MakePlan(core::PlanId id, const Config* base, const Intent& wanted,
               std::span<const ObservedReplica> observed);
 
-/** @return What differs between two intents, sorted by subject and name. */
+/** @return The changes between two intents, sorted by subject and name. */
 std::vector<Change> Diff(const Intent& before, const Intent& after);
 
 /**
- * @return The replicas that are over a limit of `intent` or of models that it
- *   does not offer. The busiest stay; among equals, those whose endpoint's
- *   name comes first.
+ * @return The replicas that exceed a limit of `intent` or whose model it does
+ *   not offer. The busiest replicas are kept; among equals, those whose
+ *   endpoint's name sorts first.
  */
 std::vector<ExcessReplica> ExcessReplicas(
     const Intent& intent, std::span<const ObservedReplica> observed);
 
-/** @return The plan as a readable diff, one line a change. */
+/** @return The plan as a readable diff, one line per change. */
 std::string RenderText(const Plan& plan);
 
 /** @return The plan in JSON. */
--- a/src/contract/plan_show.cc
+++ b/src/contract/plan_show.cc
@@ -1,4 +1,4 @@
-/** @file plan_show.cc Shows plans as text and JSON. */
+/** @file plan_show.cc Formats plans as text and JSON. */
 #include <fmt/format.h>
 
 #include <array>
--- a/src/contract/plan_test.cc
+++ b/src/contract/plan_test.cc
@@ -1,4 +1,4 @@
-/** @file plan_test.cc Plans against a naive version. */
+/** @file plan_test.cc Tests of plans, against naive implementations. */
 #define BOOST_TEST_MODULE plan
 #include <boost/json.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -19,7 +19,7 @@
 using Names = std::set<std::pair<std::string, std::string>>;
 using Flat = std::map<std::pair<std::string, std::string>, std::string>;
 
-/** Every thing of the JSON document as text, by kind and name. */
+/** @return Every object of the JSON document as text, by kind and name. */
 Flat Flatten(const Intent& intent) {
   Flat flat;
   json::object document = json::parse(ToJson(intent)).as_object();
@@ -71,7 +71,7 @@
   BOOST_CHECK(names == NaiveDiff(before, after));
 }
 
-/** @return Whether the replicas keep every limit of the intent. */
+/** @return Whether the replicas respect all limits of the intent. */
 bool WithinLimits(const Intent& intent,
                   const std::vector<ObservedReplica>& replicas) {
   std::map<core::ModelId, int> by_model;
--- a/src/contract/plan_type.h
+++ b/src/contract/plan_type.h
@@ -12,7 +12,7 @@
 
 enum class ChangeKind { kAdded, kRemoved, kChanged };
 
-/** What kind of thing a change is about. */
+/** The kind of object that a change applies to. */
 enum class Subject {
   kDeployment,
   kWeights,
@@ -23,11 +23,11 @@
   kOwner,
 };
 
-/** One declared value that becomes another. */
+/** One difference between two intents. */
 struct Change {
   ChangeKind kind = ChangeKind::kChanged;
   Subject subject = Subject::kDeployment;
-  /** Name of the thing; "model:adapter" for an adapter; may be empty. */
+  /** Name of the object; "model:adapter" for an adapter; may be empty. */
   std::string name;
   /** Set for kChanged only, with both values as text. */
   std::string field;
@@ -40,18 +40,18 @@
 enum class EffectKind {
   kUnloadReplica,  ///< A loaded replica is drained and unloaded.
   kUnloadAdapter,  ///< A loaded adapter is unloaded.
-  kReload,         ///< As kUnloadReplica; the new version loads when wanted.
+  kReload,         ///< As kUnloadReplica; the new version loads on demand.
   kRefuse,         ///< Requests for this are refused from then on.
   kAccept,         ///< Requests for this are accepted from then on.
 };
 
-/** One thing that follows from the changes in the running fleet. */
+/** One consequence of the changes for the running fleet. */
 struct Effect {
   EffectKind kind = EffectKind::kUnloadReplica;
   core::ServiceId service;
   core::ModelId model;
   core::AdapterId adapter;
-  /** Where; empty if it holds everywhere. */
+  /** The endpoint concerned; empty for all. */
   core::EndpointId endpoint;
   /** Requests in progress that are finished first. */
   int running = 0;
@@ -68,13 +68,13 @@
   std::vector<core::AdapterId> adapters;
 };
 
-/** A replica that an intent leaves no room for. */
+/** A replica beyond the limits of an intent. */
 struct ExcessReplica {
   ObservedReplica replica;
   std::string reason;
 };
 
-/** What would change, and from which version on. */
+/** The changes that a confirmation would make, and their effects. */
 struct Plan {
   core::PlanId id;
   /** The version in force when the plan was made; 0: none. */
--- a/src/contract/testing_intent.h
+++ b/src/contract/testing_intent.h
@@ -75,7 +75,7 @@
   return intent;
 }
 
-/** Changes, adds or removes one thing. */
+/** Makes one random change: to a model, a service limit or a weight. */
 inline void Mutate(Random& random, Intent& intent) {
   const int choice = Pick(random, 0, 5);
   const std::string name = fmt::format("model-{}", Pick(random, 0, 30));
