--- a/src/contract/config_pull.cc
+++ b/src/contract/config_pull.cc
@@ -46,7 +46,8 @@
   });
 }
 
-/** @return The local parts, which the peer leaves out of its answer. */
+/** @return The parts that the peer leaves out because the request lists them.
+ */
 PartMap HeldParts(const EncodedConfig* have) {
   PartMap parts;
   if (have == nullptr) return parts;
--- a/src/ctl/command_line.cc
+++ b/src/ctl/command_line.cc
@@ -41,7 +41,7 @@
 
 constexpr int kMaxTimeoutMs = 600'000;
 
-/** Subcommands write their choice into `command` when they are parsed. */
+/** Adds a subcommand that sets the kind of `command` when it is parsed. */
 void AddCommand(CLI::App& app, const CommandDef& def, Command& command) {
   CLI::App* sub = app.add_subcommand(def.name, def.help);
   if (def.argument != nullptr) {
--- a/src/ctl/ctl.cc
+++ b/src/ctl/ctl.cc
@@ -93,7 +93,7 @@
   return ExitCode::kRefused;
 }
 
-/** The fields of a problem+json answer that matter here. */
+/** The fields of a problem+json response that are used here. */
 struct Problem {
   std::string name;
   std::string detail;
@@ -144,7 +144,7 @@
   return {ExitCode::kUsage, "", fmt::format("error: {}\n", error.what())};
 }
 
-/** Collects why no entry gave an answer. */
+/** Collects the reasons why no entry answered. */
 class FailureList {
  public:
   void Add(const std::string& entry, const http::TransportError& error) {
@@ -152,7 +152,8 @@
     if (error.may_have_run()) may_have_run_ = true;
   }
 
-  /** Reading may be repeated, so only changes can have an unknown outcome. */
+  /** Only commands that change something can have an unknown outcome; others
+   * can simply be repeated. */
   [[nodiscard]] Report ToReport(CommandKind kind) const {
     const bool changes =
         kind == CommandKind::kConfirm || kind == CommandKind::kDrain;
@@ -234,9 +235,10 @@
   return report;
 }
 
-// Every command may be sent again, to another entry too: reading and planning
-// change nothing, a confirmation is settled by the plan's id, and draining
-// twice is draining once. So a cut connection is no reason to give up.
+// After a lost connection the command is sent to the next entry. This is safe
+// because all commands are idempotent: reading and planning change nothing, a
+// confirmation is identified by the plan's id, and draining twice has the same
+// effect as draining once.
 core::Task<Report> RunCommand(Command command) {
   http::Request request;
   try {
@@ -254,7 +256,7 @@
     } catch (const http::TransportError& e) {
       failures.Add(entry, e);
     } catch (const core::Error& e) {
-      // The address can't be used; nothing was sent.
+      // The address is invalid; nothing was sent.
       co_return UsageReport(e);
     }
   }
--- a/src/ctl/ctl_func.h
+++ b/src/ctl/ctl_func.h
@@ -11,21 +11,21 @@
 
 namespace sapphire::ctl {
 
-/** Sends the command to the first entry that can be reached.
+/** Sends the command to the entries in turn until one answers.
  * @return What to print; never throws for a failure of an entry. */
 core::Task<Report> RunCommand(Command command);
 
-/** @return The request that carries out a command.
+/** @return The HTTP request for a command.
  * @throws std::runtime_error if its file can't be read. */
 http::Request RequestFor(const Command& command);
 
-/** @return What to print for an entry's answer. */
+/** @return What to print for an entry's response. */
 Report ReportFor(const Command& command, const http::Response& response);
 
-/** @return What to do about an error of this name, for a person. */
+/** @return Advice for operators on an error of this name; may be empty. */
 std::string_view AdviceFor(std::string_view error_name);
 
-/** @return The body of an answer as a text for people. */
+/** @return The body of a response as human-readable text. */
 std::string RenderText(CommandKind kind, std::string_view body);
 
 }  // namespace sapphire::ctl
--- a/src/ctl/ctl_test.cc
+++ b/src/ctl/ctl_test.cc
@@ -1,4 +1,4 @@
-/** @file ctl_test.cc The operators' command line against small servers. */
+/** @file ctl_test.cc Tests of the operators' command line with fake entries. */
 #define BOOST_TEST_MODULE ctl
 #include <boost/asio/co_spawn.hpp>
 #include <boost/asio/io_context.hpp>
@@ -79,7 +79,7 @@
   BOOST_CHECK(Parse({"--help"}).exit_code == ExitCode::kOk);
 }
 
-/** An entry that answers every request with one text, or cuts it. */
+/** An entry that answers every request with one text, or cuts the answer. */
 struct FakeEntry {
   explicit FakeEntry(asio::io_context& io, std::string text, bool cut = false)
       : server(
@@ -127,8 +127,8 @@
     R"({"plan":"p","version":7,"not_yet":[{"vm":"v","zone":"z",)"
     R"("role":"endpoint","linked":false,"leaving":false,"version":null}]})";
 
-// The first entry has just been replaced, the second dies while it answers a
-// confirmation. The third settles it, as confirming is safe to repeat.
+// The first entry can't be reached, and the second dies while it answers a
+// confirmation. The third answers it, as confirming is safe to repeat.
 BOOST_AUTO_TEST_CASE(NextEntryIsTried) {
   asio::io_context io;
   FakeEntry dying(io, "", true);
@@ -145,8 +145,8 @@
   BOOST_TEST(live.target == "/admin/v1/plans/p/confirm");
 }
 
-// No entry gives an answer. Whether "nothing was changed" is true depends on
-// whether one of them may have received a request that changes something.
+// If no entry answers, "nothing was changed" is only true if none of them can
+// have received a request that changes something.
 BOOST_AUTO_TEST_CASE(OutcomeWithoutAnswerIsToldApart) {
   asio::io_context io;
   FakeEntry dying(io, "", true);
--- a/src/ctl/ctl_type.h
+++ b/src/ctl/ctl_type.h
@@ -1,4 +1,4 @@
-/** @file ctl_type.h Plain types of the operators' command line. */
+/** @file ctl_type.h Types of the operators' command line. */
 #ifndef SAPPHIRE_CTL_CTL_TYPE_H_
 #define SAPPHIRE_CTL_CTL_TYPE_H_
 
@@ -16,7 +16,7 @@
   kRefused = 3,         ///< Invalid intent, unknown plan; nothing was changed.
   kConflict = 4,        ///< Another plan came first; nothing was changed.
   kUnreachable = 5,     ///< No entry, or the platform behind it, answered.
-  kUnknownOutcome = 6,  ///< It may have taken effect: run the command again.
+  kUnknownOutcome = 6,  ///< May have taken effect: run the command again.
 };
 
 enum class CommandKind {
@@ -32,7 +32,7 @@
 
 enum class OutputFormat { kText, kJson };
 
-/** What the command line asked for. */
+/** A parsed command. */
 struct Command {
   CommandKind kind = CommandKind::kStatus;
   /** File, plan id or VM, where the command takes one. */
@@ -43,13 +43,13 @@
   std::chrono::milliseconds timeout{20'000};
 };
 
-/** A command line, or the code to end with at once. */
+/** Result of parsing: a command, or the code to exit with at once. */
 struct ParsedLine {
   std::optional<ExitCode> exit_code;
   Command command;
 };
 
-/** What to print, and how to end. */
+/** What to print, and the exit code. */
 struct Report {
   ExitCode exit_code = ExitCode::kOk;
   /** For standard output; may be empty. */
--- a/src/ctl/render.cc
+++ b/src/ctl/render.cc
@@ -1,4 +1,4 @@
-/** @file render.cc Shows entries' answers as text for people. */
+/** @file render.cc Renders entries' responses as human-readable text. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -15,7 +15,7 @@
 
 constexpr double kBytesPerMiB = 1024.0 * 1024.0;
 
-/** Rows of cells, shown with the columns in line. */
+/** A text table with aligned columns. */
 class Table {
  public:
   explicit Table(std::vector<std::string> heads) {
@@ -164,7 +164,7 @@
 }  // namespace
 
 std::string RenderText(CommandKind kind, std::string_view body) {
-  // The configuration comes as TOML already.
+  // The response is TOML already.
   if (kind == CommandKind::kConfig) return std::string(body);
   const json::value value = json::parse(body);
   const json::object& answer = value.as_object();
--- a/src/timeline/clock_skew.cc
+++ b/src/timeline/clock_skew.cc
@@ -1,4 +1,4 @@
-/** @file clock_skew.cc Puts events of VMs with different clocks in order. */
+/** @file clock_skew.cc Orders the events of VMs whose clocks differ. */
 #include <algorithm>
 #include <deque>
 #include <functional>
@@ -12,11 +12,11 @@
 
 using std::chrono::microseconds;
 
-/** A message's last event may be logged a little after its answer arrived, so
- * disagreements up to this are no sign of a clock that is off. */
+/** A VM may log its last event for a request slightly after the answer arrived,
+ * so deviations up to this are not taken as clock skew. */
 constexpr microseconds kTolerance{2'000};
 
-/** The time from where a VM's part in a request began to its last event. */
+/** The time from the begin of a VM's part in a request to its last event. */
 struct Span {
   core::WallTime first = core::WallTime::max();
   core::WallTime last = core::WallTime::min();
@@ -30,12 +30,12 @@
 using SpansByVm = std::map<core::VmId, Span>;
 using RequestSpans = std::map<core::RequestId, SpansByVm>;
 
-/** What may be added to one VM's clock without breaking any order. */
+/** Range of shifts of one VM's clock that keep all events in order. */
 struct Bounds {
   microseconds lowest = microseconds::min();
   microseconds highest = microseconds::max();
 
-  /** Narrows the bounds so that `inner` lies in `outer`. */
+  /** Narrows the bounds so that the shifted `inner` lies within `outer`. */
   void Enclose(const Span& outer, const Span& inner) {
     const auto at_least =
         std::chrono::duration_cast<microseconds>(outer.first - inner.first);
@@ -51,7 +51,8 @@
   }
 };
 
-/** From a VM whose clock is known to those whose clocks follow from it. */
+/** From an origin VM to the VMs that handled its requests, with the bounds for
+ * the shift of their clocks against its own. */
 using Graph = std::map<core::VmId, std::map<core::VmId, Bounds>>;
 
 RequestSpans CollectSpans(const std::vector<Event>& events) {
@@ -63,8 +64,8 @@
   return spans;
 }
 
-/** @return The VM that took the request: its span is the longest. That is so
- * whatever its clock shows, as a duration does not depend on it. */
+/** @return The VM that received the request: its span is the longest. Durations
+ * do not depend on the offset of a clock. */
 core::VmId OriginOf(const SpansByVm& spans) {
   const auto length = [](const auto& item) {
     return item.second.last - item.second.first;
@@ -84,7 +85,7 @@
   return graph;
 }
 
-/** @return Neighbours of a VM with the shift of their clock against its own. */
+/** @return Neighbours of a VM, with their clock shifts relative to it. */
 std::vector<std::pair<core::VmId, microseconds>> Neighbours(
     const Graph& graph, const core::VmId& vm) {
   std::vector<std::pair<core::VmId, microseconds>> found;
@@ -97,7 +98,8 @@
   return found;
 }
 
-/** Spreads from one VM, whose clock is taken as right, over the graph. */
+/** Propagates shifts over the graph from one VM, whose clock is the reference.
+ */
 void SpreadFrom(const core::VmId& start, const Graph& graph,
                 ClockShifts& shifts) {
   std::deque<core::VmId> waiting = {start};
@@ -112,7 +114,7 @@
   }
 }
 
-/** @return The origins, those with most neighbours first. */
+/** @return The origins, sorted by number of neighbours, largest first. */
 std::vector<core::VmId> StartsOf(const Graph& graph) {
   std::vector<core::VmId> starts;
   for (const auto& [origin, others] : graph) starts.push_back(origin);
--- a/src/timeline/clock_skew_func.h
+++ b/src/timeline/clock_skew_func.h
@@ -1,5 +1,4 @@
-/** @file clock_skew_func.h Puts events of VMs with different clocks in order.
- */
+/** @file clock_skew_func.h Orders the events of VMs whose clocks differ. */
 #ifndef SAPPHIRE_TIMELINE_CLOCK_SKEW_FUNC_H_
 #define SAPPHIRE_TIMELINE_CLOCK_SKEW_FUNC_H_
 
@@ -11,19 +10,19 @@
 
 namespace sapphire::timeline {
 
-/** What to add to each VM's times; VMs whose clocks agree are left out. */
+/** What to add to each VM's times; VMs without clock skew are left out. */
 using ClockShifts = std::map<core::VmId, std::chrono::microseconds>;
 
 /**
- * Works out how far the VMs' clocks are apart. At the VM that took a request
- * it begins and ends, so what other VMs logged of it happened in between;
- * where their clocks say otherwise, they are off by as much.
+ * Estimates the clock skew between VMs. A request begins and ends at the VM
+ * that received it, so the events of other VMs for it happened in between; a
+ * clock that contradicts this is shifted by the difference.
  */
 ClockShifts EstimateShifts(const std::vector<Event>& events);
 
 /**
- * Applies the shifts and sorts by time. Events of a request never come before
- * the one that began it.
+ * Applies the shifts and sorts by time. No event of a request precedes the
+ * event that began it.
  */
 void PutInOrder(std::vector<Event>& events, const ClockShifts& shifts);
 
--- a/src/timeline/event_type.h
+++ b/src/timeline/event_type.h
@@ -14,7 +14,7 @@
 
 namespace sapphire::timeline {
 
-/** A line of an event log, read. */
+/** One parsed line of an event log. */
 struct Event {
   core::WallTime time;
   std::string process;
@@ -25,11 +25,11 @@
   std::string name;
   /** Empty if the event belongs to no request. */
   core::RequestId request;
-  /** All further fields, in the order of the line. */
+  /** All other fields, in the order of the line. */
   std::vector<std::pair<std::string, std::string>> fields;
 };
 
-/** @return The value of a further field; empty if there is none. */
+/** @return The value of a field in `fields`; empty if there is none. */
 inline std::string FieldOf(const Event& event, std::string_view key) {
   for (const auto& [name, value] : event.fields) {
     if (name == key) return value;
@@ -37,8 +37,8 @@
   return {};
 }
 
-/** @return When what the event reports began: events of something that took
- * time say how long, in their field `took_ms`. */
+/** @return The begin of what the event reports: its time less its duration,
+ * which events of longer operations have in their field `took_ms`. */
 inline core::WallTime BeginOf(const Event& event) {
   const std::string took = FieldOf(event, "took_ms");
   core::Millis::rep millis = 0;
@@ -46,7 +46,7 @@
   return event.time - core::Millis(millis);
 }
 
-/** @return The lane an event is drawn in: its process on its VM. */
+/** @return The name of the lane an event is drawn in: "process@vm". */
 inline std::string LaneOf(const Event& event) {
   return event.process + "@" + event.vm.value();
 }
--- a/src/timeline/log_reader.cc
+++ b/src/timeline/log_reader.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** Takes the parts of a key=value line from its front. */
+/** Consumes keys and values from the front of a key=value line. */
 class LineScanner {
  public:
   explicit LineScanner(std::string_view rest) : rest_(rest) {}
@@ -19,7 +19,7 @@
     return rest_.empty();
   }
 
-  /** @return The key; empty if the line goes on otherwise. */
+  /** @return The key; empty if no key=value pair follows. */
   std::string_view TakeKey() {
     const std::size_t end = rest_.find('=');
     if (end == std::string_view::npos) return {};
@@ -53,7 +53,7 @@
   std::string_view rest_;
 };
 
-/** Reads a number of fixed width. */
+/** Parses a number of fixed width. */
 std::optional<int> NumberAt(std::string_view text, std::size_t at,
                             std::size_t width) {
   if (at + width > text.size()) return std::nullopt;
@@ -120,7 +120,7 @@
   while (!scanner.AtEnd()) {
     const std::string_view key = scanner.TakeKey();
     auto value = key.empty() ? std::nullopt : scanner.TakeValue();
-    // The process died while it wrote the line: what is whole is kept.
+    // The process died while it wrote the line: complete fields are kept.
     if (!value) break;
     SetField(event, key, std::move(*value));
   }
--- a/src/timeline/log_reader_func.h
+++ b/src/timeline/log_reader_func.h
@@ -11,14 +11,14 @@
 
 namespace sapphire::timeline {
 
-/** What a log held. */
+/** The contents of a log. */
 struct ReadLog {
   std::vector<Event> events;
-  /** Lines that are no events, such as a crash's last words. */
+  /** Lines that are not events, such as the output of a crash. */
   int other_lines = 0;
 };
 
-/** @return The event of one line; nothing if it is none. */
+/** @return The event of one line; nothing if the line is not an event. */
 std::optional<Event> ParseLine(std::string_view line);
 
 /** Reads a log to its end. */
--- a/src/timeline/losses.cc
+++ b/src/timeline/losses.cc
@@ -1,4 +1,4 @@
-/** @file losses.cc Why requests were refused, failed or late, from lines. */
+/** @file losses.cc Derives from logs why requests were refused or late. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -18,8 +18,9 @@
 
 using std::chrono::milliseconds;
 
-/** A wake-up tells of a request's wait if it began or ended this long before
- * the request's end: loads from the weight store take up to a minute. */
+/** A model load explains a request's wait if it began or ended at most this
+ * long before the request's end: loads from the weight store take up to a
+ * minute. */
 constexpr std::chrono::seconds kWakeUpMemory{60};
 
 struct CauseName {
@@ -48,7 +49,7 @@
     {LossCause::kUnknown, "unknown"},
 };
 
-/** Outcomes whose cause is the outcome itself. */
+/** An outcome that determines the cause. */
 struct PlainCause {
   std::string_view outcome;
   LossCause cause;
@@ -62,7 +63,7 @@
     {"timed_out", LossCause::kEngineSilent},
 };
 
-/** Outcomes of requests that nobody owed an answer but the one they got. */
+/** Outcomes of invalid requests, which are not counted. */
 constexpr std::string_view kNotOwed[] = {"unknown_path", "malformed_request",
                                          "unknown_model", "unknown_service"};
 
@@ -73,7 +74,7 @@
   return milliseconds(millis);
 }
 
-/** What lines before a request's end tell of its model and its sends. */
+/** Events before a request's end that concern its model and its sends. */
 class Trail {
  public:
   void Note(const Event& event) {
@@ -89,7 +90,7 @@
     }
   }
 
-  /** @return What a request that was not sent in time waited for. */
+  /** @return What a request that was not sent, or sent late, waited for. */
   [[nodiscard]] LossCause WaitOf(const Event& end) const {
     const core::ModelId model(FieldOf(end, "model"));
     if (model.empty()) return LossCause::kNoEngine;
@@ -154,7 +155,7 @@
                                   : LossCause::kUnknown;
 }
 
-/** @return Why a whole answer was late; nothing if it was in time. */
+/** @return Why a complete answer was late; nothing if it was in time. */
 std::optional<LossCause> CauseOfLateness(const Event& end, const Trail& trail) {
   const milliseconds objective = MillisOf(end, "objective_ms");
   const milliseconds first_byte = MillisOf(end, "first_byte_ms");
--- a/src/timeline/losses_func.h
+++ b/src/timeline/losses_func.h
@@ -1,5 +1,5 @@
-/** @file losses_func.h Why requests were refused, failed or late, from lines.
- */
+/** @file losses_func.h Derives from logs why requests were refused, failed or
+ * late. */
 #ifndef SAPPHIRE_TIMELINE_LOSSES_FUNC_H_
 #define SAPPHIRE_TIMELINE_LOSSES_FUNC_H_
 
@@ -13,29 +13,29 @@
 
 namespace sapphire::timeline {
 
-/** How a caller was served badly. */
+/** How a request was lost. */
 enum class LossKind { kRefused, kFailed, kLate };
 
-/** The one cause that a lost request is put down to. */
+/** The cause that a lost request is attributed to. */
 enum class LossCause {
   kLoadFromMemory,  ///< It waited for a load from an engine's memory.
   kLoadFromDisk,    ///< It waited for a load from an engine's disk.
   kLoadFromStore,   ///< It waited for a load from the weight store.
-  kWakeUpFailed,    ///< The model's latest wake-up had failed.
+  kWakeUpFailed,    ///< The latest load of its model failed.
   kAdapter,         ///< It waited for an adapter.
   kNoRoom,          ///< No engine could make room for its model.
   kNoEngine,        ///< No engine of its service could be reached.
   kSlowFirstToken,  ///< Its engine was slow with the first token.
   kPause,           ///< Its engine paused for too long between events.
-  kEngineSilent,    ///< Its engine fell silent.
-  kEngineBroke,     ///< Its engine's connection ended in the middle.
-  kEngineError,     ///< Its engine answered with an error of its own.
-  kSentAgain,       ///< It was served by a second engine, too late.
-  kEntryLeaving,    ///< Its entry was about to end.
-  kNotConfigured,   ///< Its entry knew no configuration yet.
+  kEngineSilent,    ///< Its engine stopped sending or timed out.
+  kEngineBroke,     ///< Its engine's connection ended before the answer did.
+  kEngineError,     ///< Its engine answered with an error.
+  kSentAgain,       ///< It was late after its first engine failed.
+  kEntryLeaving,    ///< Its entry was shutting down.
+  kNotConfigured,   ///< Its entry had no configuration yet.
   kCrashesEngines,  ///< It had crashed engines before.
-  kCallerLeft,      ///< Its caller left while it was being served.
-  kUnknown,         ///< The lines do not tell.
+  kCallerLeft,      ///< Its caller disconnected while it was being served.
+  kUnknown,         ///< The logs do not show the cause.
 };
 
 /** @return The cause's name, as tables and JSON show it. */
@@ -52,7 +52,7 @@
   std::chrono::milliseconds took{0};
 };
 
-/** Losses and what they are to be compared with. */
+/** Lost requests, and the number of all requests. */
 struct LossAccount {
   std::vector<Loss> losses;
   /** Requests that ended, lost or not. */
@@ -60,19 +60,20 @@
 };
 
 /**
- * Gives every request that was refused, failed or late one cause, from the
- * lines of all processes. Requests that no route allows are not counted.
+ * Attributes every request that was refused, failed or late to one cause, from
+ * the events of all processes. Invalid requests, which no route serves, are not
+ * counted.
  * @param events Sorted by time.
  */
 LossAccount AccountLosses(const std::vector<Event>& events);
 
-/** @return A table of routes by cause, and of seconds. */
+/** @return Tables of losses by route and cause, and by second. */
 std::string RenderLosses(const LossAccount& account);
 
-/** @return A JSON document with each loss and the sums. */
+/** @return A JSON document with each loss and the number of requests. */
 std::string RenderLossesJson(const LossAccount& account);
 
-/** @return Bars of seconds, stacked by cause, with a legend. */
+/** @return A bar chart of losses per second, stacked by cause. */
 std::string RenderLossesSvg(const LossAccount& account);
 
 /** @return Whole seconds since the first loss of the account. */
--- a/src/timeline/losses_svg.cc
+++ b/src/timeline/losses_svg.cc
@@ -1,4 +1,4 @@
-/** @file losses_svg.cc Shows lost requests over time as an SVG picture. */
+/** @file losses_svg.cc Draws lost requests over time as an SVG chart. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -18,13 +18,13 @@
 constexpr int kLeft = 50;
 constexpr int kLegendWidth = 230;
 constexpr int kLegendLine = 16;
-/** Of hues, so that neighbours in the legend differ well. */
+/** Degrees between successive hues, so that neighbours in the legend differ. */
 constexpr int kHueStep = 137;
 constexpr int kHues = 360;
 
 using CountsOfCauses = std::map<LossCause, int>;
 
-/** Losses in each second, and in all. */
+/** Losses per second and in total, by cause. */
 struct Histogram {
   std::map<std::int64_t, CountsOfCauses> seconds;
   CountsOfCauses all;
--- a/src/timeline/losses_test.cc
+++ b/src/timeline/losses_test.cc
@@ -1,5 +1,5 @@
-/** @file losses_test.cc Tests of the account of lost requests, on lines with
- * known causes. */
+/** @file losses_test.cc Tests that lost requests are attributed to the right
+ * cause, from log lines. */
 #define BOOST_TEST_MODULE losses
 #include <boost/test/unit_test.hpp>
 #include <sstream>
@@ -23,7 +23,7 @@
   return AccountLosses(ReadEvents(in).events);
 }
 
-/** An end of request r; fields given last are those that matter. */
+/** @return The line that ends request r, with these fields added. */
 std::string End(const std::string& fields) {
   return "event=request_end request=r route=drafts model=m total_ms=900 " +
          fields;
@@ -52,8 +52,8 @@
 
 }  // namespace
 
-/** On-call asks of each lost request what it waited for; the lines that decided
- * it stand before its end, some of them of other entries. */
+/** Operators need to know what each lost request waited for. The events that
+ * decide it precede the request's end; some are from other entries. */
 BOOST_AUTO_TEST_CASE(EachLossHasItsCause) {
   BOOST_TEST(CauseOf({End(kInTime)}) == "none");
   BOOST_TEST(CauseOf({End(kPaused)}) == "pause");
@@ -93,8 +93,7 @@
              std::string::npos);
 }
 
-/** A second with two causes has a bar of two parts; both stand in the legend.
- */
+/** A second with two causes has a bar of two parts; the legend lists both. */
 BOOST_AUTO_TEST_CASE(ThePictureShowsEachSecondAndCause) {
   const LossAccount account =
       AccountOf({End(kPaused), End(kSlow), End(kSlow), End(kInTime)});
--- a/src/timeline/render_func.h
+++ b/src/timeline/render_func.h
@@ -1,4 +1,4 @@
-/** @file render_func.h Shows a time line as text, JSON or a picture. */
+/** @file render_func.h Renders a time line as text, JSON, SVG or HTML. */
 #ifndef SAPPHIRE_TIMELINE_RENDER_FUNC_H_
 #define SAPPHIRE_TIMELINE_RENDER_FUNC_H_
 
@@ -10,7 +10,7 @@
 
 namespace sapphire::timeline {
 
-/** @param events Sorted by time. @return One line an event. */
+/** @param events Sorted by time. @return One line per event. */
 std::string RenderText(const std::vector<Event>& events,
                        const ClockShifts& shifts);
 
@@ -22,7 +22,7 @@
  * lane to lane, replicas' states as bars. */
 std::string RenderSvg(const std::vector<Event>& events);
 
-/** @return One HTML page that needs nothing else: picture and events. */
+/** @return A self-contained HTML page with the picture and the events. */
 std::string RenderHtml(const std::vector<Event>& events,
                        const ClockShifts& shifts);
 
--- a/src/timeline/render_svg.cc
+++ b/src/timeline/render_svg.cc
@@ -1,4 +1,4 @@
-/** @file render_svg.cc Shows a time line as an SVG picture. */
+/** @file render_svg.cc Renders a time line as an SVG picture. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -21,7 +21,7 @@
 constexpr double kBarOffset = 10;
 constexpr int kTicks = 10;
 constexpr int kHues = 360;
-/** Steps of this many degrees keep neighbouring requests' colours apart. */
+/** Degrees between the hues of neighbouring requests. */
 constexpr int kHueStep = 47;
 
 struct CategoryColour {
@@ -136,7 +136,8 @@
     }
   }
 
-  /** A bar from each event of a replica to its next one, by lane and model. */
+  /** Draws a bar from each event of a replica to the next, by lane and model.
+   */
   void DrawReplicas() {
     std::map<std::pair<std::string, std::string>, const Event*> before;
     for (const Event& event : events_) {
@@ -162,8 +163,8 @@
         kBarHeight, Title(from), Escaped(to.name));
   }
 
-  /** A line from lane to lane through where each event of a request began and
-   * ended. */
+  /** Draws a line for each request through the begin and end of its events,
+   * from lane to lane. */
   void DrawRequests() {
     std::map<core::RequestId, std::multimap<core::WallTime, double>> paths;
     for (const Event& event : events_) {
--- a/src/timeline/render_text.cc
+++ b/src/timeline/render_text.cc
@@ -1,4 +1,4 @@
-/** @file render_text.cc Shows a time line as text, JSON or HTML. */
+/** @file render_text.cc Renders a time line as text, JSON or HTML. */
 #include <fmt/chrono.h>
 #include <fmt/format.h>
 
--- a/src/timeline/sapphire_timeline_main.cc
+++ b/src/timeline/sapphire_timeline_main.cc
@@ -28,7 +28,7 @@
   std::string svg_file;
   std::string html_file;
   bool keep_clocks = false;
-  /** The account of lost requests in place of the time line. */
+  /** Print an analysis of lost requests instead of the time line. */
   bool losses = false;
 };
 
--- a/src/timeline/timeline_test.cc
+++ b/src/timeline/timeline_test.cc
@@ -1,4 +1,4 @@
-/** @file timeline_test.cc Reading, ordering and showing events. */
+/** @file timeline_test.cc Tests of reading, ordering and rendering events. */
 #define BOOST_TEST_MODULE timeline
 #include <boost/json.hpp>
 #include <boost/test/data/test_case.hpp>
@@ -52,9 +52,9 @@
   return event;
 }
 
-// An endpoint's clock is minutes behind the entry's, or ahead of it. Sorted by
-// the clocks as they are, answers come before their questions. By the shifts,
-// what an endpoint did of a request stands between its begin and its end.
+// The clocks of other VMs are up to 90 s behind the receiving entry's, or ahead
+// of it, so that unshifted times would put answers before requests. With the
+// shifts, the events of other VMs lie between begin and end of their request.
 BOOST_DATA_TEST_CASE(AnswersFollowQuestions, boost::unit_test::data::xrange(40),
                      seed) {
   std::mt19937 random(seed);
