--- a/src/timeline/losses.cc
+++ b/src/timeline/losses.cc
@@ -1,4 +1,5 @@
-/** @file losses.cc Derives from logs why requests were refused or late. */
+/** @file losses.cc Derives from logs why requests were refused, failed or late.
+ */
 #include <fmt/format.h>
 
 #include <algorithm>
