--- a/src/contract/config_pull.cc
+++ b/src/contract/config_pull.cc
@@ -69,8 +69,9 @@
   while (true) {
     const gen::Message message = co_await call->Receive(kReceiveTimeout);
     if (!message.__isset.config_parts) {
-      throw core::Error(ErrorCode::kInternal,
-                        "config pull: answered by " + link::KindOf(message));
+      throw core::Error(
+          ErrorCode::kInternal,
+          "config pull: unexpected message " + link::KindOf(message));
     }
     const gen::ConfigParts& answer = message.config_parts;
     for (const gen::ConfigPart& part : answer.parts) {
@@ -80,7 +81,8 @@
       co_return Assemble(answer, std::move(parts));
     }
     if (answer.parts.empty()) {
-      throw core::Error(ErrorCode::kAnswerCut, "config pull: parts missing");
+      throw core::Error(ErrorCode::kAnswerCut,
+                        "config pull: the peer did not send all parts");
     }
   }
 }
--- a/src/core/address.cc
+++ b/src/core/address.cc
@@ -38,12 +38,12 @@
   }
   boost::system::error_code ec;
   const auto ip = boost::asio::ip::make_address(host, ec);
-  if (ec) BadAddress(address, "has no IP number");
+  if (ec) BadAddress(address, "does not contain a valid IP address");
   std::uint16_t port = 0;
   const char* end = address.data() + address.size();
   const auto result = std::from_chars(address.data() + colon + 1, end, port);
   if (result.ec != std::errc() || result.ptr != end) {
-    BadAddress(address, "has no port number");
+    BadAddress(address, "does not contain a valid port number");
   }
   return {ip, port};
 }
--- a/src/core/log.cc
+++ b/src/core/log.cc
@@ -95,7 +95,7 @@
   }
   throw Error(ErrorCode::kBadSettings,
               "log_level: " + std::string(name) +
-                  " is none of debug, info, warning, error");
+                  " must be one of debug, info, warning, error");
 }
 
 }  // namespace sapphire::core
--- a/src/core/settings.cc
+++ b/src/core/settings.cc
@@ -142,7 +142,7 @@
   for (const auto& [key, node] : parsed) {
     const SettingDef* def = Find(table, key.str());
     if (def == nullptr) {
-      Fail(file, key.source(), key.str(), "is no setting of this program");
+      Fail(file, key.source(), key.str(), "is not a setting of this program");
     }
     values.emplace(def->name, CheckedValue(*def, node, file));
   }
@@ -174,8 +174,9 @@
              std::string_view name) {
   const auto it = values.find(name);
   if (it == values.end() || !std::holds_alternative<T>(it->second)) {
-    throw Error(ErrorCode::kInternal,
-                fmt::format("the settings table has no {} of this type", name));
+    throw Error(
+        ErrorCode::kInternal,
+        fmt::format("the settings table has no setting {} of this type", name));
   }
   return std::get<T>(it->second);
 }
--- a/src/core/settings_test.cc
+++ b/src/core/settings_test.cc
@@ -47,7 +47,7 @@
   BOOST_TEST(FailureOf("port = 70000") ==
              "a.toml:1: port: must be from 0 to 65535");
   BOOST_TEST(FailureOf("port = 1\nprot = 2") ==
-             "a.toml:2: prot: is no setting of this program");
+             "a.toml:2: prot: is not a setting of this program");
   BOOST_TEST(FailureOf("wait = 2") == "a.toml:1: port: is required");
   BOOST_TEST(FailureOf("port = ").starts_with("a.toml:1: syntax: "));
 }
--- a/src/ctl/ctl.cc
+++ b/src/ctl/ctl.cc
@@ -124,7 +124,7 @@
   if (!problem || problem->name.empty()) {
     report.exit_code = ExitCode::kUnknownOutcome;
     report.error = fmt::format(
-        "error: status {} without a problem report; is --entry an entry's "
+        "error: status {} without a problem+json body; is --entry an entry's "
         "address?\n",
         response.head.status);
     return report;
@@ -213,7 +213,7 @@
           "POST",
           fmt::format("endpoints/{}/drain", http::UrlEncode(command.argument)));
   }
-  throw std::runtime_error("no such command");
+  throw std::runtime_error("unknown command");
 }
 
 Report ReportFor(const Command& command, const http::Response& response) {
--- a/src/ctl/sapphirectl_main.cc
+++ b/src/ctl/sapphirectl_main.cc
@@ -17,7 +17,7 @@
 ctl::Report RunToEnd(ctl::Command command) {
   boost::asio::io_context context;
   ctl::Report report{ctl::ExitCode::kUnknownOutcome, "",
-                     "error: the command did not end\n"};
+                     "error: the command did not complete\n"};
   boost::asio::co_spawn(
       context, ctl::RunCommand(std::move(command)),
       [&](const std::exception_ptr& failure, ctl::Report result) {
--- a/src/timeline/render_text.cc
+++ b/src/timeline/render_text.cc
@@ -76,7 +76,7 @@
                        const ClockShifts& shifts) {
   std::string text;
   for (const auto& [vm, shift] : shifts) {
-    text += fmt::format("# the clock of {} is taken as off by {} us\n",
+    text += fmt::format("# the clock of {} is off by an estimated {} us\n",
                         vm.value(), -shift.count());
   }
   if (events.empty()) return text + "# no events\n";
--- a/src/timeline/sapphire_timeline_main.cc
+++ b/src/timeline/sapphire_timeline_main.cc
@@ -60,7 +60,8 @@
   for (const std::string& name : names) {
     timeline::ReadLog log = ReadFile(name);
     if (log.other_lines > 0) {
-      fmt::print(stderr, "{}: {} lines are no events\n", name, log.other_lines);
+      fmt::print(stderr, "{}: {} lines are not events\n", name,
+                 log.other_lines);
     }
     std::ranges::move(log.events, std::back_inserter(events));
   }
