--- a/src/core/address.cc
+++ b/src/core/address.cc
@@ -68,7 +68,7 @@
   return shown + ":" + std::to_string(local.port());
 }
 
-void NoticeDeadPeer(boost::asio::ip::tcp::socket& socket) {
+void EnableDeadPeerDetection(boost::asio::ip::tcp::socket& socket) {
   constexpr int kOn = 1;
   constexpr int kIdleSeconds = 1;
   constexpr int kProbeSeconds = 1;
--- a/src/core/address_func.h
+++ b/src/core/address_func.h
@@ -28,7 +28,7 @@
  * (power loss, network failure): unacknowledged data or keep-alive probes time
  * out after about three seconds. Otherwise a read would wait forever.
  */
-void NoticeDeadPeer(boost::asio::ip::tcp::socket& socket);
+void EnableDeadPeerDetection(boost::asio::ip::tcp::socket& socket);
 
 /** Replaces a file atomically (by rename): readers never see a partial file.
  * @throws Error kBadSettings */
--- a/src/core/stall_watch.cc
+++ b/src/core/stall_watch.cc
@@ -8,25 +8,25 @@
 namespace {
 
 /** Shortest time between two log lines. */
-constexpr std::chrono::milliseconds kLogPause{1000};
+constexpr std::chrono::milliseconds kMinLogInterval{1000};
 
 }  // namespace
 
 StallWatch::Span::~Span() {
-  watch_.Note(work_, std::chrono::duration_cast<std::chrono::milliseconds>(
-                         watch_.clock_.Now() - began_));
+  watch_.Record(work_, std::chrono::duration_cast<std::chrono::milliseconds>(
+                           watch_.clock_.Now() - began_));
 }
 
 StallWatch::StallWatch(Observe observe, const Clock& clock, const Logger& log)
     : observe_(std::move(observe)), clock_(clock), log_(log) {}
 
-void StallWatch::Note(std::string_view work, std::chrono::milliseconds took) {
-  if (took < kLeast) return;
+void StallWatch::Record(std::string_view work, std::chrono::milliseconds took) {
+  if (took < kMinStall) return;
   ++stalls_;
   observe_(work, took);
   const SteadyTime now = clock_.Now();
-  if (logged_ && now - *logged_ < kLogPause) return;
-  logged_ = now;
+  if (last_logged_ && now - *last_logged_ < kMinLogInterval) return;
+  last_logged_ = now;
   log_.Event(LogLevel::kWarning, LogCategory::kProcess, "loop_held",
              {{"work", work}, {"took_ms", took}, {"so_far", stalls_}});
 }
--- a/src/core/stall_watch_base.h
+++ b/src/core/stall_watch_base.h
@@ -21,7 +21,7 @@
  public:
   /** Shortest stall that is reported. With a fifth of a core it is 25 ms of
    * wall time, a fifth of the delay that makes an event late. */
-  static constexpr std::chrono::milliseconds kLeast{5};
+  static constexpr std::chrono::milliseconds kMinStall{5};
 
   using Observe =
       std::function<void(std::string_view work, std::chrono::milliseconds)>;
@@ -48,7 +48,7 @@
   StallWatch(Observe observe, const Clock& clock, const Logger& log);
 
   /** Records that work took this long, or that a timer fired this late. */
-  void Note(std::string_view work, std::chrono::milliseconds took);
+  void Record(std::string_view work, std::chrono::milliseconds took);
 
   /** @return The number of stalls so far. */
   [[nodiscard]] std::int64_t stalls() const { return stalls_; }
@@ -58,7 +58,7 @@
   const Clock& clock_;
   const Logger& log_;
   std::int64_t stalls_ = 0;
-  std::optional<SteadyTime> logged_;
+  std::optional<SteadyTime> last_logged_;
 };
 
 }  // namespace sapphire::core
--- a/src/core/stall_watch_test.cc
+++ b/src/core/stall_watch_test.cc
@@ -20,7 +20,7 @@
   explicit Rig(int fd)
       : log({"entry", VmId("vm"), ZoneId("z")}, LogLevel::kInfo, clock, fd),
         watch([this](std::string_view work,
-                     milliseconds) { seen.emplace_back(work); },
+                     milliseconds) { reported.emplace_back(work); },
               clock, log) {}
 
   void Work(const char* name, milliseconds time) {
@@ -30,7 +30,7 @@
 
   ManualClock clock;
   Logger log;
-  std::vector<std::string> seen;
+  std::vector<std::string> reported;
   StallWatch watch;
 };
 
@@ -41,7 +41,7 @@
  * while the entry's thread reads a large configuration. Each stall is counted
  * with the work that caused it; the log has at most one line per second.
  */
-BOOST_AUTO_TEST_CASE(WorkThatHoldsUpSocketsIsTold) {
+BOOST_AUTO_TEST_CASE(WorkThatBlocksSocketsIsReported) {
   std::array<int, 2> ends{};
   BOOST_REQUIRE(::pipe(ends.data()) == 0);
   {
@@ -50,10 +50,10 @@
     BOOST_TEST(rig.watch.stalls() == 0);
     for (int i = 0; i < 10; ++i) rig.Work("configuration", milliseconds(20));
     BOOST_TEST(rig.watch.stalls() == 10);
-    BOOST_TEST(rig.seen.size() == 10U);
-    BOOST_TEST(rig.seen.front() == "configuration");
+    BOOST_TEST(rig.reported.size() == 10U);
+    BOOST_TEST(rig.reported.front() == "configuration");
     rig.clock.Advance(milliseconds(1000));
-    rig.watch.Note("timer", milliseconds(300));
+    rig.watch.Record("timer", milliseconds(300));
   }
   ::close(ends[1]);
   std::string text;
--- a/src/http/client.cc
+++ b/src/http/client.cc
@@ -152,7 +152,7 @@
     if (ec) Fail(address_, ec, false);
     beast::error_code ignored;
     stream_.socket().set_option(tcp::no_delay(true), ignored);
-    core::NoticeDeadPeer(stream_.socket());
+    core::EnableDeadPeerDetection(stream_.socket());
   }
 
   void ExpireAfter(std::chrono::milliseconds timeout) {
--- a/src/http/server.cc
+++ b/src/http/server.cc
@@ -329,7 +329,7 @@
     }
     beast::error_code ignored;
     socket.set_option(tcp::no_delay(true), ignored);
-    core::NoticeDeadPeer(socket);
+    core::EnableDeadPeerDetection(socket);
     const auto executor = socket.get_executor();
     auto connection = std::make_shared<Connection>(std::move(socket));
     {
--- a/src/serving/front.cc
+++ b/src/serving/front.cc
@@ -437,8 +437,8 @@
     const core::SteadyTime due = clock_.Now() + kHousekeeping;
     co_await core::SleepFor(kHousekeeping);
     // Whatever held the thread up meanwhile has held up this timer too.
-    stalls_.Note("any",
-                 std::chrono::duration_cast<milliseconds>(clock_.Now() - due));
+    stalls_.Record(
+        "any", std::chrono::duration_cast<milliseconds>(clock_.Now() - due));
   }
 }
 
