--- a/src/contract/config_codec.cc
+++ b/src/contract/config_codec.cc
@@ -27,22 +27,22 @@
   explicit PartWriter(std::vector<Part>& parts) : parts_(parts) {}
 
   /** Starts a part with these fields. */
-  void Begin(json::object fields) { open_ = std::move(fields); }
+  void Begin(json::object fields) { current_ = std::move(fields); }
 
   /** Adds an element to a list; starts another part if this one is full. */
   void Add(std::string_view list, json::object element) {
     const std::size_t n = json::serialize(element).size();
-    if (open_bytes_ + n > kPartTargetBytes) Finish();
-    json::value& value = open_[list];
+    if (current_bytes_ + n > kPartTargetBytes) Finish();
+    json::value& value = current_[list];
     if (!value.is_array()) value.emplace_array();
     value.get_array().push_back(std::move(element));
-    open_bytes_ += n;
+    current_bytes_ += n;
   }
 
   /** Completes the current part, unless it is empty. */
   void Finish() {
-    if (open_.empty()) return;
-    std::string data = json::serialize(open_);
+    if (current_.empty()) return;
+    std::string data = json::serialize(current_);
     if (data.size() > kMaxPartBytes) {
       throw core::Error(ErrorCode::kIntentOverLimit,
                         fmt::format("model: one part has {} bytes, over the "
@@ -51,14 +51,14 @@
     }
     std::string hash = PartHash(data);
     parts_.push_back({std::move(hash), std::move(data)});
-    open_.clear();
-    open_bytes_ = 0;
+    current_.clear();
+    current_bytes_ = 0;
   }
 
  private:
   std::vector<Part>& parts_;
-  json::object open_;
-  std::size_t open_bytes_ = 0;
+  json::object current_;
+  std::size_t current_bytes_ = 0;
 };
 
 std::size_t BucketOf(const core::ModelId& model) {
@@ -104,9 +104,9 @@
 }
 
 /** Concatenates lists and overwrites other fields. */
-void MergeInto(json::object& whole, json::object part) {
+void MergeInto(json::object& merged, json::object part) {
   for (auto& field : part) {
-    json::value& target = whole[field.key()];
+    json::value& target = merged[field.key()];
     if (!target.is_array() || !field.value().is_array()) {
       target = std::move(field.value());
       continue;
@@ -134,13 +134,13 @@
 
 Config DecodeConfig(std::int64_t version, core::PlanId plan,
                     std::span<const Part> parts) {
-  json::object whole;
-  for (const Part& part : parts) MergeInto(whole, ParsePart(part));
+  json::object merged;
+  for (const Part& part : parts) MergeInto(merged, ParsePart(part));
   try {
     return {version, std::move(plan),
-            IntentFromJson(whole, UnknownKeys::kIgnore)};
-  } catch (const FieldFault& fault) {
-    throw fault.ToError("stored configuration: ");
+            IntentFromJson(merged, UnknownKeys::kIgnore)};
+  } catch (const FieldError& error) {
+    throw error.ToError("stored configuration: ");
   }
 }
 
--- a/src/contract/config_codec_test.cc
+++ b/src/contract/config_codec_test.cc
@@ -28,7 +28,7 @@
 }
 
 // The reference is the whole document as one JSON text.
-BOOST_DATA_TEST_CASE(PartsGiveTheWholeDocument,
+BOOST_DATA_TEST_CASE(PartsDecodeToTheWholeDocument,
                      boost::unit_test::data::xrange(40), seed) {
   testing::Random random(seed);
   const Config config{7, kPlan, testing::RandomIntent(random, seed * 5)};
@@ -39,7 +39,7 @@
   BOOST_CHECK(decoded.intent == config.intent);
 }
 
-BOOST_DATA_TEST_CASE(OneChangeTouchesOnePart,
+BOOST_DATA_TEST_CASE(OneChangeReplacesAtMostOnePart,
                      boost::unit_test::data::xrange(40), seed) {
   testing::Random random(seed);
   const Intent before = testing::RandomIntent(random, 500);
@@ -50,7 +50,7 @@
 
 /** @return The worst case: models with the longest lists of the longest names,
  * all in one bucket. */
-Intent CrowdedIntent() {
+Intent LargestBucketIntent() {
   Intent intent;
   intent.deployment = "crowded";
   const core::ServiceId service("s");
@@ -73,7 +73,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(EveryPartFitsTheKeyValueService) {
-  const Config config{1, kPlan, CrowdedIntent()};
+  const Config config{1, kPlan, LargestBucketIntent()};
   Validate(config.intent);
   const EncodedConfig encoded = EncodeConfig(config);
   for (const Part& part : encoded.parts) {
@@ -102,7 +102,7 @@
 // During an upgrade, a newer release confirms a configuration with a field that
 // this release does not know. It must still come into force and be forwarded
 // unchanged.
-BOOST_AUTO_TEST_CASE(FieldsOfNewerReleasesArePassedOn) {
+BOOST_AUTO_TEST_CASE(FieldsOfNewerReleasesAreForwarded) {
   const std::string data =
       R"({"deployment":"d","colour":"red","service":[{"name":"s",)"
       R"("max_replicas":1,"tier":3}]})";
--- a/src/contract/config_pull.cc
+++ b/src/contract/config_pull.cc
@@ -24,7 +24,7 @@
 constexpr std::size_t kMessageBytes = 1024 * 1024;
 constexpr std::chrono::milliseconds kReceiveTimeout{2000};
 /** Time until a peer whose answer could not be used is pulled from again. */
-constexpr std::chrono::milliseconds kRestAfterFailure{200};
+constexpr std::chrono::milliseconds kPauseAfterFailure{200};
 
 using PartMap = std::map<std::string, std::string, std::less<>>;
 
@@ -48,7 +48,7 @@
 
 /** @return The parts that the peer leaves out because the request lists them.
  */
-PartMap HeldParts(const EncodedConfig* have) {
+PartMap LocalParts(const EncodedConfig* have) {
   PartMap parts;
   if (have == nullptr) return parts;
   for (const Part& part : have->parts) parts.emplace(part.hash, part.data);
@@ -109,8 +109,8 @@
 
   /** Starts a pull unless one is running. Called for every frame of a peer
    * with a newer version. */
-  void NewerSeen(const std::shared_ptr<link::Link>& link) {
-    if (Resting(link->peer().vm) || !Begin(link)) return;
+  void OnNewerVersion(const std::shared_ptr<link::Link>& link) {
+    if (IsPaused(link->peer().vm) || !Begin(link)) return;
     core::Spawn(executor, log, "config_pull",
                 [self = shared_from_this(), link] { return Run(self, link); });
   }
@@ -128,13 +128,13 @@
       failure = e.what();
     }
     const core::VmId peer = link->peer().vm;
-    if (!failure.empty()) self->SetResting(peer, true);
+    if (!failure.empty()) self->SetPaused(peer, true);
     self->End();
     if (failure.empty()) co_return;
     self->log.Event(LogLevel::kWarning, LogCategory::kConfig,
                     "config_pull_failed", {{"peer", peer}, {"error", failure}});
-    co_await core::SleepFor(kRestAfterFailure);
-    self->SetResting(peer, false);
+    co_await core::SleepFor(kPauseAfterFailure);
+    self->SetPaused(peer, false);
   }
 
   /** @return True if a pull may start; otherwise the peer is pulled from when
@@ -142,7 +142,7 @@
   bool Begin(const std::shared_ptr<link::Link>& link) {
     const std::lock_guard lock(mutex);
     if (pulling) {
-      missed = link;
+      next_link = link;
       return false;
     }
     pulling = true;
@@ -157,23 +157,23 @@
     {
       const std::lock_guard lock(mutex);
       pulling = false;
-      again = std::exchange(missed, nullptr);
+      again = std::exchange(next_link, nullptr);
     }
     if (again == nullptr || again->lost()) return;
-    if (again->peer().config_version > holder.version()) NewerSeen(again);
+    if (again->peer().config_version > holder.version()) OnNewerVersion(again);
   }
 
-  bool Resting(const core::VmId& peer) {
+  bool IsPaused(const core::VmId& peer) {
     const std::lock_guard lock(mutex);
-    return resting.contains(peer);
+    return paused.contains(peer);
   }
 
-  void SetResting(const core::VmId& peer, bool rests) {
+  void SetPaused(const core::VmId& peer, bool pause) {
     const std::lock_guard lock(mutex);
-    if (rests) {
-      resting.insert(peer);
+    if (pause) {
+      paused.insert(peer);
     } else {
-      resting.erase(peer);
+      paused.erase(peer);
     }
   }
 
@@ -182,7 +182,7 @@
     const std::shared_ptr<const EncodedConfig> have = self->parts.Current();
     const std::shared_ptr<link::Call> call =
         co_await link->Open(PullMessage(have.get()));
-    EncodedConfig config = co_await ReceiveConfig(call, HeldParts(have.get()));
+    EncodedConfig config = co_await ReceiveConfig(call, LocalParts(have.get()));
     const std::int64_t version = config.version;
     if (!self->parts.Adopt(std::move(config))) co_return;
     self->log.Event(
@@ -197,9 +197,9 @@
   std::mutex mutex;
   bool pulling = false;
   /** The last peer that announced a newer version during a pull. */
-  std::shared_ptr<link::Link> missed;
+  std::shared_ptr<link::Link> next_link;
   /** Peers that are paused after a failed pull. */
-  std::set<core::VmId> resting;
+  std::set<core::VmId> paused;
 };
 
 ConfigPuller::ConfigPuller(const core::Executor& executor, ConfigHolder& holder,
@@ -212,7 +212,9 @@
   link::VersionHooks hooks;
   hooks.current = [state = state_] { return state->holder.version(); };
   hooks.newer_seen = [state = state_](const std::shared_ptr<link::Link>& link,
-                                      std::int64_t) { state->NewerSeen(link); };
+                                      std::int64_t) {
+    state->OnNewerVersion(link);
+  };
   return hooks;
 }
 
--- a/src/contract/config_pull_test.cc
+++ b/src/contract/config_pull_test.cc
@@ -52,15 +52,15 @@
   core::Task<> Handle(std::shared_ptr<link::Call> call, gen::Message first) {
     if (!first.__isset.config_pull) co_return;
     ++pulls;
-    if (liar) {
-      co_await call->Send(Lie());
+    if (sends_corrupt_parts) {
+      co_await call->Send(CorruptParts());
       co_return;
     }
     co_await puller.Serve(std::move(call), std::move(first.config_pull));
   }
 
   /** A part whose content does not match its hash. */
-  [[nodiscard]] gen::Message Lie() const {
+  [[nodiscard]] gen::Message CorruptParts() const {
     gen::Message message;
     gen::ConfigParts answer;
     answer.version = holder.version();
@@ -78,7 +78,7 @@
   ConfigPuller puller;
   link::LinkNode links;
   std::string address;
-  bool liar = false;
+  bool sends_corrupt_parts = false;
   std::atomic<int> pulls = 0;
 };
 
@@ -183,9 +183,9 @@
 // One peer with damaged memory announces a newer version but sends parts that
 // don't match their hashes. No process may adopt them, and the peer must not
 // prevent pulls of the correct parts from other peers.
-BOOST_FIXTURE_TEST_CASE(DamagedPartsAreNotTaken, Fixture) {
+BOOST_FIXTURE_TEST_CASE(DamagedPartsAreNotAdopted, Fixture) {
   const Intent wanted = RandomIntent(random, 30);
-  c.liar = true;
+  c.sends_corrupt_parts = true;
   c.holder.Adopt({9, kPlan, RandomIntent(random, 30)});
   Connect(b, c);
   while (c.pulls < 2) std::this_thread::sleep_for(milliseconds(5));
@@ -205,7 +205,7 @@
 
 // A process that was frozen still announces an older version than its peers.
 // No peer reverts to it, and the process catches up.
-BOOST_FIXTURE_TEST_CASE(OlderVersionIsNotTaken, Fixture) {
+BOOST_FIXTURE_TEST_CASE(OlderVersionIsNotAdopted, Fixture) {
   a.holder.Adopt({5, kPlan, RandomIntent(random, 30)});
   b.holder.Adopt({4, kPlan, RandomIntent(random, 30)});
   Connect(a, b);
--- a/src/contract/intent_check.cc
+++ b/src/contract/intent_check.cc
@@ -20,23 +20,23 @@
 constexpr double kMaxLoadsPerSecond = 1e6;
 constexpr std::size_t kMaxCallBytes = 256;
 
-[[noreturn]] void Bad(std::string field, std::string reason) {
-  throw FieldFault(ErrorCode::kBadIntent, std::move(field), std::move(reason));
+[[noreturn]] void Reject(std::string field, std::string reason) {
+  throw FieldError(ErrorCode::kBadIntent, std::move(field), std::move(reason));
 }
 
 template <typename Number>
 void CheckRange(const std::string& field, Number value, Number min,
                 Number max) {
-  if (value < min) Bad(field, fmt::format("must be at least {}", min));
+  if (value < min) Reject(field, fmt::format("must be at least {}", min));
   if (value > max) {
-    throw FieldFault(ErrorCode::kIntentOverLimit, field,
+    throw FieldError(ErrorCode::kIntentOverLimit, field,
                      fmt::format("{} is over the limit of {}", value, max));
   }
 }
 
 void CheckCount(const std::string& field, std::size_t n, std::size_t max) {
   if (n <= max) return;
-  throw FieldFault(ErrorCode::kIntentOverLimit, field,
+  throw FieldError(ErrorCode::kIntentOverLimit, field,
                    fmt::format("{} entries are over the limit of {}", n, max));
 }
 
@@ -48,12 +48,12 @@
 /** Names are used in paths, keys and "model:adapter" without escaping. */
 void CheckName(const std::string& field, const std::string& name,
                std::size_t max_bytes) {
-  if (name.empty()) Bad(field, "must not be empty");
+  if (name.empty()) Reject(field, "must not be empty");
   if (!std::ranges::all_of(name, IsNameCharacter)) {
-    Bad(field, "may hold letters, digits, '.', '_' and '-' only");
+    Reject(field, "may hold letters, digits, '.', '_' and '-' only");
   }
   if (name.size() > max_bytes) {
-    throw FieldFault(ErrorCode::kIntentOverLimit, field,
+    throw FieldError(ErrorCode::kIntentOverLimit, field,
                      fmt::format("is longer than {} bytes", max_bytes));
   }
 }
@@ -64,7 +64,7 @@
   const std::string method = call.substr(0, space);
   if (std::ranges::find(kMethods, method) == kMethods.end() ||
       space == std::string::npos || !call.substr(space + 1).starts_with('/')) {
-    Bad(field, fmt::format("\"{}\" must be like \"POST /path\"", call));
+    Reject(field, fmt::format("\"{}\" must be like \"POST /path\"", call));
   }
   CheckRange<std::size_t>(field, call.size(), 0, kMaxCallBytes);
 }
@@ -91,10 +91,10 @@
     CheckName(own + ".version", adapter.version, limits.name_bytes);
     CheckRange<std::int64_t>(own + ".bytes", adapter.bytes, 1, kMaxBytes);
     if (previous != nullptr && previous->name == adapter.name) {
-      Bad(own + ".name", "stands twice");
+      Reject(own + ".name", "stands twice");
     }
     if (previous != nullptr && previous->name > adapter.name) {
-      Bad(path + ".adapters", "must be sorted by name");
+      Reject(path + ".adapters", "must be sorted by name");
     }
     previous = &adapter;
   }
@@ -104,12 +104,12 @@
                     const Intent& intent) {
   const auto it = intent.services.find(model.service);
   if (it == intent.services.end()) {
-    Bad(path + ".service",
-        fmt::format("no service is named \"{}\"", model.service.value()));
+    Reject(path + ".service",
+           fmt::format("no service is named \"{}\"", model.service.value()));
   }
   if (it->second.kind != ServiceKind::kModel) {
-    Bad(path + ".service",
-        fmt::format("\"{}\" is a plain service", model.service.value()));
+    Reject(path + ".service",
+           fmt::format("\"{}\" is a plain service", model.service.value()));
   }
 }
 
@@ -153,7 +153,7 @@
   CheckRange("weight_store.at_once", intent.loads_at_once, 1,
              limits.concurrent);
   if (!(intent.loads_per_second > 0)) {
-    Bad("weight_store.loads_per_second", "must be above 0");
+    Reject("weight_store.loads_per_second", "must be above 0");
   }
   CheckRange("weight_store.loads_per_second", intent.loads_per_second, 0.0,
              kMaxLoadsPerSecond);
@@ -176,8 +176,8 @@
 void Validate(const Intent& intent, const IntentLimits& limits) {
   try {
     CheckIntent(intent, limits);
-  } catch (const FieldFault& fault) {
-    throw fault.ToError("");
+  } catch (const FieldError& error) {
+    throw error.ToError("");
   }
 }
 
--- a/src/contract/intent_json_func.h
+++ b/src/contract/intent_json_func.h
@@ -13,10 +13,10 @@
 namespace sapphire::contract {
 
 /** An invalid field whose position in the file is not known yet. */
-class FieldFault : public std::exception {
+class FieldError : public std::exception {
  public:
-  FieldFault(core::ErrorCode fault_code, std::string fault_field,
-             std::string fault_reason);
+  FieldError(core::ErrorCode error_code, std::string field_path,
+             std::string error_reason);
 
   [[nodiscard]] const char* what() const noexcept override;
 
@@ -45,10 +45,10 @@
 std::string ElementPath(std::string_view list, std::size_t index,
                         std::string_view name);
 
-/** @throws FieldFault */
+/** @throws FieldError */
 Intent IntentFromJson(const boost::json::value& value, UnknownKeys unknown);
 
-/** @throws FieldFault, as Validate. */
+/** @throws FieldError, as Validate. */
 void CheckIntent(const Intent& intent, const IntentLimits& limits);
 
 boost::json::object ToJsonObject(const Service& service);
--- a/src/contract/intent_read.cc
+++ b/src/contract/intent_read.cc
@@ -21,8 +21,8 @@
   return path.empty() ? std::string(key) : fmt::format("{}.{}", path, key);
 }
 
-[[noreturn]] void Bad(std::string field, std::string reason) {
-  throw FieldFault(ErrorCode::kBadIntent, std::move(field), std::move(reason));
+[[noreturn]] void Reject(std::string field, std::string reason) {
+  throw FieldError(ErrorCode::kBadIntent, std::move(field), std::move(reason));
 }
 
 /** Reads the fields of one object and remembers which keys were read. */
@@ -30,13 +30,13 @@
  public:
   ObjectReader(const json::value& value, std::string path, UnknownKeys unknown)
       : path_(std::move(path)), unknown_(unknown) {
-    if (!value.is_object()) Bad(path_, "must be a table");
+    if (!value.is_object()) Reject(path_, "must be a table");
     object_ = &value.get_object();
   }
 
   /** @return The field, or null if it is not given. */
   const json::value* Find(std::string_view key) {
-    asked_.insert(key);
+    read_keys_.insert(key);
     return object_->if_contains(key);
   }
 
@@ -46,7 +46,7 @@
 
   const json::value& Require(std::string_view key) {
     const json::value* value = Find(key);
-    if (value == nullptr) Bad(PathOf(key), "is required");
+    if (value == nullptr) Reject(PathOf(key), "is required");
     return *value;
   }
 
@@ -69,15 +69,15 @@
   void Read(std::string_view key, double& out) {
     const json::value* value = Find(key);
     if (value == nullptr) return;
-    if (!value->is_number()) Bad(PathOf(key), "must be a number");
+    if (!value->is_number()) Reject(PathOf(key), "must be a number");
     out = value->to_number<double>();
-    if (!std::isfinite(out)) Bad(PathOf(key), "must be a finite number");
+    if (!std::isfinite(out)) Reject(PathOf(key), "must be a finite number");
   }
 
   void Read(std::string_view key, bool& out) {
     const json::value* value = Find(key);
     if (value == nullptr) return;
-    if (!value->is_bool()) Bad(PathOf(key), "must be true or false");
+    if (!value->is_bool()) Reject(PathOf(key), "must be true or false");
     out = value->get_bool();
   }
 
@@ -87,14 +87,14 @@
     const auto bytes = value.is_string() ? ParseByteSize(value.get_string())
                                          : std::optional<std::int64_t>();
     if (!bytes) {
-      Bad(PathOf(key), "must be a number of bytes or a text like \"8 GiB\"");
+      Reject(PathOf(key), "must be a number of bytes or a text like \"8 GiB\"");
     }
     return *bytes;
   }
 
   void Read(std::string_view key, std::vector<std::string>& out) {
     for (const json::value& item : List(key)) {
-      if (!item.is_string()) Bad(PathOf(key), "must be a list of texts");
+      if (!item.is_string()) Reject(PathOf(key), "must be a list of texts");
       out.emplace_back(item.get_string());
     }
   }
@@ -104,7 +104,7 @@
     static const json::array kEmpty;
     const json::value* value = Find(key);
     if (value == nullptr) return kEmpty;
-    if (!value->is_array()) Bad(PathOf(key), "must be a list");
+    if (!value->is_array()) Reject(PathOf(key), "must be a list");
     return value->get_array();
   }
 
@@ -112,8 +112,8 @@
   void Finish() const {
     if (unknown_ == UnknownKeys::kIgnore) return;
     for (const auto& field : *object_) {
-      if (!asked_.contains(field.key())) {
-        Bad(PathOf(field.key()), "is not known; see the intent format");
+      if (!read_keys_.contains(field.key())) {
+        Reject(PathOf(field.key()), "is not known; see the intent format");
       }
     }
   }
@@ -121,17 +121,17 @@
  private:
   [[nodiscard]] std::string StringOf(std::string_view key,
                                      const json::value& value) const {
-    if (!value.is_string()) Bad(PathOf(key), "must be a text");
+    if (!value.is_string()) Reject(PathOf(key), "must be a text");
     return std::string(value.get_string());
   }
 
   [[nodiscard]] int IntOf(std::string_view key,
                           const json::value& value) const {
-    if (!value.is_int64()) Bad(PathOf(key), "must be a whole number");
+    if (!value.is_int64()) Reject(PathOf(key), "must be a whole number");
     const std::int64_t number = value.get_int64();
     if (number < std::numeric_limits<int>::min() ||
         number > std::numeric_limits<int>::max()) {
-      throw FieldFault(ErrorCode::kIntentOverLimit, PathOf(key),
+      throw FieldError(ErrorCode::kIntentOverLimit, PathOf(key),
                        "is far out of range");
     }
     return static_cast<int>(number);
@@ -140,7 +140,7 @@
   const json::object* object_ = nullptr;
   std::string path_;
   UnknownKeys unknown_;
-  std::set<std::string_view, std::less<>> asked_;
+  std::set<std::string_view, std::less<>> read_keys_;
 };
 
 std::string_view NameIn(const json::value& element) {
@@ -170,7 +170,7 @@
   reader.Read("kind", kind);
   if (kind == "model") return ServiceKind::kModel;
   if (kind == "plain") return ServiceKind::kPlain;
-  Bad(reader.PathOf("kind"), "must be \"model\" or \"plain\"");
+  Reject(reader.PathOf("kind"), "must be \"model\" or \"plain\"");
 }
 
 /** Rejects a field that does not apply to the service's kind: it is most
@@ -178,7 +178,7 @@
 void RejectField(ObjectReader& reader, std::string_view key,
                  std::string_view only_for) {
   if (reader.Find(key) == nullptr) return;
-  Bad(reader.PathOf(key), fmt::format("is only for {} services", only_for));
+  Reject(reader.PathOf(key), fmt::format("is only for {} services", only_for));
 }
 
 Service ServiceFrom(ObjectReader& reader) {
@@ -238,10 +238,10 @@
 
 /** Adds to a map by name; rejects duplicate names. */
 template <typename Map, typename Thing>
-void AddOnce(Map& map, Thing thing, ObjectReader& reader) {
+void AddUnique(Map& map, Thing thing, ObjectReader& reader) {
   const auto name = thing.name;
   if (!map.try_emplace(name, std::move(thing)).second) {
-    Bad(reader.PathOf("name"), "stands twice");
+    Reject(reader.PathOf("name"), "stands twice");
   }
 }
 
@@ -263,15 +263,15 @@
 
 }  // namespace
 
-FieldFault::FieldFault(core::ErrorCode fault_code, std::string fault_field,
-                       std::string fault_reason)
-    : code_(fault_code),
-      field_(std::move(fault_field)),
-      reason_(std::move(fault_reason)) {}
+FieldError::FieldError(core::ErrorCode error_code, std::string field_path,
+                       std::string error_reason)
+    : code_(error_code),
+      field_(std::move(field_path)),
+      reason_(std::move(error_reason)) {}
 
-const char* FieldFault::what() const noexcept { return reason_.c_str(); }
+const char* FieldError::what() const noexcept { return reason_.c_str(); }
 
-core::Error FieldFault::ToError(std::string_view place) const {
+core::Error FieldError::ToError(std::string_view place) const {
   const std::string field = field_.empty() ? std::string("intent") : field_;
   return core::Error(code_, fmt::format("{}{}: {}", place, field, reason_));
 }
@@ -287,13 +287,13 @@
   ObjectReader reader(value, "", unknown);
   ReadScalars(reader, unknown, intent);
   ForEachNamed(reader, "service", unknown, [&](ObjectReader& element) {
-    AddOnce(intent.services, ServiceFrom(element), element);
+    AddUnique(intent.services, ServiceFrom(element), element);
   });
   ForEachNamed(reader, "model", unknown, [&](ObjectReader& element) {
-    AddOnce(intent.models, ModelFrom(element, unknown), element);
+    AddUnique(intent.models, ModelFrom(element, unknown), element);
   });
   ForEachNamed(reader, "owner", unknown, [&](ObjectReader& element) {
-    AddOnce(intent.owners, OwnerFrom(element), element);
+    AddUnique(intent.owners, OwnerFrom(element), element);
   });
   reader.Finish();
   return intent;
@@ -310,8 +310,8 @@
     Intent intent = IntentFromJson(value, UnknownKeys::kReject);
     CheckIntent(intent, {});
     return intent;
-  } catch (const FieldFault& fault) {
-    throw fault.ToError("");
+  } catch (const FieldError& error) {
+    throw error.ToError("");
   }
 }
 
--- a/src/contract/intent_test.cc
+++ b/src/contract/intent_test.cc
@@ -16,7 +16,7 @@
 
 using core::ErrorCode;
 
-constexpr std::string_view kGood = R"(deployment = "meander"
+constexpr std::string_view kValidToml = R"(deployment = "meander"
 [[service]]
 name = "cabin"
 max_replicas = 2
@@ -86,7 +86,7 @@
 };
 
 std::string Replaced(std::string_view find, std::string_view replacement) {
-  std::string text(kGood);
+  std::string text(kValidToml);
   const std::size_t at = text.find(find);
   BOOST_REQUIRE(at != std::string::npos);
   return text.replace(at, find.size(), replacement);
@@ -103,8 +103,8 @@
       });
 }
 
-BOOST_AUTO_TEST_CASE(GoodTomlIsRead) {
-  const Intent intent = ParseIntentToml(kGood, "m.toml");
+BOOST_AUTO_TEST_CASE(ValidTomlIsRead) {
+  const Intent intent = ParseIntentToml(kValidToml, "m.toml");
   const Model& model = intent.models.at(core::ModelId("itinerary"));
   BOOST_TEST(model.weight_bytes == 8LL << 30);
   BOOST_TEST(model.adapters.at(0).bytes == 20'000'000);
@@ -148,7 +148,7 @@
   return intent;
 }
 
-BOOST_AUTO_TEST_CASE(LargestSizesPassAndLargerOnesDoNot) {
+BOOST_AUTO_TEST_CASE(LargestSizesAreValidAndLargerOnesAreNot) {
   const Intent largest = LargeIntent(2'000, 10);
   BOOST_CHECK(ParseIntentToml(ToToml(largest), "t") == largest);
   const auto over = [](const core::Error& e) {
--- a/src/contract/intent_toml.cc
+++ b/src/contract/intent_toml.cc
@@ -81,7 +81,7 @@
     if (const auto flag = node.value_exact<bool>()) return *flag;
     if (const auto number = node.value_exact<std::int64_t>()) return *number;
     if (const auto number = node.value_exact<double>()) return *number;
-    throw FieldFault(core::ErrorCode::kBadIntent, path,
+    throw FieldError(core::ErrorCode::kBadIntent, path,
                      "dates and times have no place here");
   }
 
@@ -108,9 +108,9 @@
     Intent intent = IntentFromJson(value, UnknownKeys::kReject);
     CheckIntent(intent, {});
     return intent;
-  } catch (const FieldFault& fault) {
-    throw fault.ToError(
-        fmt::format("{}:{}: ", file_name, converter.LineOf(fault.field())));
+  } catch (const FieldError& error) {
+    throw error.ToError(
+        fmt::format("{}:{}: ", file_name, converter.LineOf(error.field())));
   }
 }
 
--- a/src/contract/part_cache.cc
+++ b/src/contract/part_cache.cc
@@ -8,7 +8,7 @@
 bool PartCache::Adopt(EncodedConfig config) {
   Config decoded = DecodeConfig(config.version, config.plan, config.parts);
   if (!holder_.Adopt(std::move(decoded))) return false;
-  Keep(std::make_shared<const EncodedConfig>(std::move(config)));
+  Store(std::make_shared<const EncodedConfig>(std::move(config)));
   return true;
 }
 
@@ -17,17 +17,17 @@
   if (!in_force) return nullptr;
   {
     const std::lock_guard lock(mutex_);
-    if (kept_ && kept_->version >= in_force->version) return kept_;
+    if (cached_ && cached_->version >= in_force->version) return cached_;
   }
   auto encoded = std::make_shared<const EncodedConfig>(EncodeConfig(*in_force));
-  Keep(encoded);
+  Store(encoded);
   return encoded;
 }
 
-void PartCache::Keep(std::shared_ptr<const EncodedConfig> config) {
+void PartCache::Store(std::shared_ptr<const EncodedConfig> config) {
   const std::lock_guard lock(mutex_);
-  if (kept_ && kept_->version >= config->version) return;
-  kept_ = std::move(config);
+  if (cached_ && cached_->version >= config->version) return;
+  cached_ = std::move(config);
 }
 
 }  // namespace sapphire::contract
--- a/src/contract/part_cache_base.h
+++ b/src/contract/part_cache_base.h
@@ -32,11 +32,11 @@
 
  private:
   /** Keeps `config` if it is newer than the kept one. */
-  void Keep(std::shared_ptr<const EncodedConfig> config);
+  void Store(std::shared_ptr<const EncodedConfig> config);
 
   ConfigHolder& holder_;
   std::mutex mutex_;
-  std::shared_ptr<const EncodedConfig> kept_;
+  std::shared_ptr<const EncodedConfig> cached_;
 };
 
 }  // namespace sapphire::contract
--- a/src/contract/plan.cc
+++ b/src/contract/plan.cc
@@ -18,7 +18,7 @@
 using Fields = std::map<std::string, std::string, std::less<>>;
 
 /** Every declared object by kind and name. */
-using Things = std::map<std::pair<Subject, std::string>, Fields>;
+using Objects = std::map<std::pair<Subject, std::string>, Fields>;
 
 std::string Text(bool flag) { return flag ? "true" : "false"; }
 
@@ -48,8 +48,8 @@
           {"bytes", FormatByteSize(adapter.bytes)}};
 }
 
-Things ThingsOf(const Intent& intent) {
-  Things things;
+Objects ObjectsOf(const Intent& intent) {
+  Objects things;
   things[{Subject::kDeployment, ""}] = {{"name", intent.deployment}};
   things[{Subject::kWeights, ""}] = {
       {"cold_start", fmt::to_string(intent.weights.cold_start)},
@@ -113,7 +113,7 @@
 }
 
 /** @return True if the limits allow at least one replica of the model. */
-bool Offered(const Intent& intent, const core::ModelId& name) {
+bool IsOffered(const Intent& intent, const core::ModelId& name) {
   const Model* model = FindModel(intent, name);
   if (model == nullptr || model->max_replicas == 0) return false;
   const auto it = intent.services.find(model->service);
@@ -181,7 +181,7 @@
 
   void AddModels() {
     for (const auto& [name, model] : before_.models) {
-      if (Offered(before_, name) && !Offered(after_, name)) {
+      if (IsOffered(before_, name) && !IsOffered(after_, name)) {
         Add(EffectKind::kRefuse, model.service, name,
             FindModel(after_, name) == nullptr
                 ? "the model is no longer offered"
@@ -189,7 +189,7 @@
       }
     }
     for (const auto& [name, model] : after_.models) {
-      if (!Offered(before_, name) && Offered(after_, name)) {
+      if (!IsOffered(before_, name) && IsOffered(after_, name)) {
         Add(EffectKind::kAccept, model.service, name, "the model is offered");
       }
     }
@@ -284,8 +284,8 @@
 }  // namespace
 
 std::vector<Change> Diff(const Intent& before, const Intent& after) {
-  const Things old_things = ThingsOf(before);
-  const Things new_things = ThingsOf(after);
+  const Objects old_things = ObjectsOf(before);
+  const Objects new_things = ObjectsOf(after);
   std::vector<Change> changes;
   for (const auto& [key, fields] : old_things) {
     const auto it = new_things.find(key);
--- a/src/contract/plan_show.cc
+++ b/src/contract/plan_show.cc
@@ -20,7 +20,7 @@
 constexpr std::array<std::string_view, 5> kEffectNames = {
     "unload_replica", "unload_adapter", "reload", "refuse", "accept"};
 
-std::string NamedThing(const Change& change) {
+std::string SubjectText(const Change& change) {
   const std::string_view subject = NameOf(change.subject);
   if (change.name.empty()) return std::string(subject);
   return fmt::format("{} {}", subject, change.name);
@@ -29,11 +29,11 @@
 std::string LineOf(const Change& change) {
   switch (change.kind) {
     case ChangeKind::kAdded:
-      return fmt::format("  + {}: {}\n", NamedThing(change), change.after);
+      return fmt::format("  + {}: {}\n", SubjectText(change), change.after);
     case ChangeKind::kRemoved:
-      return fmt::format("  - {}: {}\n", NamedThing(change), change.before);
+      return fmt::format("  - {}: {}\n", SubjectText(change), change.before);
     case ChangeKind::kChanged:
-      return fmt::format("  ~ {}: {}: {} -> {}\n", NamedThing(change),
+      return fmt::format("  ~ {}: {}: {} -> {}\n", SubjectText(change),
                          change.field, change.before, change.after);
   }
   return {};
--- a/src/contract/plan_test.cc
+++ b/src/contract/plan_test.cc
@@ -88,7 +88,7 @@
   return true;
 }
 
-BOOST_DATA_TEST_CASE(ExcessIsEnoughAndNoMore, data::xrange(60), seed) {
+BOOST_DATA_TEST_CASE(ExcessIsSufficientAndMinimal, data::xrange(60), seed) {
   testing::Random random(seed);
   const Intent intent = testing::RandomIntent(random, 8);
   std::vector<ObservedReplica> observed;
--- a/src/core/log.cc
+++ b/src/core/log.cc
@@ -20,7 +20,7 @@
     "link",    "platform", "admin",   "fault"};
 
 /** Buffer size in bytes: some seconds of log lines of a busy process. */
-constexpr std::size_t kMaxWaiting = 256 * 1024;
+constexpr std::size_t kMaxBuffered = 256 * 1024;
 
 bool NeedsQuotes(std::string_view value) {
   return value.empty() ||
@@ -68,7 +68,7 @@
     : identity_(std::move(identity)),
       threshold_(threshold),
       clock_(clock),
-      sink_(std::make_unique<LogSink>(fd, kMaxWaiting)) {}
+      sink_(std::make_unique<LogSink>(fd, kMaxBuffered)) {}
 
 void Logger::Event(LogLevel level, LogCategory category, std::string_view event,
                    std::initializer_list<LogField> fields) const {
--- a/src/core/log_sink.cc
+++ b/src/core/log_sink.cc
@@ -14,25 +14,25 @@
 namespace {
 
 /** A pipe that polls as writable accepts this many bytes without blocking. */
-constexpr std::size_t kReadyBytes = PIPE_BUF;
+constexpr std::size_t kWritableBytes = PIPE_BUF;
 
-bool ReadyNow(int fd) {
+bool IsWritable(int fd) {
   pollfd poll_fd{fd, POLLOUT, 0};
   return ::poll(&poll_fd, 1, 0) == 1 && (poll_fd.revents & POLLOUT) != 0;
 }
 
 }  // namespace
 
-LogSink::LogSink(int fd, std::size_t max_waiting)
-    : fd_(fd), max_waiting_(max_waiting) {}
+LogSink::LogSink(int fd, std::size_t max_buffered)
+    : fd_(fd), max_buffered_(max_buffered) {}
 
 LogSink::~LogSink() { Flush(); }
 
 void LogSink::Write(std::string_view line, std::string_view prefix) {
   const std::lock_guard lock(mutex_);
   Flush();
-  if (unsaid_ > 0 && waiting_.empty()) {
-    const std::int64_t dropped = std::exchange(unsaid_, 0);
+  if (unreported_ > 0 && buffer_.empty()) {
+    const std::int64_t dropped = std::exchange(unreported_, 0);
     Add(fmt::format("{} event=log_dropped lines={}\n", prefix, dropped));
   }
   Add(line);
@@ -45,26 +45,26 @@
 }
 
 void LogSink::Add(std::string_view line) {
-  if (waiting_.size() + line.size() > max_waiting_) {
-    ++unsaid_;
+  if (buffer_.size() + line.size() > max_buffered_) {
+    ++unreported_;
     ++counters_.dropped;
     return;
   }
-  waiting_ += line;
+  buffer_ += line;
   ++counters_.lines;
   counters_.bytes += static_cast<std::int64_t>(line.size());
 }
 
 void LogSink::Flush() {
   std::size_t written = 0;
-  while (written < waiting_.size() && ReadyNow(fd_)) {
-    const std::size_t size = std::min(waiting_.size() - written, kReadyBytes);
-    const auto n = ::write(fd_, waiting_.data() + written, size);
+  while (written < buffer_.size() && IsWritable(fd_)) {
+    const std::size_t size = std::min(buffer_.size() - written, kWritableBytes);
+    const auto n = ::write(fd_, buffer_.data() + written, size);
     // The reader closed the pipe: lines are dropped once the buffer is full.
     if (n <= 0) break;
     written += static_cast<std::size_t>(n);
   }
-  waiting_.erase(0, written);
+  buffer_.erase(0, written);
 }
 
 }  // namespace sapphire::core
--- a/src/core/log_sink_base.h
+++ b/src/core/log_sink_base.h
@@ -27,8 +27,8 @@
  */
 class LogSink {
  public:
-  /** @param fd Never closed. @param max_waiting Size of the buffer, bytes. */
-  LogSink(int fd, std::size_t max_waiting);
+  /** @param fd Never closed. @param max_buffered Size of the buffer, bytes. */
+  LogSink(int fd, std::size_t max_buffered);
   /** Tries once more to write the buffered lines. */
   ~LogSink();
 
@@ -46,11 +46,11 @@
   void Flush();
 
   const int fd_;
-  const std::size_t max_waiting_;
+  const std::size_t max_buffered_;
   mutable std::mutex mutex_;
-  std::string waiting_;
+  std::string buffer_;
   /** Dropped lines that were not reported yet. */
-  std::int64_t unsaid_ = 0;
+  std::int64_t unreported_ = 0;
   LogSinkCounters counters_;
 };
 
--- a/src/core/log_sink_test.cc
+++ b/src/core/log_sink_test.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxWaiting = 64 * 1024;
+constexpr std::size_t kMaxBuffered = 64 * 1024;
 
 /** A pipe that is only read by ReadAll(). */
 struct Pipe {
@@ -41,9 +41,9 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(LinesGoOutAtOnce) {
+BOOST_AUTO_TEST_CASE(LinesAreWrittenAtOnce) {
   Pipe pipe;
-  LogSink sink(pipe.ends[1], kMaxWaiting);
+  LogSink sink(pipe.ends[1], kMaxBuffered);
   sink.Write("a=1\n", "p");
   BOOST_TEST(pipe.ReadAll() == "a=1\n");
 }
@@ -53,10 +53,10 @@
  * log collector has stopped reading and the pipe is full. Lines are dropped
  * instead, and a later line reports how many.
  */
-BOOST_AUTO_TEST_CASE(AReaderThatStopsReadingHoldsUpNobody) {
+BOOST_AUTO_TEST_CASE(StalledReaderDoesNotBlockTheWriter) {
   constexpr int kLines = 20'000;
   Pipe pipe;
-  LogSink sink(pipe.ends[1], kMaxWaiting);
+  LogSink sink(pipe.ends[1], kMaxBuffered);
   const std::string line = std::string(99, 'x') + "\n";
   const auto began = std::chrono::steady_clock::now();
   for (int i = 0; i < kLines; ++i) sink.Write(line, "p");
@@ -69,9 +69,9 @@
   sink.Write(line, "p");
   pipe.ReadAll();
   sink.Write(line, "p");
-  const std::string said =
+  const std::string report =
       "p event=log_dropped lines=" + std::to_string(counters.dropped) + "\n";
-  BOOST_TEST(pipe.ReadAll().find(said) != std::string::npos);
+  BOOST_TEST(pipe.ReadAll().find(report) != std::string::npos);
 }
 
 }  // namespace sapphire::core
--- a/src/core/settings_test.cc
+++ b/src/core/settings_test.cc
@@ -41,7 +41,7 @@
   BOOST_TEST((settings.Millis("wait") == std::chrono::milliseconds(250)));
 }
 
-BOOST_AUTO_TEST_CASE(NamesFileLineAndKey) {
+BOOST_AUTO_TEST_CASE(ErrorsNameFileLineAndKey) {
   BOOST_TEST(FailureOf("\nport = \"x\"") ==
              "a.toml:2: port: must be of type integer");
   BOOST_TEST(FailureOf("port = 70000") ==
--- a/src/core/settings_watch.cc
+++ b/src/core/settings_watch.cc
@@ -13,7 +13,7 @@
 namespace {
 
 /** Longest delay until a file that changed without a signal is applied. */
-constexpr std::chrono::seconds kLookInterval{5};
+constexpr std::chrono::seconds kReloadInterval{5};
 
 }  // namespace
 
@@ -30,25 +30,25 @@
 void SettingsWatch::Start() {
   AwaitSignal();
   Spawn(context_.get_executor(), log_, "watch_settings",
-        [this] { return LookNowAndThen(); });
+        [this] { return ReloadPeriodically(); });
 }
 
 void SettingsWatch::AwaitSignal() {
   signals_.async_wait([this](const auto& ec, int /*signal*/) {
     if (ec) return;
-    Look("signal");
+    Reload("signal");
     AwaitSignal();
   });
 }
 
-Task<> SettingsWatch::LookNowAndThen() {
+Task<> SettingsWatch::ReloadPeriodically() {
   while (true) {
-    co_await SleepFor(kLookInterval);
-    Look("interval");
+    co_await SleepFor(kReloadInterval);
+    Reload("interval");
   }
 }
 
-void SettingsWatch::Look(std::string_view cause) {
+void SettingsWatch::Reload(std::string_view cause) {
   try {
     Settings now = read_();
     const std::vector<std::string> changes = now.Changes(settings_);
--- a/src/core/settings_watch_base.h
+++ b/src/core/settings_watch_base.h
@@ -34,8 +34,8 @@
 
  private:
   void AwaitSignal();
-  void Look(std::string_view cause);
-  Task<> LookNowAndThen();
+  void Reload(std::string_view cause);
+  Task<> ReloadPeriodically();
 
   boost::asio::io_context& context_;
   boost::asio::signal_set signals_;
--- a/src/core/settings_watch_test.cc
+++ b/src/core/settings_watch_test.cc
@@ -22,7 +22,7 @@
  * Guards against answers that are cut because SIGHUP, sent after a change of
  * the settings file, ends a process that does not handle it.
  */
-BOOST_AUTO_TEST_CASE(ASignalReadsTheFileAndBadSettingsChangeNothing) {
+BOOST_AUTO_TEST_CASE(SighupReloadsTheFileAndInvalidSettingsChangeNothing) {
   boost::asio::io_context io;
   const SystemClock clock;
   const Logger log({"test", VmId("vm"), ZoneId("z")}, LogLevel::kError, clock);
--- a/src/ctl/ctl_test.cc
+++ b/src/ctl/ctl_test.cc
@@ -122,21 +122,21 @@
   return report.get();
 }
 
-constexpr std::string_view kNobody = "127.0.0.1:1";
+constexpr std::string_view kUnusedAddress = "127.0.0.1:1";
 constexpr std::string_view kConfirmed =
     R"({"plan":"p","version":7,"not_yet":[{"vm":"v","zone":"z",)"
     R"("role":"endpoint","linked":false,"leaving":false,"version":null}]})";
 
 // The first entry can't be reached, and the second dies while it answers a
 // confirmation. The third answers it, as confirming is safe to repeat.
-BOOST_AUTO_TEST_CASE(NextEntryIsTried) {
+BOOST_AUTO_TEST_CASE(NextEntryIsTriedAfterAFailure) {
   asio::io_context io;
   FakeEntry dying(io, "", true);
   FakeEntry live(io, std::string(kConfirmed));
   Command command;
   command.kind = CommandKind::kConfirm;
   command.argument = "p";
-  command.entries = {std::string(kNobody), dying.server.address(),
+  command.entries = {std::string(kUnusedAddress), dying.server.address(),
                      live.server.address()};
   const Report report = Run(io, command);
   BOOST_CHECK(report.exit_code == ExitCode::kOk);
@@ -147,13 +147,13 @@
 
 // If no entry answers, "nothing was changed" is only true if none of them can
 // have received a request that changes something.
-BOOST_AUTO_TEST_CASE(OutcomeWithoutAnswerIsToldApart) {
+BOOST_AUTO_TEST_CASE(MissingAnswerIsUnreachableOrUnknownOutcome) {
   asio::io_context io;
   FakeEntry dying(io, "", true);
   Command command;
   command.kind = CommandKind::kConfirm;
   command.argument = "p";
-  command.entries = {std::string(kNobody)};
+  command.entries = {std::string(kUnusedAddress)};
   BOOST_CHECK(Run(io, command).exit_code == ExitCode::kUnreachable);
   command.entries.push_back(dying.server.address());
   BOOST_CHECK(Run(io, command).exit_code == ExitCode::kUnknownOutcome);
--- a/src/ctl/sapphirectl_main.cc
+++ b/src/ctl/sapphirectl_main.cc
@@ -14,7 +14,7 @@
 
 namespace ctl = sapphire::ctl;
 
-ctl::Report RunToEnd(ctl::Command command) {
+ctl::Report RunBlocking(ctl::Command command) {
   boost::asio::io_context context;
   ctl::Report report{ctl::ExitCode::kUnknownOutcome, "",
                      "error: the command did not complete\n"};
@@ -35,7 +35,7 @@
   if (line.exit_code) return static_cast<int>(*line.exit_code);
   ctl::Report report;
   try {
-    report = RunToEnd(std::move(line.command));
+    report = RunBlocking(std::move(line.command));
   } catch (const std::exception& e) {
     report = {ctl::ExitCode::kUnknownOutcome, "",
               fmt::format("error: {}\n", e.what())};
--- a/src/timeline/clock_skew.cc
+++ b/src/timeline/clock_skew.cc
@@ -100,8 +100,8 @@
 
 /** Propagates shifts over the graph from one VM, whose clock is the reference.
  */
-void SpreadFrom(const core::VmId& start, const Graph& graph,
-                ClockShifts& shifts) {
+void PropagateFrom(const core::VmId& start, const Graph& graph,
+                   ClockShifts& shifts) {
   std::deque<core::VmId> waiting = {start};
   shifts.emplace(start, 0);
   while (!waiting.empty()) {
@@ -115,7 +115,7 @@
 }
 
 /** @return The origins, sorted by number of neighbours, largest first. */
-std::vector<core::VmId> StartsOf(const Graph& graph) {
+std::vector<core::VmId> OriginsByDegree(const Graph& graph) {
   std::vector<core::VmId> starts;
   for (const auto& [origin, others] : graph) starts.push_back(origin);
   std::ranges::stable_sort(starts, std::greater{}, [&](const core::VmId& vm) {
@@ -129,15 +129,15 @@
 ClockShifts EstimateShifts(const std::vector<Event>& events) {
   const Graph graph = BuildGraph(CollectSpans(events));
   ClockShifts shifts;
-  for (const core::VmId& start : StartsOf(graph)) {
-    if (!shifts.contains(start)) SpreadFrom(start, graph, shifts);
+  for (const core::VmId& start : OriginsByDegree(graph)) {
+    if (!shifts.contains(start)) PropagateFrom(start, graph, shifts);
   }
   std::erase_if(
       shifts, [](const auto& item) { return item.second == microseconds(0); });
   return shifts;
 }
 
-void PutInOrder(std::vector<Event>& events, const ClockShifts& shifts) {
+void SortByTime(std::vector<Event>& events, const ClockShifts& shifts) {
   for (Event& event : events) {
     const auto it = shifts.find(event.vm);
     if (it != shifts.end()) event.time += it->second;
--- a/src/timeline/clock_skew_func.h
+++ b/src/timeline/clock_skew_func.h
@@ -24,7 +24,7 @@
  * Applies the shifts and sorts by time. No event of a request precedes the
  * event that began it.
  */
-void PutInOrder(std::vector<Event>& events, const ClockShifts& shifts);
+void SortByTime(std::vector<Event>& events, const ClockShifts& shifts);
 
 }  // namespace sapphire::timeline
 
--- a/src/timeline/log_reader.cc
+++ b/src/timeline/log_reader.cc
@@ -128,8 +128,8 @@
   return event;
 }
 
-ReadLog ReadEvents(std::istream& in) {
-  ReadLog log;
+ParsedLog ReadEvents(std::istream& in) {
+  ParsedLog log;
   std::string line;
   while (std::getline(in, line)) {
     std::optional<Event> event = ParseLine(line);
--- a/src/timeline/log_reader_func.h
+++ b/src/timeline/log_reader_func.h
@@ -12,7 +12,7 @@
 namespace sapphire::timeline {
 
 /** The contents of a log. */
-struct ReadLog {
+struct ParsedLog {
   std::vector<Event> events;
   /** Lines that are not events, such as the output of a crash. */
   int other_lines = 0;
@@ -22,7 +22,7 @@
 std::optional<Event> ParseLine(std::string_view line);
 
 /** Reads a log to its end. */
-ReadLog ReadEvents(std::istream& in);
+ParsedLog ReadEvents(std::istream& in);
 
 }  // namespace sapphire::timeline
 
--- a/src/timeline/losses.cc
+++ b/src/timeline/losses.cc
@@ -22,7 +22,7 @@
 /** A model load explains a request's wait if it began or ended at most this
  * long before the request's end: loads from the weight store take up to a
  * minute. */
-constexpr std::chrono::seconds kWakeUpMemory{60};
+constexpr std::chrono::seconds kMaxLoadEventAge{60};
 
 struct CauseName {
   LossCause cause;
@@ -33,17 +33,17 @@
     {LossCause::kLoadFromMemory, "load_from_memory"},
     {LossCause::kLoadFromDisk, "load_from_disk"},
     {LossCause::kLoadFromStore, "load_from_store"},
-    {LossCause::kWakeUpFailed, "wake_up_failed"},
+    {LossCause::kLoadFailed, "wake_up_failed"},
     {LossCause::kAdapter, "adapter"},
     {LossCause::kNoRoom, "no_room"},
     {LossCause::kNoEngine, "no_engine"},
     {LossCause::kSlowFirstToken, "slow_first_token"},
     {LossCause::kPause, "pause"},
-    {LossCause::kEngineSilent, "engine_silent"},
-    {LossCause::kEngineBroke, "engine_broke"},
+    {LossCause::kEngineTimedOut, "engine_silent"},
+    {LossCause::kConnectionLost, "engine_broke"},
     {LossCause::kEngineError, "engine_error"},
-    {LossCause::kSentAgain, "sent_again"},
-    {LossCause::kEntryLeaving, "entry_leaving"},
+    {LossCause::kRetried, "sent_again"},
+    {LossCause::kEntryShutdown, "entry_leaving"},
     {LossCause::kNotConfigured, "not_configured"},
     {LossCause::kCrashesEngines, "crashes_engines"},
     {LossCause::kCallerLeft, "caller_left"},
@@ -51,22 +51,22 @@
 };
 
 /** An outcome that determines the cause. */
-struct PlainCause {
+struct OutcomeCause {
   std::string_view outcome;
   LossCause cause;
 };
 
-constexpr PlainCause kPlainCauses[] = {
-    {"leaving", LossCause::kEntryLeaving},
+constexpr OutcomeCause kOutcomeCauses[] = {
+    {"leaving", LossCause::kEntryShutdown},
     {"not_configured", LossCause::kNotConfigured},
     {"quarantined", LossCause::kCrashesEngines},
     {"engine_failed", LossCause::kEngineError},
-    {"timed_out", LossCause::kEngineSilent},
+    {"timed_out", LossCause::kEngineTimedOut},
 };
 
 /** Outcomes of invalid requests, which are not counted. */
-constexpr std::string_view kNotOwed[] = {"unknown_path", "malformed_request",
-                                         "unknown_model", "unknown_service"};
+constexpr std::string_view kExcluded[] = {"unknown_path", "malformed_request",
+                                          "unknown_model", "unknown_service"};
 
 milliseconds MillisOf(const Event& event, std::string_view field) {
   const std::string text = FieldOf(event, field);
@@ -76,32 +76,32 @@
 }
 
 /** Events before a request's end that concern its model and its sends. */
-class Trail {
+class EventHistory {
  public:
-  void Note(const Event& event) {
+  void Record(const Event& event) {
     const core::ModelId model(FieldOf(event, "model"));
     if (event.name == "wake" || event.name == "add_replica") {
-      wakes_[model] = event;
+      loads_[model] = event;
     } else if (event.name == "wake_failed" || event.name == "wake_impossible") {
-      troubles_[model] = event;
+      load_failures_[model] = event;
     } else if (event.name == "woken") {
-      troubles_.erase(model);
+      load_failures_.erase(model);
     } else if (event.name == "send_failed") {
       failed_sends_[event.request] = event;
     }
   }
 
   /** @return What a request that was not sent, or sent late, waited for. */
-  [[nodiscard]] LossCause WaitOf(const Event& end) const {
+  [[nodiscard]] LossCause WaitCause(const Event& end) const {
     const core::ModelId model(FieldOf(end, "model"));
     if (model.empty()) return LossCause::kNoEngine;
-    const Event* wake = Fresh(wakes_, model, end);
-    const Event* trouble = Fresh(troubles_, model, end);
+    const Event* wake = FindRecent(loads_, model, end);
+    const Event* failure = FindRecent(load_failures_, model, end);
     const bool later =
-        trouble != nullptr && (wake == nullptr || wake->time <= trouble->time);
+        failure != nullptr && (wake == nullptr || wake->time <= failure->time);
     if (later) {
-      return trouble->name == "wake_impossible" ? LossCause::kNoRoom
-                                                : LossCause::kWakeUpFailed;
+      return failure->name == "wake_impossible" ? LossCause::kNoRoom
+                                                : LossCause::kLoadFailed;
     }
     if (wake != nullptr) return TierOf(*wake);
     if (!FieldOf(end, "adapter").empty()) return LossCause::kAdapter;
@@ -109,28 +109,30 @@
   }
 
   /** @return Why a request's latest send failed; nothing if none did. */
-  [[nodiscard]] std::optional<LossCause> SendOf(const Event& end) const {
+  [[nodiscard]] std::optional<LossCause> SendFailureCause(
+      const Event& end) const {
     const auto it = failed_sends_.find(end.request);
     if (it == failed_sends_.end()) return std::nullopt;
     const std::string reason = FieldOf(it->second, "reason");
-    const auto says = [&reason](std::string_view text) {
+    const auto contains = [&reason](std::string_view text) {
       return reason.find(text) != std::string::npos;
     };
     if (FieldOf(it->second, "end") == "engine_failed") {
       return LossCause::kEngineError;
     }
-    const bool silent = says("timeout") || says("silence");
-    return silent ? LossCause::kEngineSilent : LossCause::kEngineBroke;
+    const bool silent = contains("timeout") || contains("silence");
+    return silent ? LossCause::kEngineTimedOut : LossCause::kConnectionLost;
   }
 
  private:
   using ByModel = std::map<core::ModelId, Event>;
 
-  static const Event* Fresh(const ByModel& events, const core::ModelId& model,
-                            const Event& end) {
+  static const Event* FindRecent(const ByModel& events,
+                                 const core::ModelId& model, const Event& end) {
     const auto it = events.find(model);
     if (it == events.end()) return nullptr;
-    return end.time - it->second.time < kWakeUpMemory ? &it->second : nullptr;
+    return end.time - it->second.time < kMaxLoadEventAge ? &it->second
+                                                         : nullptr;
   }
 
   static LossCause TierOf(const Event& wake) {
@@ -140,24 +142,25 @@
     return LossCause::kLoadFromDisk;
   }
 
-  ByModel wakes_;
-  ByModel troubles_;
+  ByModel loads_;
+  ByModel load_failures_;
   std::map<core::RequestId, Event> failed_sends_;
 };
 
-LossCause CauseOfFailure(const Event& end, const Trail& trail) {
+LossCause CauseOfFailure(const Event& end, const EventHistory& history) {
   const std::string outcome = FieldOf(end, "outcome");
-  for (const PlainCause& it : kPlainCauses) {
+  for (const OutcomeCause& it : kOutcomeCauses) {
     if (it.outcome == outcome) return it.cause;
   }
-  if (const auto cause = trail.SendOf(end)) return *cause;
-  if (FieldOf(end, "sends") == "0") return trail.WaitOf(end);
+  if (const auto cause = history.SendFailureCause(end)) return *cause;
+  if (FieldOf(end, "sends") == "0") return history.WaitCause(end);
   return outcome == "caller_left" ? LossCause::kCallerLeft
                                   : LossCause::kUnknown;
 }
 
 /** @return Why a complete answer was late; nothing if it was in time. */
-std::optional<LossCause> CauseOfLateness(const Event& end, const Trail& trail) {
+std::optional<LossCause> CauseOfLateness(const Event& end,
+                                         const EventHistory& history) {
   const milliseconds objective = MillisOf(end, "objective_ms");
   const milliseconds first_byte = MillisOf(end, "first_byte_ms");
   const milliseconds max_pause = MillisOf(end, "max_pause_ms");
@@ -165,13 +168,13 @@
   const bool paused =
       max_pause.count() > 0 && MillisOf(end, "longest_pause_ms") > max_pause;
   if (!began_late && !paused) return std::nullopt;
-  if (trail.SendOf(end)) return LossCause::kSentAgain;
+  if (history.SendFailureCause(end)) return LossCause::kRetried;
   if (!began_late) return LossCause::kPause;
   const bool waited = 2 * MillisOf(end, "first_send_ms") > first_byte;
-  return waited ? trail.WaitOf(end) : LossCause::kSlowFirstToken;
+  return waited ? history.WaitCause(end) : LossCause::kSlowFirstToken;
 }
 
-std::optional<Loss> LossOf(const Event& end, const Trail& trail) {
+std::optional<Loss> LossOf(const Event& end, const EventHistory& history) {
   Loss loss;
   loss.request = end.request;
   loss.route = FieldOf(end, "route");
@@ -179,7 +182,7 @@
   loss.took = MillisOf(end, "total_ms");
   const std::string outcome = FieldOf(end, "outcome");
   if (outcome == "served") {
-    const auto cause = CauseOfLateness(end, trail);
+    const auto cause = CauseOfLateness(end, history);
     if (!cause) return std::nullopt;
     loss.kind = LossKind::kLate;
     loss.cause = *cause;
@@ -187,7 +190,7 @@
   }
   loss.kind =
       FieldOf(end, "sends") == "0" ? LossKind::kRefused : LossKind::kFailed;
-  loss.cause = CauseOfFailure(end, trail);
+  loss.cause = CauseOfFailure(end, history);
   return loss;
 }
 
@@ -210,38 +213,38 @@
   return "";
 }
 
-std::int64_t SecondOf(const Loss& loss, const LossAccount& account) {
-  const auto since = loss.time - account.losses.front().time;
+std::int64_t SecondOf(const Loss& loss, const LossReport& report) {
+  const auto since = loss.time - report.losses.front().time;
   return std::chrono::duration_cast<std::chrono::seconds>(since).count();
 }
 
-LossAccount AccountLosses(const std::vector<Event>& events) {
-  LossAccount account;
-  Trail trail;
+LossReport AnalyseLosses(const std::vector<Event>& events) {
+  LossReport report;
+  EventHistory history;
   for (const Event& event : events) {
-    trail.Note(event);
+    history.Record(event);
     if (event.name != "request_end") continue;
     const std::string outcome = FieldOf(event, "outcome");
-    if (std::ranges::find(kNotOwed, outcome) != std::end(kNotOwed)) continue;
-    ++account.requests;
-    if (auto loss = LossOf(event, trail)) {
-      account.losses.push_back(std::move(*loss));
+    if (std::ranges::find(kExcluded, outcome) != std::end(kExcluded)) continue;
+    ++report.requests;
+    if (auto loss = LossOf(event, history)) {
+      report.losses.push_back(std::move(*loss));
     }
   }
-  return account;
+  return report;
 }
 
-std::string RenderLosses(const LossAccount& account) {
+std::string RenderLosses(const LossReport& report) {
   std::map<std::string, int> by_route;
   std::map<std::int64_t, int> by_second;
-  for (const Loss& it : account.losses) {
+  for (const Loss& it : report.losses) {
     ++by_route[fmt::format("{:24} {:8} {:18}", it.route, NameOf(it.kind),
                            NameOf(it.cause))];
-    ++by_second[SecondOf(it, account)];
+    ++by_second[SecondOf(it, report)];
   }
   std::string text = fmt::format("{} of {} requests lost\n\n{:24} {:8} {:18}\n",
-                                 account.losses.size(), account.requests,
-                                 "route", "how", "cause");
+                                 report.losses.size(), report.requests, "route",
+                                 "how", "cause");
   for (const auto& [row, n] : by_route) text += fmt::format("{} {}\n", row, n);
   text += "\nsecond since the first loss, lost\n";
   for (const auto& [second, n] : by_second) {
@@ -250,17 +253,17 @@
   return text;
 }
 
-std::string RenderLossesJson(const LossAccount& account) {
+std::string RenderLossesJson(const LossReport& report) {
   json::array losses;
-  for (const Loss& it : account.losses) {
+  for (const Loss& it : report.losses) {
     losses.push_back(json::object{{"request", it.request.value()},
                                   {"route", it.route},
                                   {"how", std::string(NameOf(it.kind))},
                                   {"cause", std::string(NameOf(it.cause))},
-                                  {"second", SecondOf(it, account)},
+                                  {"second", SecondOf(it, report)},
                                   {"took_ms", it.took.count()}});
   }
-  return json::serialize(json::object{{"requests", account.requests},
+  return json::serialize(json::object{{"requests", report.requests},
                                       {"losses", std::move(losses)}}) +
          "\n";
 }
--- a/src/timeline/losses_func.h
+++ b/src/timeline/losses_func.h
@@ -21,17 +21,17 @@
   kLoadFromMemory,  ///< It waited for a load from an engine's memory.
   kLoadFromDisk,    ///< It waited for a load from an engine's disk.
   kLoadFromStore,   ///< It waited for a load from the weight store.
-  kWakeUpFailed,    ///< The latest load of its model failed.
+  kLoadFailed,      ///< The latest load of its model failed.
   kAdapter,         ///< It waited for an adapter.
   kNoRoom,          ///< No engine could make room for its model.
   kNoEngine,        ///< No engine of its service could be reached.
   kSlowFirstToken,  ///< Its engine was slow with the first token.
   kPause,           ///< Its engine paused for too long between events.
-  kEngineSilent,    ///< Its engine stopped sending or timed out.
-  kEngineBroke,     ///< Its engine's connection ended before the answer did.
+  kEngineTimedOut,  ///< Its engine stopped sending or timed out.
+  kConnectionLost,  ///< Its engine's connection ended before the answer did.
   kEngineError,     ///< Its engine answered with an error.
-  kSentAgain,       ///< It was late after its first engine failed.
-  kEntryLeaving,    ///< Its entry was shutting down.
+  kRetried,         ///< It was late after its first engine failed.
+  kEntryShutdown,   ///< Its entry was shutting down.
   kNotConfigured,   ///< Its entry had no configuration yet.
   kCrashesEngines,  ///< It had crashed engines before.
   kCallerLeft,      ///< Its caller disconnected while it was being served.
@@ -53,7 +53,7 @@
 };
 
 /** Lost requests, and the number of all requests. */
-struct LossAccount {
+struct LossReport {
   std::vector<Loss> losses;
   /** Requests that ended, lost or not. */
   int requests = 0;
@@ -65,19 +65,19 @@
  * counted.
  * @param events Sorted by time.
  */
-LossAccount AccountLosses(const std::vector<Event>& events);
+LossReport AnalyseLosses(const std::vector<Event>& events);
 
 /** @return Tables of losses by route and cause, and by second. */
-std::string RenderLosses(const LossAccount& account);
+std::string RenderLosses(const LossReport& report);
 
 /** @return A JSON document with each loss and the number of requests. */
-std::string RenderLossesJson(const LossAccount& account);
+std::string RenderLossesJson(const LossReport& report);
 
 /** @return A bar chart of losses per second, stacked by cause. */
-std::string RenderLossesSvg(const LossAccount& account);
+std::string RenderLossesSvg(const LossReport& report);
 
-/** @return Whole seconds since the first loss of the account. */
-std::int64_t SecondOf(const Loss& loss, const LossAccount& account);
+/** @return Whole seconds since the first loss of the report. */
+std::int64_t SecondOf(const Loss& loss, const LossReport& report);
 
 }  // namespace sapphire::timeline
 
--- a/src/timeline/losses_svg.cc
+++ b/src/timeline/losses_svg.cc
@@ -31,11 +31,11 @@
   int most = 0;
 };
 
-Histogram MakeHistogram(const LossAccount& account) {
+Histogram MakeHistogram(const LossReport& report) {
   Histogram out;
   std::map<std::int64_t, int> sums;
-  for (const Loss& it : account.losses) {
-    const std::int64_t second = SecondOf(it, account);
+  for (const Loss& it : report.losses) {
+    const std::int64_t second = SecondOf(it, report);
     ++out.seconds[second][it.cause];
     ++out.all[it.cause];
     out.most = std::max(out.most, ++sums[second]);
@@ -79,8 +79,8 @@
 
 }  // namespace
 
-std::string RenderLossesSvg(const LossAccount& account) {
-  const Histogram histogram = MakeHistogram(account);
+std::string RenderLossesSvg(const LossReport& report) {
+  const Histogram histogram = MakeHistogram(report);
   const std::int64_t seconds =
       histogram.seconds.empty() ? 0 : histogram.seconds.rbegin()->first + 1;
   const auto plot_end =
@@ -94,7 +94,7 @@
       "highest bar {}</text>\n",
       plot_end + kLegendWidth,
       std::max(legend_end, kTop + kPlotHeight) + kLegendLine, kLeft,
-      account.losses.size(), account.requests, histogram.most);
+      report.losses.size(), report.requests, histogram.most);
   for (const auto& [second, counts] : histogram.seconds) {
     svg += RenderSecond(second, counts, histogram.most);
   }
--- a/src/timeline/losses_test.cc
+++ b/src/timeline/losses_test.cc
@@ -12,15 +12,15 @@
 
 namespace {
 
-const std::string kHead =
+const std::string kLinePrefix =
     "time=2026-01-01T00:00:00.000000Z process=entry vm=e-1 zone=z level=info "
     "category=request ";
 
-LossAccount AccountOf(const std::vector<std::string>& lines) {
+LossReport ReportOf(const std::vector<std::string>& lines) {
   std::string text;
-  for (const std::string& it : lines) text += kHead + it + "\n";
+  for (const std::string& it : lines) text += kLinePrefix + it + "\n";
   std::istringstream in(text);
-  return AccountLosses(ReadEvents(in).events);
+  return AnalyseLosses(ReadEvents(in).events);
 }
 
 /** @return The line that ends request r, with these fields added. */
@@ -31,9 +31,9 @@
 
 /** @return The cause of the one loss; "none" if nothing was lost. */
 std::string CauseOf(const std::vector<std::string>& lines) {
-  const LossAccount account = AccountOf(lines);
-  if (account.losses.empty()) return "none";
-  return std::string(NameOf(account.losses.back().cause));
+  const LossReport report = ReportOf(lines);
+  if (report.losses.empty()) return "none";
+  return std::string(NameOf(report.losses.back().cause));
 }
 
 const std::string kRefused = "adapter=\"\" sends=0 outcome=no_capacity";
@@ -54,7 +54,7 @@
 
 /** Operators need to know what each lost request waited for. The events that
  * decide it precede the request's end; some are from other entries. */
-BOOST_AUTO_TEST_CASE(EachLossHasItsCause) {
+BOOST_AUTO_TEST_CASE(EachLossIsAttributedToItsCause) {
   BOOST_TEST(CauseOf({End(kInTime)}) == "none");
   BOOST_TEST(CauseOf({End(kPaused)}) == "pause");
   BOOST_TEST(CauseOf({End(kSlow)}) == "slow_first_token");
@@ -83,28 +83,27 @@
   BOOST_TEST(CauseOf({End("sends=1 outcome=caller_left")}) == "caller_left");
 }
 
-BOOST_AUTO_TEST_CASE(WhatNoRouteAllowsIsNotCounted) {
-  const LossAccount account = AccountOf(
+BOOST_AUTO_TEST_CASE(InvalidRequestsAreNotCounted) {
+  const LossReport report = ReportOf(
       {End(kInTime), End("sends=0 outcome=unknown_path"), End(kRefused)});
-  BOOST_TEST(account.requests == 2);
-  BOOST_TEST(account.losses.size() == 1U);
-  BOOST_TEST(RenderLosses(account).find("1 of 2 requests lost") == 0U);
-  BOOST_TEST(RenderLossesJson(account).find("\"how\":\"refused\"") !=
+  BOOST_TEST(report.requests == 2);
+  BOOST_TEST(report.losses.size() == 1U);
+  BOOST_TEST(RenderLosses(report).find("1 of 2 requests lost") == 0U);
+  BOOST_TEST(RenderLossesJson(report).find("\"how\":\"refused\"") !=
              std::string::npos);
 }
 
 /** A second with two causes has a bar of two parts; the legend lists both. */
-BOOST_AUTO_TEST_CASE(ThePictureShowsEachSecondAndCause) {
-  const LossAccount account =
-      AccountOf({End(kPaused), End(kSlow), End(kSlow), End(kInTime)});
-  const std::string svg = RenderLossesSvg(account);
+BOOST_AUTO_TEST_CASE(ChartShowsEachSecondAndCause) {
+  const LossReport report =
+      ReportOf({End(kPaused), End(kSlow), End(kSlow), End(kInTime)});
+  const std::string svg = RenderLossesSvg(report);
   BOOST_TEST(svg.find("3 of 4 requests lost") != std::string::npos);
   BOOST_TEST(svg.find("<title>second 0: 2 slow_first_token</title>") !=
              std::string::npos);
   BOOST_TEST(svg.find("<title>second 0: 1 pause</title>") != std::string::npos);
   BOOST_TEST(svg.find(">pause 1</text>") != std::string::npos);
-  BOOST_TEST(RenderLossesSvg(LossAccount()).find("0 of 0") !=
-             std::string::npos);
+  BOOST_TEST(RenderLossesSvg(LossReport()).find("0 of 0") != std::string::npos);
 }
 
 }  // namespace sapphire::timeline
--- a/src/timeline/sapphire_timeline_main.cc
+++ b/src/timeline/sapphire_timeline_main.cc
@@ -48,7 +48,7 @@
                "them over time");
 }
 
-timeline::ReadLog ReadFile(const std::string& name) {
+timeline::ParsedLog ReadFile(const std::string& name) {
   if (name == "-") return timeline::ReadEvents(std::cin);
   std::ifstream file(name);
   if (!file) throw std::runtime_error(name + ": can't be read");
@@ -58,7 +58,7 @@
 std::vector<timeline::Event> ReadFiles(const std::vector<std::string>& names) {
   std::vector<timeline::Event> events;
   for (const std::string& name : names) {
-    timeline::ReadLog log = ReadFile(name);
+    timeline::ParsedLog log = ReadFile(name);
     if (log.other_lines > 0) {
       fmt::print(stderr, "{}: {} lines are not events\n", name,
                  log.other_lines);
@@ -78,20 +78,20 @@
   std::vector<timeline::Event> events = ReadFiles(options.files);
   timeline::ClockShifts shifts;
   if (!options.keep_clocks) shifts = timeline::EstimateShifts(events);
-  timeline::PutInOrder(events, shifts);
+  timeline::SortByTime(events, shifts);
   if (!options.request.empty()) {
     std::erase_if(events, [&](const timeline::Event& event) {
       return event.request.value() != options.request;
     });
   }
   if (options.losses) {
-    const timeline::LossAccount account = timeline::AccountLosses(events);
+    const timeline::LossReport report = timeline::AnalyseLosses(events);
     if (!options.svg_file.empty()) {
-      WriteFile(options.svg_file, timeline::RenderLossesSvg(account));
+      WriteFile(options.svg_file, timeline::RenderLossesSvg(report));
     }
     fmt::print("{}", options.format == "json"
-                         ? timeline::RenderLossesJson(account)
-                         : timeline::RenderLosses(account));
+                         ? timeline::RenderLossesJson(report)
+                         : timeline::RenderLosses(report));
     return;
   }
   if (!options.svg_file.empty()) {
--- a/src/timeline/timeline_test.cc
+++ b/src/timeline/timeline_test.cc
@@ -36,7 +36,7 @@
       "time=yesterday event=x\n"
       "time=2026-12-02T20:41:29.012345Z event=cut text=\"half\n"
       "\n");
-  const ReadLog log = ReadEvents(in);
+  const ParsedLog log = ReadEvents(in);
   BOOST_TEST(log.events.size() == 1U);
   BOOST_TEST(log.other_lines == 2);
 }
@@ -55,8 +55,8 @@
 // The clocks of other VMs are up to 90 s behind the receiving entry's, or ahead
 // of it, so that unshifted times would put answers before requests. With the
 // shifts, the events of other VMs lie between begin and end of their request.
-BOOST_DATA_TEST_CASE(AnswersFollowQuestions, boost::unit_test::data::xrange(40),
-                     seed) {
+BOOST_DATA_TEST_CASE(RequestEventsAreOrderedDespiteClockSkew,
+                     boost::unit_test::data::xrange(40), seed) {
   std::mt19937 random(seed);
   const auto pick = [&](int low, int high) {
     return milliseconds(std::uniform_int_distribution<int>(low, high)(random));
@@ -76,7 +76,7 @@
     events.push_back(At("entry", "answered", id, begin + length));
   }
   std::shuffle(events.begin(), events.end(), random);
-  PutInOrder(events, EstimateShifts(events));
+  SortByTime(events, EstimateShifts(events));
   std::map<std::string, std::string> order;
   for (const Event& event : events) {
     order[event.request.value()] += event.name + " ";
@@ -89,8 +89,8 @@
 }
 
 // As above, where each process logs a request once, at its end.
-BOOST_DATA_TEST_CASE(EndsAloneSuffice, boost::unit_test::data::xrange(20),
-                     seed) {
+BOOST_DATA_TEST_CASE(ShiftsAreEstimatedFromEndEventsAlone,
+                     boost::unit_test::data::xrange(20), seed) {
   std::mt19937 random(seed);
   const milliseconds off(
       std::uniform_int_distribution<int>(-90'000, 90'000)(random));
@@ -104,7 +104,7 @@
     events.back().fields.emplace_back("took_ms", "300");
   }
   const ClockShifts shifts = EstimateShifts(events);
-  PutInOrder(events, shifts);
+  SortByTime(events, shifts);
   for (const Event& event : events) {
     if (event.vm.value() != "vm") continue;
     const auto end = event.time - core::WallTime();
@@ -114,7 +114,7 @@
   }
 }
 
-BOOST_AUTO_TEST_CASE(ClocksThatAgreeAreLeftAlone) {
+BOOST_AUTO_TEST_CASE(ClocksWithinToleranceAreNotShifted) {
   std::vector<Event> events = {
       At("vm", "run", "r", milliseconds(5)),
       At("entry", "received", "r", milliseconds(1)),
@@ -122,11 +122,11 @@
       At("entry", "answered", "r", milliseconds(7)),
   };
   BOOST_TEST(EstimateShifts(events).empty());
-  PutInOrder(events, {});
+  SortByTime(events, {});
   BOOST_TEST(events[1].name == "run");
 }
 
-BOOST_AUTO_TEST_CASE(PicturesEscapeWhatCallersWrote) {
+BOOST_AUTO_TEST_CASE(RenderedPagesEscapeCallerInput) {
   Event event = At("vm", "run", "<script>", milliseconds(5));
   event.fields.emplace_back("path", "a&b<c");
   for (const std::string& text :
