--- a/src/contract/config_codec_test.cc
+++ b/src/contract/config_codec_test.cc
@@ -1,4 +1,4 @@
-/** @file config_codec_test.cc Configurations as content-addressed parts. */
+/** @file config_codec_test.cc Tests of encoding a configuration as parts. */
 #define BOOST_TEST_MODULE config_codec
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -27,8 +27,8 @@
   return n;
 }
 
-// The naive version is the whole document as one JSON text.
-BOOST_DATA_TEST_CASE(PartsGiveTheWholeDocument,
+// The reference is the whole document as one JSON text.
+BOOST_DATA_TEST_CASE(PartsDecodeToTheWholeDocument,
                      boost::unit_test::data::xrange(40), seed) {
   testing::Random random(seed);
   const Config config{7, kPlan, testing::RandomIntent(random, seed * 5)};
@@ -39,7 +39,7 @@
   BOOST_CHECK(decoded.intent == config.intent);
 }
 
-BOOST_DATA_TEST_CASE(OneChangeTouchesOnePart,
+BOOST_DATA_TEST_CASE(OneChangeReplacesAtMostOnePart,
                      boost::unit_test::data::xrange(40), seed) {
   testing::Random random(seed);
   const Intent before = testing::RandomIntent(random, 500);
@@ -48,9 +48,9 @@
   BOOST_TEST(NewParts(before, after) <= 1);
 }
 
-/** The worst case: models of the longest lists of the longest names, all in
- * one bucket. */
-Intent CrowdedIntent() {
+/** @return The worst case: models with the longest lists of the longest names,
+ * all in one bucket. */
+Intent LargestBucketIntent() {
   Intent intent;
   intent.deployment = "crowded";
   const core::ServiceId service("s");
@@ -73,7 +73,7 @@
 }
 
 BOOST_AUTO_TEST_CASE(EveryPartFitsTheKeyValueService) {
-  const Config config{1, kPlan, CrowdedIntent()};
+  const Config config{1, kPlan, LargestBucketIntent()};
   Validate(config.intent);
   const EncodedConfig encoded = EncodeConfig(config);
   for (const Part& part : encoded.parts) {
@@ -82,8 +82,8 @@
   BOOST_CHECK(DecodeConfig(1, kPlan, encoded.parts).intent == config.intent);
 }
 
-// A user would see a model that nobody declared, or miss one. A part is damaged
-// on its way or swapped for another; its hash no longer tells of its content.
+// Guards against undeclared or missing models after a part was damaged in
+// transit or swapped for another: its hash no longer matches its content.
 BOOST_AUTO_TEST_CASE(DamagedPartIsNotAdopted) {
   testing::Random random(1);
   const EncodedConfig encoded =
@@ -99,10 +99,10 @@
   BOOST_TEST(holder.version() == 1);
 }
 
-// Halfway through an upgrade a newer release confirms a configuration with a
-// field that this one does not know. It must come into force all the same, and
-// be passed on unchanged.
-BOOST_AUTO_TEST_CASE(FieldsOfNewerReleasesArePassedOn) {
+// During an upgrade, a newer release confirms a configuration with a field that
+// this release does not know. It must still come into force and be forwarded
+// unchanged.
+BOOST_AUTO_TEST_CASE(FieldsOfNewerReleasesAreForwarded) {
   const std::string data =
       R"({"deployment":"d","colour":"red","service":[{"name":"s",)"
       R"("max_replicas":1,"tier":3}]})";
--- a/src/contract/config_pull.cc
+++ b/src/contract/config_pull.cc
@@ -1,4 +1,4 @@
-/** @file config_pull.cc Configuration spreads over links. */
+/** @file config_pull.cc Distributes configurations over links. */
 #include <algorithm>
 #include <atomic>
 #include <exception>
@@ -20,11 +20,11 @@
 
 namespace {
 
-/** Parts in one message, bytes: well below the longest frame of a link. */
+/** Bytes of parts in one message: well below the maximum frame of a link. */
 constexpr std::size_t kMessageBytes = 1024 * 1024;
 constexpr std::chrono::milliseconds kReceiveTimeout{2000};
-/** How long a peer is not asked again after its answer could not be used. */
-constexpr std::chrono::milliseconds kRestAfterFailure{200};
+/** Time until a peer whose answer could not be used is pulled from again. */
+constexpr std::chrono::milliseconds kPauseAfterFailure{200};
 
 using PartMap = std::map<std::string, std::string, std::less<>>;
 
@@ -46,8 +46,9 @@
   });
 }
 
-/** Parts the peer left out because we said that we hold them. */
-PartMap HeldParts(const EncodedConfig* have) {
+/** @return The parts that the peer leaves out because the request lists them.
+ */
+PartMap LocalParts(const EncodedConfig* have) {
   PartMap parts;
   if (have == nullptr) return parts;
   for (const Part& part : have->parts) parts.emplace(part.hash, part.data);
@@ -62,14 +63,15 @@
   return config;
 }
 
-/** Reads messages until every part is there. */
+/** Receives messages until all parts are complete. */
 core::Task<EncodedConfig> ReceiveConfig(std::shared_ptr<link::Call> call,
                                         PartMap parts) {
   while (true) {
     const gen::Message message = co_await call->Receive(kReceiveTimeout);
     if (!message.__isset.config_parts) {
-      throw core::Error(ErrorCode::kInternal,
-                        "config pull: answered by " + link::KindOf(message));
+      throw core::Error(
+          ErrorCode::kInternal,
+          "config pull: unexpected message " + link::KindOf(message));
     }
     const gen::ConfigParts& answer = message.config_parts;
     for (const gen::ConfigPart& part : answer.parts) {
@@ -79,7 +81,8 @@
       co_return Assemble(answer, std::move(parts));
     }
     if (answer.parts.empty()) {
-      throw core::Error(ErrorCode::kAnswerCut, "config pull: parts missing");
+      throw core::Error(ErrorCode::kAnswerCut,
+                        "config pull: the peer did not send all parts");
     }
   }
 }
@@ -104,17 +107,18 @@
         parts(own_parts),
         log(own_log) {}
 
-  /** Starts a pull unless one runs; called for every frame of a newer peer. */
-  void NewerSeen(const std::shared_ptr<link::Link>& link) {
-    if (Resting(link->peer().vm) || !Begin(link)) return;
+  /** Starts a pull unless one is running. Called for every frame of a peer
+   * with a newer version. */
+  void OnNewerVersion(const std::shared_ptr<link::Link>& link) {
+    if (IsPaused(link->peer().vm) || !Begin(link)) return;
     core::Spawn(executor, log, "config_pull",
                 [self = shared_from_this(), link] { return Run(self, link); });
   }
 
-  // Guards against one broken peer keeping all others from being asked: it
-  // would show as a process that stays behind while many have the version.
-  // Frames come in step with heartbeats, so after a pause for everybody the
-  // same peer may well be first again, each time. Here only it has to rest.
+  // After a failure only the failed peer is paused, so that one broken peer
+  // can't keep this process on an old version while many peers have a newer
+  // one: frames arrive at heartbeat intervals, so after a pause for all peers
+  // the broken one could be the first again each time.
   static core::Task<> Run(std::shared_ptr<State> self,
                           std::shared_ptr<link::Link> link) {
     std::string failure;
@@ -124,51 +128,52 @@
       failure = e.what();
     }
     const core::VmId peer = link->peer().vm;
-    if (!failure.empty()) self->SetResting(peer, true);
+    if (!failure.empty()) self->SetPaused(peer, true);
     self->End();
     if (failure.empty()) co_return;
     self->log.Event(LogLevel::kWarning, LogCategory::kConfig,
                     "config_pull_failed", {{"peer", peer}, {"error", failure}});
-    co_await core::SleepFor(kRestAfterFailure);
-    self->SetResting(peer, false);
+    co_await core::SleepFor(kPauseAfterFailure);
+    self->SetPaused(peer, false);
   }
 
-  /** @return True if a pull may start; else its peer is asked afterwards. */
+  /** @return True if a pull may start; otherwise the peer is pulled from when
+   * the running pull has ended. */
   bool Begin(const std::shared_ptr<link::Link>& link) {
     const std::lock_guard lock(mutex);
     if (pulling) {
-      missed = link;
+      next_link = link;
       return false;
     }
     pulling = true;
     return true;
   }
 
-  // Guards against a version that is told of while a pull is ending: the peer
-  // tells it once, and without this the process stays behind until the peer
-  // sends its next frame.
+  // Starts the next pull if a peer announced a newer version during this one:
+  // the peer announces it once, so this process would otherwise stay behind
+  // until the peer sends its next frame.
   void End() {
     std::shared_ptr<link::Link> again;
     {
       const std::lock_guard lock(mutex);
       pulling = false;
-      again = std::exchange(missed, nullptr);
+      again = std::exchange(next_link, nullptr);
     }
     if (again == nullptr || again->lost()) return;
-    if (again->peer().config_version > holder.version()) NewerSeen(again);
+    if (again->peer().config_version > holder.version()) OnNewerVersion(again);
   }
 
-  bool Resting(const core::VmId& peer) {
+  bool IsPaused(const core::VmId& peer) {
     const std::lock_guard lock(mutex);
-    return resting.contains(peer);
+    return paused.contains(peer);
   }
 
-  void SetResting(const core::VmId& peer, bool rests) {
+  void SetPaused(const core::VmId& peer, bool pause) {
     const std::lock_guard lock(mutex);
-    if (rests) {
-      resting.insert(peer);
+    if (pause) {
+      paused.insert(peer);
     } else {
-      resting.erase(peer);
+      paused.erase(peer);
     }
   }
 
@@ -177,7 +182,7 @@
     const std::shared_ptr<const EncodedConfig> have = self->parts.Current();
     const std::shared_ptr<link::Call> call =
         co_await link->Open(PullMessage(have.get()));
-    EncodedConfig config = co_await ReceiveConfig(call, HeldParts(have.get()));
+    EncodedConfig config = co_await ReceiveConfig(call, LocalParts(have.get()));
     const std::int64_t version = config.version;
     if (!self->parts.Adopt(std::move(config))) co_return;
     self->log.Event(
@@ -191,10 +196,10 @@
   const core::Logger& log;
   std::mutex mutex;
   bool pulling = false;
-  /** The last peer that told of a newer version during a pull. */
-  std::shared_ptr<link::Link> missed;
-  /** Peers that are not asked for now. */
-  std::set<core::VmId> resting;
+  /** The last peer that announced a newer version during a pull. */
+  std::shared_ptr<link::Link> next_link;
+  /** Peers that are paused after a failed pull. */
+  std::set<core::VmId> paused;
 };
 
 ConfigPuller::ConfigPuller(const core::Executor& executor, ConfigHolder& holder,
@@ -208,7 +213,7 @@
   hooks.current = [state = state_] { return state->holder.version(); };
   hooks.on_newer_version = [state = state_](
                                const std::shared_ptr<link::Link>& link,
-                               std::int64_t) { state->NewerSeen(link); };
+                               std::int64_t) { state->OnNewerVersion(link); };
   return hooks;
 }
 
--- a/src/contract/intent_test.cc
+++ b/src/contract/intent_test.cc
@@ -1,4 +1,4 @@
-/** @file intent_test.cc Reading, checking and writing intents. */
+/** @file intent_test.cc Tests of reading, checking and writing intents. */
 #define BOOST_TEST_MODULE intent
 #include <boost/test/data/test_case.hpp>
 #include <boost/test/unit_test.hpp>
@@ -16,7 +16,7 @@
 
 using core::ErrorCode;
 
-constexpr std::string_view kGood = R"(deployment = "meander"
+constexpr std::string_view kValidToml = R"(deployment = "meander"
 [[service]]
 name = "cabin"
 max_replicas = 2
@@ -86,7 +86,7 @@
 };
 
 std::string Replaced(std::string_view find, std::string_view replacement) {
-  std::string text(kGood);
+  std::string text(kValidToml);
   const std::size_t at = text.find(find);
   BOOST_REQUIRE(at != std::string::npos);
   return text.replace(at, find.size(), replacement);
@@ -103,8 +103,8 @@
       });
 }
 
-BOOST_AUTO_TEST_CASE(GoodTomlIsRead) {
-  const Intent intent = ParseIntentToml(kGood, "m.toml");
+BOOST_AUTO_TEST_CASE(ValidTomlIsRead) {
+  const Intent intent = ParseIntentToml(kValidToml, "m.toml");
   const Model& model = intent.models.at(core::ModelId("itinerary"));
   BOOST_TEST(model.weight_bytes == 8LL << 30);
   BOOST_TEST(model.adapters.at(0).bytes == 20'000'000);
@@ -148,7 +148,7 @@
   return intent;
 }
 
-BOOST_AUTO_TEST_CASE(LargestSizesPassAndLargerOnesDoNot) {
+BOOST_AUTO_TEST_CASE(LargestSizesAreValidAndLargerOnesAreNot) {
   const Intent largest = LargeIntent(2'000, 10);
   BOOST_CHECK(ParseIntentToml(ToToml(largest), "t") == largest);
   const auto over = [](const core::Error& e) {
@@ -160,7 +160,7 @@
   BOOST_CHECK_EXCEPTION(Validate(LargeIntent(1, 2'001)), core::Error, over);
 }
 
-/** @return How many models and adapters an intent has. */
+/** @return The numbers of models and adapters of an intent. */
 std::pair<std::size_t, std::size_t> SizesOf(const Intent& intent) {
   std::size_t adapters = 0;
   for (const auto& [name, model] : intent.models) {
@@ -181,7 +181,7 @@
     const std::string name = item.path().stem().string();
     sizes[name] = SizesOf(ParseIntentToml(text.str(), name));
   }
-  // The users' two deployments of today.
+  // The two deployments that users run today.
   BOOST_CHECK(sizes["meander"] == Sizes(65, 75));
   BOOST_CHECK(sizes["hanbit"] == Sizes(50, 40));
 }
--- a/src/contract/plan.cc
+++ b/src/contract/plan.cc
@@ -1,4 +1,4 @@
-/** @file plan.cc Works out what confirming an intent would change. */
+/** @file plan.cc Computes what confirming an intent would change. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -17,8 +17,8 @@
 /** Field name to value as text. */
 using Fields = std::map<std::string, std::string, std::less<>>;
 
-/** Every declared thing by kind and name. */
-using Things = std::map<std::pair<Subject, std::string>, Fields>;
+/** Every declared object by kind and name. */
+using Objects = std::map<std::pair<Subject, std::string>, Fields>;
 
 std::string Text(bool flag) { return flag ? "true" : "false"; }
 
@@ -48,8 +48,8 @@
           {"bytes", FormatByteSize(adapter.bytes)}};
 }
 
-Things ThingsOf(const Intent& intent) {
-  Things things;
+Objects ObjectsOf(const Intent& intent) {
+  Objects things;
   things[{Subject::kDeployment, ""}] = {{"name", intent.deployment}};
   things[{Subject::kWeights, ""}] = {
       {"cold_start", fmt::to_string(intent.weights.cold_start)},
@@ -112,8 +112,8 @@
   return it == model.adapters.end() || it->name != name ? nullptr : &*it;
 }
 
-/** @return True if a replica of the model may be loaded at all. */
-bool Offered(const Intent& intent, const core::ModelId& name) {
+/** @return True if the limits allow at least one replica of the model. */
+bool IsOffered(const Intent& intent, const core::ModelId& name) {
   const Model* model = FindModel(intent, name);
   if (model == nullptr || model->max_replicas == 0) return false;
   const auto it = intent.services.find(model->service);
@@ -125,7 +125,7 @@
  public:
   explicit LimitCounter(const Intent& intent) : intent_(intent) {}
 
-  /** Counts a replica. @return Why it is too many; empty if it may stay. */
+  /** Counts a replica. @return Why it is over a limit; empty if it is not. */
   std::string Admit(const core::ModelId& name) {
     const Model* model = FindModel(intent_, name);
     if (model == nullptr) return "the model is no longer offered";
@@ -149,7 +149,7 @@
   std::map<core::ServiceId, int> by_service_;
 };
 
-/** Why a replica loaded under `before` has to be loaded anew. */
+/** @return Why a replica of `before` must be reloaded; empty if it need not. */
 std::string ReloadReason(const Model& before, const Model& after) {
   if (before.version != after.version) return "the model's version changes";
   if (before.service != after.service) return "the model's service changes";
@@ -160,7 +160,7 @@
   return {};
 }
 
-/** Works out the effects of one plan. */
+/** Computes the effects of one plan. */
 class EffectWriter {
  public:
   EffectWriter(const Intent& before, const Intent& after)
@@ -181,7 +181,7 @@
 
   void AddModels() {
     for (const auto& [name, model] : before_.models) {
-      if (Offered(before_, name) && !Offered(after_, name)) {
+      if (IsOffered(before_, name) && !IsOffered(after_, name)) {
         Add(EffectKind::kRefuse, model.service, name,
             FindModel(after_, name) == nullptr
                 ? "the model is no longer offered"
@@ -189,13 +189,13 @@
       }
     }
     for (const auto& [name, model] : after_.models) {
-      if (!Offered(before_, name) && Offered(after_, name)) {
+      if (!IsOffered(before_, name) && IsOffered(after_, name)) {
         Add(EffectKind::kAccept, model.service, name, "the model is offered");
       }
     }
   }
 
-  /** Adapters of models that stay. */
+  /** Adds the removed adapters of models that are kept. */
   void AddAdapters() {
     for (const auto& [name, model] : before_.models) {
       const Model* wanted = FindModel(after_, name);
@@ -284,8 +284,8 @@
 }  // namespace
 
 std::vector<Change> Diff(const Intent& before, const Intent& after) {
-  const Things old_things = ThingsOf(before);
-  const Things new_things = ThingsOf(after);
+  const Objects old_things = ObjectsOf(before);
+  const Objects new_things = ObjectsOf(after);
   std::vector<Change> changes;
   for (const auto& [key, fields] : old_things) {
     const auto it = new_things.find(key);
--- a/src/core/address.cc
+++ b/src/core/address.cc
@@ -1,4 +1,4 @@
-/** @file address.cc "ip:port" texts and listening sockets. */
+/** @file address.cc Addresses, socket options, atomic file writes. */
 #include <netinet/in.h>
 #include <netinet/tcp.h>
 #include <sys/socket.h>
@@ -38,12 +38,12 @@
   }
   boost::system::error_code ec;
   const auto ip = boost::asio::ip::make_address(host, ec);
-  if (ec) BadAddress(address, "has no IP number");
+  if (ec) BadAddress(address, "does not contain a valid IP address");
   std::uint16_t port = 0;
   const char* end = address.data() + address.size();
   const auto result = std::from_chars(address.data() + colon + 1, end, port);
   if (result.ec != std::errc() || result.ptr != end) {
-    BadAddress(address, "has no port number");
+    BadAddress(address, "does not contain a valid port number");
   }
   return {ip, port};
 }
@@ -68,14 +68,15 @@
   return shown + ":" + std::to_string(local.port());
 }
 
-void NoticeDeadPeer(boost::asio::ip::tcp::socket& socket) {
+void EnableDeadPeerDetection(boost::asio::ip::tcp::socket& socket) {
   constexpr int kOn = 1;
   constexpr int kIdleSeconds = 1;
   constexpr int kProbeSeconds = 1;
   constexpr int kProbes = 2;
   constexpr unsigned kUnacknowledgedMs = 3000;
   const int fd = socket.native_handle();
-  // A socket that can't take an option still serves; it only fails later.
+  // Errors are ignored: without an option the socket works, but detects a dead
+  // peer later.
   ::setsockopt(fd, SOL_SOCKET, SO_KEEPALIVE, &kOn, sizeof kOn);
   ::setsockopt(fd, IPPROTO_TCP, TCP_KEEPIDLE, &kIdleSeconds,
                sizeof kIdleSeconds);
--- a/src/core/log.cc
+++ b/src/core/log.cc
@@ -1,4 +1,4 @@
-/** @file log.cc One key=value line an event, to standard output. */
+/** @file log.cc Event log: one line of key=value fields per event. */
 #include <fmt/chrono.h>
 #include <unistd.h>
 
@@ -19,8 +19,8 @@
     "process", "request",  "replica", "ledger", "config",
     "link",    "platform", "admin",   "fault"};
 
-/** Lines that wait for a slow reader: some seconds of a busy process. */
-constexpr std::size_t kMaxWaiting = 256 * 1024;
+/** Buffer size in bytes: some seconds of log lines of a busy process. */
+constexpr std::size_t kMaxBuffered = 256 * 1024;
 
 bool NeedsQuotes(std::string_view value) {
   return value.empty() ||
@@ -68,7 +68,7 @@
     : identity_(std::move(identity)),
       threshold_(threshold),
       clock_(clock),
-      sink_(std::make_unique<LogSink>(fd, kMaxWaiting)) {}
+      sink_(std::make_unique<LogSink>(fd, kMaxBuffered)) {}
 
 void Logger::Event(LogLevel level, LogCategory category, std::string_view event,
                    std::initializer_list<LogField> fields) const {
@@ -95,7 +95,7 @@
   }
   throw Error(ErrorCode::kBadSettings,
               "log_level: " + std::string(name) +
-                  " is none of debug, info, warning, error");
+                  " must be one of debug, info, warning, error");
 }
 
 }  // namespace sapphire::core
--- a/src/core/log_sink_test.cc
+++ b/src/core/log_sink_test.cc
@@ -1,4 +1,4 @@
-/** @file log_sink_test.cc Tests of log lines that nobody reads. */
+/** @file log_sink_test.cc Tests of log output whose reader stops reading. */
 #define BOOST_TEST_MODULE log_sink
 #include <fcntl.h>
 #include <unistd.h>
@@ -14,9 +14,9 @@
 
 namespace {
 
-constexpr std::size_t kMaxWaiting = 64 * 1024;
+constexpr std::size_t kMaxBuffered = 64 * 1024;
 
-/** A pipe whose reader can be left alone. */
+/** A pipe that is only read by ReadAll(). */
 struct Pipe {
   Pipe() { BOOST_REQUIRE_EQUAL(::pipe(ends.data()), 0); }
   ~Pipe() {
@@ -24,7 +24,7 @@
     ::close(ends[1]);
   }
 
-  /** @return Everything that is there now. */
+  /** @return All data that can be read without blocking. */
   std::string ReadAll() {
     ::fcntl(ends[0], F_SETFL, O_NONBLOCK);
     std::string text;
@@ -41,22 +41,22 @@
 
 }  // namespace
 
-BOOST_AUTO_TEST_CASE(LinesGoOutAtOnce) {
+BOOST_AUTO_TEST_CASE(LinesAreWrittenAtOnce) {
   Pipe pipe;
-  LogSink sink(pipe.ends[1], kMaxWaiting);
+  LogSink sink(pipe.ends[1], kMaxBuffered);
   sink.Write("a=1\n", "p");
   BOOST_TEST(pipe.ReadAll() == "a=1\n");
 }
 
 /**
- * Callers get no answers any more: the log collector has stopped reading, the
- * pipe is full, and the process waits in the middle of a request.
- * Under load lines are dropped instead, and a later line says how many.
+ * Guards against a process that blocks in the middle of a request because the
+ * log collector has stopped reading and the pipe is full. Lines are dropped
+ * instead, and a later line reports how many.
  */
-BOOST_AUTO_TEST_CASE(AReaderThatStopsReadingHoldsUpNobody) {
+BOOST_AUTO_TEST_CASE(StalledReaderDoesNotBlockTheWriter) {
   constexpr int kLines = 20'000;
   Pipe pipe;
-  LogSink sink(pipe.ends[1], kMaxWaiting);
+  LogSink sink(pipe.ends[1], kMaxBuffered);
   const std::string line = std::string(99, 'x') + "\n";
   const auto began = std::chrono::steady_clock::now();
   for (int i = 0; i < kLines; ++i) sink.Write(line, "p");
@@ -69,9 +69,9 @@
   sink.Write(line, "p");
   pipe.ReadAll();
   sink.Write(line, "p");
-  const std::string said =
+  const std::string report =
       "p event=log_dropped lines=" + std::to_string(counters.dropped) + "\n";
-  BOOST_TEST(pipe.ReadAll().find(said) != std::string::npos);
+  BOOST_TEST(pipe.ReadAll().find(report) != std::string::npos);
 }
 
 }  // namespace sapphire::core
--- a/src/core/settings_test.cc
+++ b/src/core/settings_test.cc
@@ -1,4 +1,4 @@
-/** @file settings_test.cc Settings are checked against their table. */
+/** @file settings_test.cc Tests of reading settings according to a table. */
 #define BOOST_TEST_MODULE settings
 #include <boost/test/unit_test.hpp>
 
@@ -41,13 +41,13 @@
   BOOST_TEST((settings.Millis("wait") == std::chrono::milliseconds(250)));
 }
 
-BOOST_AUTO_TEST_CASE(NamesFileLineAndKey) {
+BOOST_AUTO_TEST_CASE(ErrorsNameFileLineAndKey) {
   BOOST_TEST(FailureOf("\nport = \"x\"") ==
              "a.toml:2: port: must be of type integer");
   BOOST_TEST(FailureOf("port = 70000") ==
              "a.toml:1: port: must be from 0 to 65535");
   BOOST_TEST(FailureOf("port = 1\nprot = 2") ==
-             "a.toml:2: prot: is no setting of this program");
+             "a.toml:2: prot: is not a setting of this program");
   BOOST_TEST(FailureOf("wait = 2") == "a.toml:1: port: is required");
   BOOST_TEST(FailureOf("port = ").starts_with("a.toml:1: syntax: "));
 }
--- a/src/serving/front.cc
+++ b/src/serving/front.cc
@@ -440,8 +440,8 @@
     const core::SteadyTime due = clock_.Now() + kHousekeepingInterval;
     co_await core::SleepFor(kHousekeepingInterval);
     // Whatever blocked the thread meanwhile has delayed this timer too.
-    stalls_.Note("any",
-                 std::chrono::duration_cast<milliseconds>(clock_.Now() - due));
+    stalls_.Record(
+        "any", std::chrono::duration_cast<milliseconds>(clock_.Now() - due));
   }
 }
 
