--- a/deploy/soak/sapphire_soak_main.cc
+++ b/deploy/soak/sapphire_soak_main.cc
@@ -1,4 +1,4 @@
-/** @file sapphire_soak_main.cc Runs seeds of the fault soak. */
+/** @file sapphire_soak_main.cc Runs the fault soak for a range of seeds. */
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -14,11 +14,11 @@
 
 namespace {
 
-/** Two in 12 s, so that some overlap with the other faults. */
+/** Two departures in 12 s, so that some overlap with the other faults. */
 constexpr int kDepartures = 2;
 
-/** Plays the plan's seed and prints how it went.
- * @return True if all promises were kept. */
+/** Runs the soak for the plan's seed and prints the result.
+ * @return True if no guarantee was violated. */
 bool PlaySeed(const SoakPlan& plan, const std::string& bin_dir,
               const std::string& logs) {
   const SoakPlan drawn = DrawFaults(plan);
--- a/deploy/soak/soak_caller.cc
+++ b/deploy/soak/soak_caller.cc
@@ -1,4 +1,5 @@
-/** @file soak_caller.cc Callers that send, leave and check answers. */
+/** @file soak_caller.cc Simulates callers that send requests, cancel
+ * some of them and check the answers. */
 #include <fmt/format.h>
 
 #include <utility>
@@ -21,10 +22,10 @@
 namespace {
 
 constexpr milliseconds kPause{60};
-/** An answer that is due at the route's timeout comes within this after. */
+/** Time allowed for an answer to arrive after the route's timeout. */
 constexpr milliseconds kAnswerSlack{1500};
 constexpr int kMostEvents = 40;
-/** One in so many leaves early, and one in so many is deadly. */
+/** One in kLeaves requests is cancelled early; one in kDeadly is deadly. */
 constexpr int kLeaves = 12;
 constexpr int kDeadly = 8;
 constexpr int kKinds = 4;
--- a/deploy/soak/soak_caller_base.h
+++ b/deploy/soak/soak_caller_base.h
@@ -1,4 +1,5 @@
-/** @file soak_caller_base.h Callers that send, leave and check answers. */
+/** @file soak_caller_base.h Simulates callers that send requests, cancel
+ * some of them and check the answers. */
 #ifndef SAPPHIRE_DEPLOY_SOAK_SOAK_CALLER_BASE_H_
 #define SAPPHIRE_DEPLOY_SOAK_SOAK_CALLER_BASE_H_
 
@@ -18,7 +19,7 @@
 inline constexpr std::string_view kStreamPath = "/stream/";
 inline constexpr std::string_view kOncePath = "/once/";
 inline constexpr std::string_view kSafePath = "/safe/";
-/** Longest time that routes keep a caller waiting. */
+/** Request timeout of the routes. */
 inline constexpr milliseconds kRouteTimeout{4000};
 
 struct SoakCallerOptions {
@@ -26,20 +27,21 @@
   std::vector<std::string> models;
   std::uint64_t seed = 0;
   int number = 0;
-  /** Until then it sends a request that crashes engines now and then. */
+  /** The caller occasionally sends a request that crashes engines until this
+   * time. */
   core::SteadyTime deadly_until;
-  /** Null: no key is sent. */
+  /** Current keys of the organisations; null if no key is sent. */
   const KeyGenerations* keys = nullptr;
 };
 
-/** Sends one attempt after the other, over connections that it keeps. */
+/** Sends one request at a time over persistent connections. */
 class SoakCaller {
  public:
   /** @pre All references outlive it. */
   SoakCaller(SoakCallerOptions options, SoakRecord& record,
              const core::Clock& clock);
 
-  /** Goes on until `end`. */
+  /** Sends requests until `end`. */
   core::Task<> Run(core::SteadyTime end);
 
  private:
--- a/deploy/soak/soak_departure_test.cc
+++ b/deploy/soak/soak_departure_test.cc
@@ -1,5 +1,5 @@
-/** @file soak_departure_test.cc Engines that leave while an entry can't know.
- */
+/** @file soak_departure_test.cc Tests engines that are deregistered while an
+ * entry is cut off from the store. */
 #define BOOST_TEST_MODULE soak_departure
 #include <boost/test/unit_test.hpp>
 
@@ -8,11 +8,12 @@
 namespace sapphire::deploy::soak {
 
 /**
- * Requests reach engines that left seconds before.
- * Entries lose the store, engines leave without a word and serve on, and the
- * path is back: entries took up to 1.4 s to find it, and held on to what the
- * listing did not name for 2 s more. Four requests of this seed came too late;
- * the engines' own records prove it.
+ * Guards against requests to engines that left seconds before. Engines are
+ * deregistered without draining and keep serving while entries are cut off from
+ * the store. After the partition, entries took up to 1.4 s to notice that the
+ * store was reachable and kept engines that the listing no longer named for
+ * another 2 s. With this seed, four requests reached such engines too late, as
+ * the engines' records show.
  */
 BOOST_AUTO_TEST_CASE(EnginesThatLeaveBehindAPartitionAreNotUsedForLong) {
   constexpr std::uint64_t kSeed = 523;
--- a/deploy/soak/soak_engine.cc
+++ b/deploy/soak/soak_engine.cc
@@ -1,4 +1,4 @@
-/** @file soak_engine.cc An engine of the platform, for soaks. */
+/** @file soak_engine.cc Simulates an engine of the platform. */
 #include <fmt/format.h>
 
 #include <utility>
@@ -132,7 +132,7 @@
   co_await writer.Send(http::MakeResponse(status, "application/json", "{}"));
 }
 
-/** @return The status of the answer. */
+/** @return The HTTP status of the answer. */
 int SoakEngine::TakeOrder(const json::object& order) {
   const std::string model = external::StringAt(order, "model");
   const bool load = external::StringAt(order, "op") == "load";
@@ -201,7 +201,7 @@
   record_.runs[id].push_back(run);
 }
 
-/** @throws http::ConnectionCut if the engine crashes meanwhile. */
+/** @throws http::ConnectionCut if the engine crashes during the pause. */
 core::Task<> SoakEngine::Pause(milliseconds time, std::int64_t start) const {
   co_await core::SleepFor(time);
   if (start != start_) throw http::ConnectionCut("crashed");
--- a/deploy/soak/soak_engine_base.h
+++ b/deploy/soak/soak_engine_base.h
@@ -1,4 +1,4 @@
-/** @file soak_engine_base.h An engine of the platform, for soaks. */
+/** @file soak_engine_base.h Simulates an engine of the platform. */
 #ifndef SAPPHIRE_DEPLOY_SOAK_SOAK_ENGINE_BASE_H_
 #define SAPPHIRE_DEPLOY_SOAK_SOAK_ENGINE_BASE_H_
 
@@ -16,22 +16,22 @@
 
 namespace sapphire::deploy::soak {
 
-/** A request with this body crashes each engine that begins to run it. */
+/** Body of a request that crashes every engine that starts to run it. */
 inline constexpr std::string_view kDeadlyBody = "deadly";
 
 struct SoakEngineOptions {
   std::string listen;
   std::string instance;
-  /** Empty: a plain service. */
+  /** Initially loaded models; empty for an engine of a plain service. */
   std::set<std::string> models;
-  /** Checkpoints near; the same after each start. */
+  /** Models whose checkpoints are on the local disk; kept across restarts. */
   std::set<std::string> disk;
-  /** Models that fit. */
+  /** Number of models that fit into memory. */
   std::size_t room = 3;
 };
 
-/** Keeps the platform's protocol of engines; records what it runs. One thread.
- */
+/** Implements the platform's engine protocol and records the requests it runs.
+ * Single-threaded. */
 class SoakEngine {
  public:
   /** @pre All references outlive it. */
@@ -39,9 +39,10 @@
              SoakRecord& record, std::function<void()> crashed,
              const core::Clock& clock, const core::Logger& log);
 
-  /** Comes up as another start, empty; checkpoints stay on its disk. */
+  /** Restarts as a new instance without loaded models; checkpoints stay on its
+   * disk. */
   void Restart(const std::string& instance);
-  /** What is in progress ends here. */
+  /** Aborts running requests and the current order, and drops loaded models. */
   void Crash();
 
   [[nodiscard]] const std::string& instance() const { return instance_; }
@@ -72,7 +73,7 @@
   const core::Clock& clock_;
   const core::Logger& log_;
   std::string instance_;
-  /** Counts crashes: what an earlier start had in progress is over. */
+  /** Counts crashes; work that began under an earlier value is aborted. */
   std::int64_t start_ = 0;
   std::set<std::string> held_;
   std::map<std::string, int> running_;
--- a/deploy/soak/soak_faults.cc
+++ b/deploy/soak/soak_faults.cc
@@ -1,4 +1,5 @@
-/** @file soak_faults.cc Injects a soak's faults from outside its programs. */
+/** @file soak_faults.cc Injects the faults of a soak from outside the
+ * programs. */
 #include <csignal>
 #include <string>
 
@@ -9,9 +10,9 @@
 
 namespace {
 
-/** The platform's three heartbeats without a word. */
+/** The platform deregisters a silent engine after three heartbeat intervals. */
 constexpr milliseconds kSilenceLimit{3600};
-/** How long an engine serves on after it said that it leaves. */
+/** How long an engine keeps serving after it was registered as draining. */
 constexpr milliseconds kServesOn{4000};
 constexpr milliseconds kGrace{8000};
 constexpr milliseconds kPoll{20};
@@ -55,7 +56,8 @@
   }
 }
 
-/** Callers go on using their connections until the process is gone. */
+/** Stops the entry gracefully and restarts it. Callers keep using their
+ * connections until the process has exited. */
 core::Task<> SoakWorld::StopEntry(int number) {
   EntryVm& entry = *entries_.at(static_cast<std::size_t>(number));
   entry.leaving = true;
@@ -100,12 +102,12 @@
       vm.relay->Delay(milliseconds(0));
       break;
     default:
-      // What a caller's leaving ends can't be told through a cut.
+      // An entry can't cancel a run through the cut after its caller has left.
       DisturbAllEntries(fault.length);
       vm.relay->Cut(fault.kind == FaultKind::kEngineCut, true);
       co_await core::SleepFor(fault.length);
       vm.relay->Cut(false, false);
-      // What was swallowed is missing in the middle of answers.
+      // The dropped bytes are missing in the middle of answers.
       vm.relay->Reset();
   }
 }
@@ -113,7 +115,7 @@
 core::Task<> SoakWorld::InjectEndpoint(Fault fault) {
   EngineVm& vm = *engines_.at(static_cast<std::size_t>(fault.target));
   const bool lost = fault.kind == FaultKind::kEndpointLost;
-  // Only a long loss goes on while the engine itself is down.
+  // While the engine is down, only a long outage is injected.
   if (!vm.process || vm.endpoint_lost || (vm.down && !lost)) co_return;
   if (fault.kind == FaultKind::kEndpointPause) {
     vm.process->Signal(SIGSTOP);
@@ -170,7 +172,7 @@
   co_await ReplaceEngine(vm);
 }
 
-/** The engine ends, and another starts in its place. */
+/** Stops the engine and starts a new instance in its place. */
 core::Task<> SoakWorld::ReplaceEngine(EngineVm& vm) {
   const std::string instance = vm.engine->instance();
   vm.relay->Close();
--- a/deploy/soak/soak_identity_func.h
+++ b/deploy/soak/soak_identity_func.h
@@ -1,4 +1,5 @@
-/** @file soak_identity_func.h Organisations of a soak, their keys and quota. */
+/** @file soak_identity_func.h Defines the organisations of a soak, their keys
+ * and quota. */
 #ifndef SAPPHIRE_DEPLOY_SOAK_SOAK_IDENTITY_FUNC_H_
 #define SAPPHIRE_DEPLOY_SOAK_SOAK_IDENTITY_FUNC_H_
 
@@ -16,13 +17,14 @@
 inline constexpr double kLimitPerSecond = 4;
 inline constexpr double kLimitBurst = 4;
 inline constexpr double kQuotaExcess = 0.1;
-/** Requests that operators bear beyond the quota. */
+/** Number of requests that may exceed the quota (the quota_slack setting). */
 inline constexpr double kQuotaSlack = 15;
 inline constexpr int kQuotaWindowSeconds = 8;
-/** This caller goes on with the first key of its organisation. */
+/** Number of the caller that keeps using the first key of its organisation
+ * after the key is revoked. */
 inline constexpr int kStaleCaller = 14;
 
-/** Counts the keys that each organisation has had. */
+/** Generation of the current key of each organisation; the first key is 0. */
 using KeyGenerations = std::array<int, kOrganisations>;
 
 inline int OrganisationOf(int caller) { return caller % kOrganisations; }
@@ -35,12 +37,12 @@
   return fmt::format("key-{}-{}", organisation, generation);
 }
 
-/** @return The organisation whose caller sent a request of this id. */
+/** @return The organisation of the caller whose request has this id. */
 inline std::string OrganisationOfId(const std::string& id) {
   return OrganisationName(OrganisationOf(std::stoi(id)));
 }
 
-/** @return The organisations of a configuration. */
+/** @return The list of organisations for the configuration document. */
 inline boost::json::array OrganisationsOf(const KeyGenerations& generations) {
   boost::json::array all;
   for (int i = 0; i < kOrganisations; ++i) {
--- a/deploy/soak/soak_judge.cc
+++ b/deploy/soak/soak_judge.cc
@@ -1,4 +1,5 @@
-/** @file soak_judge.cc Whether a soak's promises were kept. */
+/** @file soak_judge.cc Checks the record of a soak for violated
+ * guarantees. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -11,16 +12,16 @@
 
 namespace {
 
-/** After a disturbance, promises with a time hold again this much later. */
+/** Checks with a time limit apply again this long after a disturbance. */
 constexpr milliseconds kSettled{3000};
-/** An engine that leaves gets nothing new later than this. */
+/** A draining or deregistered engine gets no new requests after this time. */
 constexpr milliseconds kDrainLimit{2000};
-/** Least time between orders of two holders to one engine. */
+/** Minimum time between orders of two different holders to one engine. */
 constexpr milliseconds kTurnGap{3000};
-/** Work of a caller that has left ends within this. */
+/** A run ends within this time after its caller has disconnected. */
 constexpr milliseconds kLeaveLimit{1000};
-/** Two crashes are needed to know a deadly request; others may be on their way
- * then. */
+/** Maximum number of crashes by deadly requests. Two crashes are needed to
+ * identify a deadly request; more may already be under way then. */
 constexpr int kDeadlyLimit = 6;
 constexpr int kUnauthorised = 401;
 constexpr int kOverQuota = 429;
@@ -91,8 +92,9 @@
     if (late) Blame("worked on after its caller had left", attempt.id);
   }
 
-  /** One holder an engine at a time, whose fence never goes back. Two holders'
-   * orders are kTurnGap apart, as operators ask. */
+  /** Checks that each engine has one holder at a time and that its fence never
+   * decreases. Orders of two holders have to be kTurnGap apart, as operators
+   * require. */
   void JudgeOrders() {
     std::map<std::string, SeenOrder> newest;
     for (const SeenOrder& it : record_.orders) {
@@ -116,8 +118,9 @@
     }
   }
 
-  /** @return When an entry has to know of a leave: some time after it, or once
-   * what was amiss with the store meanwhile has settled. */
+  /** @return The time by which an entry has to know that an engine left or a
+   * key was revoked at `left_at`: kDrainLimit later, or kSettled after the end
+   * of the store disturbances that overlap this time. */
   [[nodiscard]] core::SteadyTime LimitFor(int entry,
                                           core::SteadyTime left_at) const {
     std::vector<Disturbance> amiss = record_.store_disturbed;
@@ -168,7 +171,8 @@
     }
   }
 
-  /** The window slides over the attempts that ran, by when they were sent. */
+  /** Checks the quota in a sliding window over the attempts that ran, ordered
+   * by the time they were sent. */
   void JudgeQuota() {
     if (record_.revocations.empty()) return;
     std::vector<core::SteadyTime> sent;
--- a/deploy/soak/soak_judge_func.h
+++ b/deploy/soak/soak_judge_func.h
@@ -1,4 +1,5 @@
-/** @file soak_judge_func.h Whether a soak's promises were kept. */
+/** @file soak_judge_func.h Checks the record of a soak for violated
+ * guarantees. */
 #ifndef SAPPHIRE_DEPLOY_SOAK_SOAK_JUDGE_FUNC_H_
 #define SAPPHIRE_DEPLOY_SOAK_SOAK_JUDGE_FUNC_H_
 
@@ -9,19 +10,21 @@
 
 namespace sapphire::deploy::soak {
 
-/** Of the attempts sent in the quiet time at the end, at least this part is
- * served. */
+/** Least share of the attempts sent in the fault-free time at the end that has
+ * to be served. */
 inline constexpr double kServedAtEnd = 0.9;
 
 /**
- * @param served_at_end On a machine that may be busy with other things, less
- *   than the usual share is asked: it depends on how fast models load.
- * @return Every broken promise, a line each; none if all were kept.
+ * @param served_at_end Least share of attempts served at the end. Use less than
+ *   the default on a machine that may be busy with other work, because the
+ *   share depends on how fast models load.
+ * @return One line per violation; empty if there is none.
  */
 std::vector<std::string> Judge(const SoakRecord& record,
                                double served_at_end = kServedAtEnd);
 
-/** @return How many attempts ended which way. */
+/** @return The number of attempts by outcome, of orders and of deadly crashes,
+ * on one line. */
 std::string Summary(const SoakRecord& record);
 
 }  // namespace sapphire::deploy::soak
--- a/deploy/soak/soak_organisation_test.cc
+++ b/deploy/soak/soak_organisation_test.cc
@@ -1,5 +1,5 @@
-/** @file soak_organisation_test.cc A soak with keys that are taken away and a
- * quota that is exceeded. */
+/** @file soak_organisation_test.cc Tests a soak with revoked keys and an
+ * exceeded quota. */
 #define BOOST_TEST_MODULE soak_organisation
 #include <boost/test/unit_test.hpp>
 
@@ -7,8 +7,8 @@
 
 namespace sapphire::deploy::soak {
 
-/** Guards against revoked keys that are served, good ones that are rejected and
- * quotas that are exceeded, while entries and the store fail. */
+/** Guards against serving revoked keys, rejecting valid keys and exceeding
+ * quotas while entries and the store fail. */
 BOOST_AUTO_TEST_CASE(KeysAndQuotasHoldUnderFaults) {
   constexpr std::uint64_t kSeed = 31;
   testing::PlaySeed(kSeed, 0, true);
--- a/deploy/soak/soak_plan.cc
+++ b/deploy/soak/soak_plan.cc
@@ -11,24 +11,25 @@
 
 namespace {
 
-/** One series begins this often, so that two or three go on at a time. */
+/** Interval between the starts of two series, so that two or three series
+ * overlap at a time. */
 constexpr milliseconds kSeriesPause{2500};
 constexpr int kMostRepeats = 3;
 constexpr milliseconds kLeastGap{300};
 constexpr milliseconds kMostGap{1500};
 constexpr milliseconds kLeastLength{500};
 constexpr milliseconds kMostLength{3000};
-/** Long enough for an entry to count the store as away. */
+/** Long enough for an entry to consider the store unreachable. */
 constexpr milliseconds kLeastPartition{2500};
 constexpr milliseconds kMostPartition{5000};
 constexpr milliseconds kServesPastPartition{5000};
-/** Departures are drawn from numbers of their own. */
+/** XORed with the seed to give departures a random stream of their own. */
 constexpr std::uint64_t kDepartureStream = 0x6465'7061'7274;
 
 constexpr std::uint64_t kRevocationStream = 0x7265'766f'6b65;
 constexpr int kRevocations = 4;
 constexpr std::uint64_t kEndpointLossStream = 0x6c6f'7374;
-/** Long enough for an entry to take the engine over, and orders to follow. */
+/** Long enough for an entry to take over the engine and send it orders. */
 constexpr milliseconds kLeastLoss{24'000};
 constexpr milliseconds kMostLoss{30'000};
 
@@ -36,7 +37,8 @@
   return kind <= FaultKind::kEntryReload || kind == FaultKind::kStoreCut;
 }
 
-/** Draws; the standard distributions differ between libraries. */
+/** Draws random numbers. The standard distributions are not used because their
+ * results differ between libraries. */
 class Draw {
  public:
   explicit Draw(std::uint64_t seed) : random_(seed) {}
@@ -53,9 +55,10 @@
 };
 
 /**
- * An entry loses the store, engines leave without a word meanwhile, and serve
- * on past the time at which the entry has to know: the partition's end, 3 s to
- * settle, and some time in which callers ask.
+ * Draws store partitions of an entry during which an engine is deregistered
+ * without draining. The engine keeps serving past the time by which the entry
+ * has to know: the end of the partition, 3 s to settle, and some time in which
+ * callers send requests.
  */
 void DrawDepartures(SoakPlan& plan) {
   Draw draw(plan.seed ^ kDepartureStream);
@@ -88,8 +91,8 @@
   }
 }
 
-/** The process beside an engine is gone until after an entry has taken the
- * engine over. */
+/** Draws outages of endpoint processes that last until after an entry has taken
+ * over the engine. */
 void DrawEndpointLosses(SoakPlan& plan) {
   Draw draw(plan.seed ^ kEndpointLossStream);
   for (int i = 0; i < plan.endpoint_losses; ++i) {
--- a/deploy/soak/soak_plan_func.h
+++ b/deploy/soak/soak_plan_func.h
@@ -7,13 +7,13 @@
 namespace sapphire::deploy::soak {
 
 /**
- * Faults come in series, and series overlap. The same seed and sizes give the
- * same plan.
+ * Draws series of faults that overlap in time. The same seed and sizes give
+ * the same plan.
  * @param plan Seed, sizes and length; its faults are replaced.
  */
 SoakPlan DrawFaults(SoakPlan plan);
 
-/** @return One line a fault. */
+/** @return The faults of the plan, one per line. */
 std::string Describe(const SoakPlan& plan);
 
 }  // namespace sapphire::deploy::soak
--- a/deploy/soak/soak_player_test.h
+++ b/deploy/soak/soak_player_test.h
@@ -1,4 +1,4 @@
-/** @file soak_player_test.h Plays one seed of the soak in a test. */
+/** @file soak_player_test.h Runs one seed of the soak in a test. */
 #ifndef SAPPHIRE_DEPLOY_SOAK_SOAK_PLAYER_TEST_H_
 #define SAPPHIRE_DEPLOY_SOAK_SOAK_PLAYER_TEST_H_
 
@@ -14,13 +14,14 @@
 
 namespace sapphire::deploy::soak::testing {
 
-/** Tests run beside others, on machines of any speed. */
+/** Lower than kServedAtEnd, because tests run concurrently with others on
+ * machines of any speed. */
 inline constexpr double kServedInTests = 0.7;
-/** Half a second below what is judged: a busy machine runs timers late, and
- * tests do not judge its speed. */
+/** Half a second below the limit that is checked, because a busy machine runs
+ * timers late and the tests do not check its speed. */
 inline constexpr milliseconds kFreshInTests{2500};
 
-/** Plays a plan's seed and reports each broken promise. */
+/** Runs a soak and reports each violated guarantee as a test error. */
 inline SoakRecord PlayPlan(const SoakPlan& plan) {
   const SoakPlan drawn = DrawFaults(plan);
   SoakOptions options;
--- a/deploy/soak/soak_regression_test.cc
+++ b/deploy/soak/soak_regression_test.cc
@@ -1,4 +1,4 @@
-/** @file soak_regression_test.cc Seeds of the soak that failed once. */
+/** @file soak_regression_test.cc Tests soak seeds that failed in the past. */
 #define BOOST_TEST_MODULE soak_regression
 #include <boost/test/unit_test.hpp>
 
@@ -9,16 +9,16 @@
 using testing::PlaySeed;
 
 /**
- * Requests reach engines that have left, and callers of new engines are
- * refused. The store falls silent while a watch waits and forgets it; the
- * connection lives on, and entries waited 20 s for the watch.
+ * Guards against requests to engines that have left and refusals although new
+ * engines are available. The store stops answering and drops a waiting watch
+ * while the connection stays open; entries waited 20 s for that watch.
  */
 BOOST_AUTO_TEST_CASE(ASilentStoreIsNoticed) { PlaySeed(145); }
 
 /**
- * Callers of some models are refused although engines are idle.
- * An engine crashes in the middle of a load and is back at once; the process
- * beside it waited 30 s for the order, which nobody carried out any more.
+ * Guards against refusals for some models although engines are idle. An engine
+ * crashes during a load and restarts at once; its endpoint process waited 30 s
+ * for the order, which the crash had aborted.
  */
 BOOST_AUTO_TEST_CASE(AnOrderLostInACrashHoldsNothingUp) { PlaySeed(131); }
 
--- a/deploy/soak/soak_subnet.cc
+++ b/deploy/soak/soak_subnet.cc
@@ -1,4 +1,4 @@
-/** @file soak_subnet.cc A loopback subnet that one soak has to itself. */
+/** @file soak_subnet.cc Reserves a loopback subnet for one soak. */
 #include <fmt/format.h>
 
 #include "core/address_func.h"
@@ -31,7 +31,7 @@
       number_ = number;
       return;
     } catch (const core::Error&) {
-      // Another soak has it.
+      // The subnet is in use by another soak.
       lock_ = boost::asio::ip::tcp::acceptor(io_);
     }
   }
--- a/deploy/soak/soak_subnet_base.h
+++ b/deploy/soak/soak_subnet_base.h
@@ -1,4 +1,4 @@
-/** @file soak_subnet_base.h A loopback subnet that one soak has to itself. */
+/** @file soak_subnet_base.h Reserves a loopback subnet for one soak. */
 #ifndef SAPPHIRE_DEPLOY_SOAK_SOAK_SUBNET_BASE_H_
 #define SAPPHIRE_DEPLOY_SOAK_SOAK_SUBNET_BASE_H_
 
@@ -8,15 +8,16 @@
 
 namespace sapphire::deploy::soak {
 
-/** Soaks run side by side, each in its own 127.NUMBER.x.y. Held by a listening
- * socket, which the kernel closes with the process. */
+/** Reserves a subnet 127.NUMBER.x.y, so that soaks can run concurrently. The
+ * reservation is a listening socket, which the kernel closes when the process
+ * ends. */
 class SoakSubnet {
  public:
   /**
-   * Takes the first free one, beginning with a number that differs between
-   * processes.
-   * @param first Where to begin; any number.
-   * @throws core::Error kBadSettings if all are taken.
+   * Reserves the first free subnet.
+   * @param first Number at which the search starts; any number. It should
+   * differ between processes.
+   * @throws core::Error kBadSettings if no subnet is free.
    */
   explicit SoakSubnet(int first);
 
--- a/deploy/soak/soak_subnet_test.cc
+++ b/deploy/soak/soak_subnet_test.cc
@@ -1,4 +1,4 @@
-/** @file soak_subnet_test.cc Soaks that run side by side. */
+/** @file soak_subnet_test.cc Tests subnets of concurrent soaks. */
 #define BOOST_TEST_MODULE soak_subnet
 #include <boost/test/unit_test.hpp>
 
@@ -8,8 +8,8 @@
 
 namespace {
 
-/** A soak fails to start: another one whose process id is the same modulo the
- * number of subnets listens on its addresses. */
+/** Guards against a soak that fails to start because another one, whose process
+ * id is the same modulo the number of subnets, listens on its addresses. */
 BOOST_AUTO_TEST_CASE(TwoSoaksNeverShareASubnet) {
   const SoakSubnet one(90);
   const SoakSubnet other(290);
--- a/deploy/soak/soak_test.cc
+++ b/deploy/soak/soak_test.cc
@@ -1,4 +1,4 @@
-/** @file soak_test.cc A short soak of the real programs. */
+/** @file soak_test.cc Tests a short soak of the real programs. */
 #define BOOST_TEST_MODULE soak
 #include <boost/test/unit_test.hpp>
 #include <string>
--- a/deploy/soak/soak_type.h
+++ b/deploy/soak/soak_type.h
@@ -1,4 +1,4 @@
-/** @file soak_type.h What a soak plays, and what it records. */
+/** @file soak_type.h Defines the plan of a soak and the record of its run. */
 #ifndef SAPPHIRE_DEPLOY_SOAK_SOAK_TYPE_H_
 #define SAPPHIRE_DEPLOY_SOAK_SOAK_TYPE_H_
 
@@ -18,31 +18,32 @@
 using std::chrono::milliseconds;
 
 enum class FaultKind {
-  kEntryKill,    ///< SIGKILL, started again at once.
+  kEntryKill,    ///< SIGKILL, restarted at once.
   kEntryPause,   ///< SIGSTOP, then SIGCONT.
-  kEntryStop,    ///< SIGTERM, started again once it has ended.
+  kEntryStop,    ///< SIGTERM, restarted once it has exited.
   kEntryReload,  ///< SIGHUP.
   kEndpointKill,
   kEndpointPause,
-  kEngineCrash,  ///< Refuses connections, comes back as another start.
-  kEngineDrain,  ///< Says so, serves on, is replaced.
+  kEngineCrash,  ///< Refuses connections, then restarts as a new instance.
+  kEngineDrain,  ///< Registers as draining, keeps serving, is replaced.
   kEngineReset,  ///< All of its connections are reset.
   kEngineDelay,
-  kEngineSilent,  ///< Requests arrive, answers do not.
-  kEngineCut,     ///< Nothing passes, connections stay open.
+  kEngineSilent,  ///< Requests arrive, answers are dropped.
+  kEngineCut,     ///< Drops traffic both ways, connections stay open.
   kStoreBusy,
   kStoreSilent,
   kStoreLosesAnswers,
-  kStoreCut,      ///< One entry reaches it no more.
+  kStoreCut,      ///< One entry is cut off from the store.
   kConfigChange,  ///< A route is added.
-  // Not drawn with the others, so that earlier seeds stay what they were.
-  kStorePartition,  ///< As kStoreCut, but connections of that time stay silent.
-  kEngineLeave,     ///< Its entry goes without a word; it serves on.
+  // The kinds below are drawn from separate random streams, so that existing
+  // seeds keep their faults.
+  kStorePartition,  ///< As kStoreCut, but affected connections stay silent.
+  kEngineLeave,     ///< Its registration is deleted; it keeps serving.
   kKeyRevoke,       ///< An organisation's key is replaced by another.
-  kEndpointLost,    ///< SIGKILL, started again after the fault's length.
+  kEndpointLost,    ///< SIGKILL, restarted after the fault's length.
 };
 
-/** Kinds of which every seed draws. */
+/** Number of leading fault kinds that the main random stream draws from. */
 inline constexpr int kDrawnKinds = 17;
 
 inline constexpr std::array<std::string_view, 21> kFaultNames = {
@@ -55,10 +56,10 @@
 
 struct Fault {
   FaultKind kind = FaultKind::kEntryKill;
-  /** From the start of traffic. */
+  /** Time since the start of traffic. */
   milliseconds at{0};
   milliseconds length{0};
-  /** Index of the entry or engine, where the kind has one. */
+  /** Index of the target entry, engine or organisation, if the kind has one. */
   int target = 0;
 };
 
@@ -66,23 +67,25 @@
   std::uint64_t seed = 0;
   int entries = 3;
   int engines = 4;
-  /** Engines of a plain service, besides. */
+  /** Number of additional engines, which belong to a plain service. */
   int plain = 2;
   int callers = 16;
-  /** Times that an entry loses the store while engines leave without a word. */
+  /** Number of times that an entry is cut off from the store while an engine
+   * is deregistered without draining. */
   int departures = 0;
-  /** Model engines, the first ones, without a process beside them. */
+  /** Number of model engines, counted from the first, without an endpoint
+   * process. */
   int unattended = 0;
-  /** Times that the process beside an engine is gone for long. */
+  /** Number of long outages of an endpoint process. */
   int endpoint_losses = 0;
-  /** Callers have keys, some are taken away, and one quota is exceeded. */
+  /** Callers have keys, some keys are revoked, and one quota is exceeded. */
   bool organisations = false;
-  /** Of traffic with faults; a quiet time follows. */
+  /** Duration of traffic with faults; traffic without faults follows. */
   milliseconds length{12'000};
   std::vector<Fault> faults;
 };
 
-/** A run of a request at an engine. */
+/** An execution of a request at an engine. */
 struct Run {
   std::string instance;
   core::SteadyTime began;
@@ -90,14 +93,14 @@
   bool over = false;
 };
 
-/** How an attempt of a caller ended. */
+/** Outcome of an attempt of a caller. */
 enum class AttemptEnd {
   kServed,
-  kRefused,  ///< With a status that promises that it has not run.
+  kRefused,  ///< With a status that guarantees that it has not run.
   kFailed,   ///< Any other status.
   kBroken,   ///< The connection failed, or the answer was cut.
   kSilent,   ///< No final answer in time.
-  kLeft,     ///< The caller gave up by itself.
+  kLeft,     ///< The caller cancelled the request.
 };
 
 struct Attempt {
@@ -108,32 +111,33 @@
   core::SteadyTime ended;
   AttemptEnd end = AttemptEnd::kServed;
   int status = 0;
-  /** Empty: none was sent. */
+  /** API key of the request; empty if none was sent. */
   std::string key;
-  /** A success whose body is not the engine's whole answer to this request. */
+  /** True for a success whose body is not the engine's complete answer to this
+   * request. */
   bool spoiled = false;
 };
 
-/** A time in which something is not held to its promises. */
+/** A period in which a fault suspends some of the checks. */
 struct Disturbance {
   core::SteadyTime from;
   core::SteadyTime to;
 };
 
-/** When an engine's entry said that it is draining, or went. */
+/** The time at which an engine was registered as draining or deregistered. */
 struct Draining {
   std::string instance;
   core::SteadyTime at;
 };
 
-/** When a key was taken away and another given in its place. */
+/** The time at which a key was revoked and replaced by another. */
 struct Revocation {
   std::string key;
   std::string next;
   core::SteadyTime at;
 };
 
-/** An order that an engine was given. */
+/** An order that an engine received. */
 struct SeenOrder {
   std::string instance;
   std::string holder;
@@ -141,24 +145,25 @@
   core::SteadyTime at;
 };
 
-/** All that callers and engines saw. */
+/** Everything that callers and engines observed during a soak. */
 struct SoakRecord {
   std::map<std::string, std::vector<Run>> runs;
   std::vector<Attempt> attempts;
   std::vector<SeenOrder> orders;
   std::vector<Draining> drainings;
   std::vector<Revocation> revocations;
-  /** Runs for another organisation than the caller's, or with its key. */
+  /** Ids of requests that ran for another organisation than the caller's, or
+   * with the caller's credentials passed on to the engine. */
   std::vector<std::string> misattributed;
   std::vector<std::string> overfull;
-  /** By entry. */
+  /** Disturbances of entries, by the entry's index. */
   std::map<int, std::vector<Disturbance>> entry_disturbed;
   std::vector<Disturbance> store_disturbed;
-  /** By entry: it did not reach the store. */
+  /** Periods in which an entry could not reach the store, by its index. */
   std::map<int, std::vector<Disturbance>> store_out_of_reach;
-  /** Engines lost to one deadly request. */
+  /** Number of engine crashes caused by requests with kDeadlyBody. */
   int deadly_crashes = 0;
-  /** Programs that ended by themselves. */
+  /** VMs whose process exited unexpectedly. */
   std::vector<std::string> ended_alone;
   core::SteadyTime quiet_from;
 };
--- a/deploy/soak/soak_unattended_test.cc
+++ b/deploy/soak/soak_unattended_test.cc
@@ -1,4 +1,4 @@
-/** @file soak_unattended_test.cc Engines without a process beside them. */
+/** @file soak_unattended_test.cc Tests engines without an endpoint. */
 #define BOOST_TEST_MODULE soak_unattended
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
@@ -7,8 +7,8 @@
 
 namespace sapphire::deploy::soak {
 
-/** Guards against models that are refused at engines which no process orders,
- * and against orders of two entries. */
+/** Guards against refusals for models at engines without an endpoint process,
+ * and against orders of two entries to one engine. */
 BOOST_AUTO_TEST_CASE(EntriesOrderEnginesWithoutAProcessBesideThem) {
   SoakPlan plan;
   plan.seed = 801;
--- a/deploy/soak/soak_world.cc
+++ b/deploy/soak/soak_world.cc
@@ -1,4 +1,5 @@
-/** @file soak_world.cc Plays a soak with real programs on this machine. */
+/** @file soak_world.cc Runs a soak with the real programs on this
+ * machine. */
 #include <fmt/format.h>
 #include <unistd.h>
 
@@ -18,7 +19,7 @@
 
 constexpr int kPort = 8000;
 constexpr int kLinkPort = 7380;
-/** Parts of the addresses: 127.SUBNET.PART.NUMBER. */
+/** Third octets of the addresses 127.SUBNET.PART.NUMBER. */
 constexpr int kEnginePart = 1;
 constexpr int kBehindRelayPart = 2;
 constexpr int kEntryPart = 3;
@@ -28,11 +29,12 @@
 constexpr int kModels = 8;
 constexpr std::size_t kRoom = 3;
 constexpr int kModelMegabytes = 10'000;
-/** Traffic begins once programs know each other. */
+/** Time before traffic starts, for the programs to discover each other. */
 constexpr milliseconds kWarmUp{2500};
-/** Traffic without faults at the end; judged after it has settled. */
+/** Duration of the traffic without faults at the end. The share of served
+ * attempts is checked once it has settled. */
 constexpr milliseconds kQuiet{9000};
-/** Callers and engines end what they are at. */
+/** Time for callers and engines to finish their last requests. */
 constexpr milliseconds kWindDown{6500};
 
 const char* const kDrafts = "drafts";
@@ -243,7 +245,7 @@
     caller.models = models_;
     caller.seed = plan_.seed;
     caller.number = i;
-    // A crash by it is a fault: none in the quiet time.
+    // A deadly request is a fault, so none is sent in the fault-free time.
     if (i == 0) caller.deadly_until = record_.quiet_from;
     if (plan_.organisations) caller.keys = &keys_;
     callers_.push_back(std::make_unique<SoakCaller>(caller, record_, clock_));
--- a/deploy/soak/soak_world_base.h
+++ b/deploy/soak/soak_world_base.h
@@ -1,4 +1,5 @@
-/** @file soak_world_base.h Plays a soak with real programs on this machine. */
+/** @file soak_world_base.h Runs a soak with the real programs on this
+ * machine. */
 #ifndef SAPPHIRE_DEPLOY_SOAK_SOAK_WORLD_BASE_H_
 #define SAPPHIRE_DEPLOY_SOAK_SOAK_WORLD_BASE_H_
 
@@ -21,36 +22,38 @@
 namespace sapphire::deploy::soak {
 
 struct SoakOptions {
-  /** Where the programs are. */
+  /** Directory of the programs. */
   std::string bin_dir;
-  /** Exists; gets settings and logs. */
+  /** Existing directory for settings and logs. */
   std::string directory;
-  /** What entries are told of how fresh their beliefs have to be. */
+  /** The entries' fresh_within_ms setting: how recent their view of the store
+   * has to be. */
   milliseconds fresh_within{3000};
 };
 
 /**
- * Starts entries and endpoint processes, plays the store, the engines and the
- * callers itself, and injects the plan's faults from outside: signals, and
- * relays before engines and before each entry's store. One thread. Ends only
- * what it has started, by id.
+ * Starts entries and endpoint processes, simulates the store, the engines and
+ * the callers in this process, and injects the plan's faults from outside:
+ * signals to the processes, and relays in front of the engines and of the store
+ * of each entry. Single-threaded. Signals only processes that it has started,
+ * by id.
  */
 class SoakWorld {
  public:
   SoakWorld(SoakOptions options, SoakPlan plan);
 
-  /** Plays the plan to its end. */
+  /** Runs the plan to its end. */
   SoakRecord Play();
 
  private:
-  /** An engine, the relay before it, and the process beside it. */
+  /** An engine, the relay in front of it, and its endpoint process. */
   struct EngineVm {
     std::string vm;
     std::string service;
     std::string address;
     std::unique_ptr<SoakEngine> engine;
     std::unique_ptr<tests::Relay> relay;
-    /** Null: it has none. */
+    /** The endpoint process; null if the engine has none. */
     std::unique_ptr<tests::Process> process;
     bool down = false;
     bool endpoint_lost = false;
