--- a/src/serving/store_follow_options.cc
+++ b/src/serving/store_follow_options.cc
@@ -33,10 +33,10 @@
  *   pause, this wait, the call's timeout, the retry pause and a listing:
  *   together less than the bound.
  */
-milliseconds WatchWait(const Freshness& freshness, milliseconds gather,
+milliseconds WatchWait(const Freshness& freshness, milliseconds batch_pause,
                        milliseconds retry_pause) {
-  const milliseconds left =
-      freshness.bound - gather - freshness.call_limit - retry_pause - kReserve;
+  const milliseconds left = freshness.bound - batch_pause -
+                            freshness.call_limit - retry_pause - kReserve;
   return std::clamp(left, kMinWatchWait, kMaxWatchWait);
 }
 
@@ -44,13 +44,14 @@
 
 routing::FollowOptions StoreFollowOptions(const Freshness& freshness) {
   routing::FollowOptions options;
-  options.gather = std::clamp(freshness.bound / kGatherDivisor - kGatherReserve,
-                              kMinGather, kMaxGather);
+  options.batch_pause =
+      std::clamp(freshness.bound / kGatherDivisor - kGatherReserve, kMinGather,
+                 kMaxGather);
   options.watch_wait =
-      WatchWait(freshness, options.gather, options.retry_pause);
+      WatchWait(freshness, options.batch_pause, options.retry_pause);
   // Held engines are dropped by the next housekeeping, and a request that was
   // routed just before is in transit for a few milliseconds.
-  options.lapse_wait = std::max(
+  options.lapse_grace = std::max(
       freshness.bound - kHousekeepingInterval - kReserve, milliseconds(0));
   options.late_after = freshness.bound;
   return options;
--- a/src/serving/store_follow_options_test.cc
+++ b/src/serving/store_follow_options_test.cc
@@ -17,7 +17,7 @@
  * until the listing that shows what has changed. */
 milliseconds LongestDelay(const routing::FollowOptions& options,
                           const Freshness& freshness) {
-  return options.gather + options.watch_wait + freshness.call_limit +
+  return options.batch_pause + options.watch_wait + freshness.call_limit +
          options.retry_pause;
 }
 
@@ -40,7 +40,7 @@
 BOOST_AUTO_TEST_CASE(WatchWaitsEvenForAShortBound) {
   const Freshness freshness{milliseconds(500), milliseconds(1000)};
   BOOST_TEST((StoreFollowOptions(freshness).watch_wait >= milliseconds(300)));
-  BOOST_TEST((StoreFollowOptions(freshness).lapse_wait >= milliseconds(0)));
+  BOOST_TEST((StoreFollowOptions(freshness).lapse_grace >= milliseconds(0)));
 }
 
 }  // namespace sapphire::serving
