--- a/deploy/soak/soak_judge.cc
+++ b/deploy/soak/soak_judge.cc
@@ -14,7 +14,7 @@
 
 /** Checks with a time limit apply again this long after a disturbance. */
 constexpr milliseconds kSettled{3000};
-/** A draining or deregistered engine gets no new requests after this time. */
+/** An engine that drains or is deregistered gets no new requests after this. */
 constexpr milliseconds kDrainLimit{2000};
 /** Minimum time between orders of two different holders to one engine. */
 constexpr milliseconds kTurnGap{3000};
@@ -46,12 +46,19 @@
     JudgeQuota();
     JudgeEnd();
     for (const std::string& it : record_.misattributed) {
-      Blame("ran for another organisation, or with a key", it);
+      Blame("ran for another organisation or with the caller's credentials",
+            it);
+    }
+    for (const std::string& it : record_.overfull) {
+      Blame("loaded more models than fit into memory", it);
+    }
+    for (const std::string& it : record_.ended_alone) {
+      Blame("process exited unexpectedly", it);
     }
-    for (const std::string& it : record_.overfull) Blame("overfull", it);
-    for (const std::string& it : record_.ended_alone) Blame("ended", it);
     if (record_.deadly_crashes > kDeadlyLimit) {
-      Blame("deadly", std::to_string(record_.deadly_crashes) + " crashes");
+      Blame("deadly requests crashed too many engines",
+            fmt::format("{} crashes, limit {}", record_.deadly_crashes,
+                        kDeadlyLimit));
     }
     return std::move(broken_);
   }
@@ -72,12 +79,12 @@
     const std::size_t runs =
         found == record_.runs.end() ? 0 : found->second.size();
     if (attempt.kind == routing::RequestKind::kNonIdempotent && runs > 1) {
-      Blame("ran twice", attempt.id);
+      Blame("non-idempotent request ran more than once", attempt.id);
     }
     if (attempt.end == AttemptEnd::kRefused && runs > 0) {
-      Blame("refused though it ran", attempt.id);
+      Blame("refused as not run, but it ran", attempt.id);
     }
-    if (attempt.spoiled) Blame("spoiled answer", attempt.id);
+    if (attempt.spoiled) Blame("incomplete or corrupt answer", attempt.id);
     if (attempt.end == AttemptEnd::kSilent && !EntryDisturbed(attempt)) {
       Blame("no answer in time", attempt.id);
     }
@@ -89,7 +96,7 @@
 
   void JudgeLeft(const Attempt& attempt, const Run& run) {
     const bool late = run.over && run.ended > attempt.ended + kLeaveLimit;
-    if (late) Blame("worked on after its caller had left", attempt.id);
+    if (late) Blame("ran on after its caller had disconnected", attempt.id);
   }
 
   /** Checks that each engine has one holder at a time and that its fence never
@@ -103,7 +110,7 @@
       const bool by_turns = last->second.holder != it.holder &&
                             it.at - last->second.at < kTurnGap;
       if (by_turns || it.fence < last->second.fence) {
-        Blame("orders of two holders", it.instance);
+        Blame("orders of two holders or with a lower fence", it.instance);
       }
       last->second = it;
     }
@@ -145,7 +152,7 @@
     if (runs == record_.runs.end()) return;
     for (const Run& run : runs->second) {
       if (run.instance == draining.instance && run.began > limit) {
-        Blame("sent to an engine that leaves", attempt.id);
+        Blame("sent to an engine that is leaving", attempt.id);
       }
     }
   }
@@ -165,14 +172,14 @@
             });
         if (attempt.key == it.next && attempt.status == kUnauthorised &&
             !revoked_later) {
-          Blame("rejected a key in force", attempt.id);
+          Blame("rejected a valid key", attempt.id);
         }
       }
     }
   }
 
-  /** Checks the quota in a sliding window over the attempts that ran, ordered
-   * by the time they were sent. */
+  /** Checks the quota in a sliding time window of the attempts that ran, by the
+   * time they were sent. */
   void JudgeQuota() {
     if (record_.revocations.empty()) return;
     std::vector<core::SteadyTime> sent;
@@ -194,7 +201,8 @@
       most = std::max(most, i - first + 1);
     }
     if (static_cast<double>(most) > bound) {
-      Blame("quota exceeded", fmt::format("{} of {}", most, bound));
+      Blame("quota exceeded",
+            fmt::format("{} requests in a window, limit {}", most, bound));
     }
   }
 
@@ -209,7 +217,8 @@
       if (it.end == AttemptEnd::kServed) ++served;
     }
     if (sent == 0 || served < served_at_end_ * sent) {
-      Blame("not back to service", fmt::format("{} of {}", served, sent));
+      Blame("did not recover after the faults",
+            fmt::format("{} of {} served", served, sent));
     }
   }
 
