--- a/deploy/soak/sapphire_soak_main.cc
+++ b/deploy/soak/sapphire_soak_main.cc
@@ -19,18 +19,18 @@
 
 /** Runs the soak for the plan's seed and prints the result.
  * @return True if no guarantee was violated. */
-bool PlaySeed(const SoakPlan& plan, const std::string& bin_dir,
-              const std::string& logs) {
+bool RunSeed(const SoakPlan& plan, const std::string& bin_dir,
+             const std::string& logs) {
   const SoakPlan drawn = DrawFaults(plan);
   SoakOptions options;
   options.bin_dir = bin_dir;
   options.directory = fmt::format("{}/seed-{}", logs, plan.seed);
   std::filesystem::create_directories(options.directory);
-  const SoakRecord record = SoakWorld(options, drawn).Play();
-  const std::vector<std::string> broken = Judge(record);
+  const SoakRecord record = SoakRunner(options, drawn).Run();
+  const std::vector<std::string> broken = FindViolations(record);
   fmt::print("seed={} broken={} {}\n", plan.seed, broken.size(),
              Summary(record));
-  if (!broken.empty()) fmt::print("{}", Describe(drawn));
+  if (!broken.empty()) fmt::print("{}", DescribeFaults(drawn));
   for (const std::string& it : broken) fmt::print("  {}\n", it);
   std::fflush(stdout);
   return broken.empty();
@@ -53,9 +53,9 @@
   plan.departures = kDepartures;
   app.add_option("--departures", plan.departures,
                  "Times that an entry loses the store while engines leave");
-  app.add_option("--unattended", plan.unattended,
+  app.add_option("--unattended", plan.engines_without_endpoint,
                  "Model engines without a process beside them");
-  app.add_option("--endpoint-losses", plan.endpoint_losses,
+  app.add_option("--endpoint-losses", plan.endpoint_outages,
                  "Times that the process beside an engine is gone for 24 s or "
                  "more; needs 40 s of traffic");
   app.add_flag("--organisations", plan.organisations,
@@ -66,8 +66,8 @@
   int failed = 0;
   for (std::uint64_t seed = first; seed < first + count; ++seed) {
     plan.seed = seed;
-    plan.length = std::chrono::seconds(seconds);
-    if (!PlaySeed(plan, bin_dir, directory)) ++failed;
+    plan.duration = std::chrono::seconds(seconds);
+    if (!RunSeed(plan, bin_dir, directory)) ++failed;
   }
   return failed == 0 ? 0 : 1;
 }
--- a/deploy/soak/soak_caller.cc
+++ b/deploy/soak/soak_caller.cc
@@ -24,14 +24,15 @@
 constexpr milliseconds kPause{60};
 /** Time allowed for an answer to arrive after the route's timeout. */
 constexpr milliseconds kAnswerSlack{1500};
-constexpr int kMostEvents = 40;
-/** One in kLeaves requests is cancelled early; one in kDeadly is deadly. */
-constexpr int kLeaves = 12;
-constexpr int kDeadly = 8;
+constexpr int kMaxEvents = 40;
+/** One in kCancelEvery requests is cancelled early; one in kDeadlyEvery is
+ * deadly. */
+constexpr int kCancelEvery = 12;
+constexpr int kDeadlyEvery = 8;
 constexpr int kKinds = 4;
 constexpr int kOk = 200;
 
-bool PromisesNotRun(int status) {
+bool GuaranteesNotRun(int status) {
   return status == 503 || status == 429 || status == 408 || status == 421;
 }
 
@@ -58,7 +59,7 @@
   }
 }
 
-int SoakCaller::Below(int bound) {
+int SoakCaller::RandomBelow(int bound) {
   return static_cast<int>(random_() % static_cast<std::uint64_t>(bound));
 }
 
@@ -66,36 +67,37 @@
   while (clock_.Now() < end) {
     Attempt attempt;
     attempt.id = fmt::format("{}-{}", options_.number, ++sent_);
-    attempt.kind = KindOf(Below(kKinds));
-    attempt.entry = Below(static_cast<int>(clients_.size()));
-    const int events = 1 + Below(kMostEvents);
-    const bool leaves = Below(kLeaves) == 0;
-    const milliseconds idle_timeout =
-        leaves ? milliseconds(20 + Below(500)) : kRouteTimeout + kAnswerSlack;
-    attempt.key = Key();
-    const http::Request request = Compose(attempt, events);
+    attempt.kind = KindOf(RandomBelow(kKinds));
+    attempt.entry = RandomBelow(static_cast<int>(clients_.size()));
+    const int events = 1 + RandomBelow(kMaxEvents);
+    const bool leaves = RandomBelow(kCancelEvery) == 0;
+    const milliseconds idle_timeout = leaves
+                                          ? milliseconds(20 + RandomBelow(500))
+                                          : kRouteTimeout + kAnswerSlack;
+    attempt.key = CurrentKey();
+    const http::Request request = MakeRequest(attempt, events);
     attempt.sent = clock_.Now();
     co_await Send(attempt, request, events, idle_timeout);
     attempt.ended = clock_.Now();
-    if (leaves && attempt.end == AttemptEnd::kSilent) {
-      attempt.end = AttemptEnd::kLeft;
+    if (leaves && attempt.end == AttemptEnd::kTimedOut) {
+      attempt.end = AttemptEnd::kCancelled;
     }
     record_.attempts.push_back(attempt);
-    co_await core::SleepFor(kPause + milliseconds(Below(60)));
+    co_await core::SleepFor(kPause + milliseconds(RandomBelow(60)));
   }
 }
 
-std::string SoakCaller::Key() const {
+std::string SoakCaller::CurrentKey() const {
   if (options_.keys == nullptr) return "";
   const int organisation = OrganisationOf(options_.number);
   const int generation =
-      options_.number == kStaleCaller
+      options_.number == kStaleKeyCaller
           ? 0
           : options_.keys->at(static_cast<std::size_t>(organisation));
   return KeyOf(organisation, generation);
 }
 
-http::Request SoakCaller::Compose(const Attempt& attempt, int events) {
+http::Request SoakCaller::MakeRequest(const Attempt& attempt, int events) {
   http::Request request;
   request.method = "POST";
   request.target = std::string(PathOf(attempt.kind)) + "x";
@@ -108,11 +110,11 @@
   if (!attempt.key.empty()) set(kCredentials, "Bearer " + attempt.key);
   request.body = "body of " + attempt.id;
   if (attempt.kind != RequestKind::kStream) return request;
-  const int model = Below(static_cast<int>(options_.models.size()));
+  const int model = RandomBelow(static_cast<int>(options_.models.size()));
   set(kModel, options_.models.at(static_cast<std::size_t>(model)));
   set(kTokenCount, fmt::format("100,{}", events));
   const bool deadly =
-      clock_.Now() < options_.deadly_until && Below(kDeadly) == 0;
+      clock_.Now() < options_.deadly_until && RandomBelow(kDeadlyEvery) == 0;
   if (deadly) request.body = kDeadlyBody;
   return request;
 }
@@ -137,18 +139,19 @@
         throw http::TransportError("too late", true, true);
       }
     }
-    Check(attempt, stream->head(), body, events);
+    CheckAnswer(attempt, stream->head(), body, events);
   } catch (const http::TransportError& e) {
-    attempt.end = e.timed_out() ? AttemptEnd::kSilent : AttemptEnd::kBroken;
+    attempt.end =
+        e.timed_out() ? AttemptEnd::kTimedOut : AttemptEnd::kConnectionFailed;
   }
 }
 
-void SoakCaller::Check(Attempt& attempt, const http::ResponseHead& head,
-                       const std::string& body, int events) const {
+void SoakCaller::CheckAnswer(Attempt& attempt, const http::ResponseHead& head,
+                             const std::string& body, int events) const {
   attempt.status = head.status;
   if (head.status != kOk) {
-    attempt.end = PromisesNotRun(head.status) ? AttemptEnd::kRefused
-                                              : AttemptEnd::kFailed;
+    attempt.end = GuaranteesNotRun(head.status) ? AttemptEnd::kRefused
+                                                : AttemptEnd::kFailed;
     return;
   }
   std::string whole = attempt.id;
@@ -159,7 +162,7 @@
     }
   }
   attempt.end = AttemptEnd::kServed;
-  attempt.spoiled = body != whole ||
+  attempt.corrupt = body != whole ||
                     !http::FindHeader(head.headers, kResponseStamp).has_value();
 }
 
--- a/deploy/soak/soak_caller_base.h
+++ b/deploy/soak/soak_caller_base.h
@@ -45,13 +45,13 @@
   core::Task<> Run(core::SteadyTime end);
 
  private:
-  [[nodiscard]] std::string Key() const;
-  http::Request Compose(const Attempt& attempt, int events);
+  [[nodiscard]] std::string CurrentKey() const;
+  http::Request MakeRequest(const Attempt& attempt, int events);
   core::Task<> Send(Attempt& attempt, const http::Request& request, int events,
                     milliseconds idle_timeout);
-  void Check(Attempt& attempt, const http::ResponseHead& head,
-             const std::string& body, int events) const;
-  int Below(int bound);
+  void CheckAnswer(Attempt& attempt, const http::ResponseHead& head,
+                   const std::string& body, int events) const;
+  int RandomBelow(int bound);
 
   const SoakCallerOptions options_;
   SoakRecord& record_;
--- a/deploy/soak/soak_departure_test.cc
+++ b/deploy/soak/soak_departure_test.cc
@@ -15,10 +15,10 @@
  * another 2 s. With this seed, four requests reached such engines too late, as
  * the engines' records show.
  */
-BOOST_AUTO_TEST_CASE(EnginesThatLeaveBehindAPartitionAreNotUsedForLong) {
+BOOST_AUTO_TEST_CASE(EnginesDeregisteredDuringAPartitionGetNoLateRequests) {
   constexpr std::uint64_t kSeed = 523;
   constexpr int kDepartures = 3;
-  testing::PlaySeed(kSeed, kDepartures);
+  testing::RunSeed(kSeed, kDepartures);
 }
 
 }  // namespace sapphire::deploy::soak
--- a/deploy/soak/soak_engine.cc
+++ b/deploy/soak/soak_engine.cc
@@ -29,28 +29,28 @@
 constexpr int kAccepted = 202;
 constexpr int kConflict = 409;
 constexpr int kMisdirected = 421;
-constexpr milliseconds kLoad{400};
-constexpr milliseconds kEventPause{20};
-constexpr milliseconds kPlainWork{40};
-constexpr milliseconds kLookForRuns{5};
+constexpr milliseconds kLoadTime{400};
+constexpr milliseconds kEventInterval{20};
+constexpr milliseconds kPlainRunTime{40};
+constexpr milliseconds kRunPollInterval{5};
 
-std::string FieldOf(const http::Request& request, std::string_view name) {
+std::string HeaderOf(const http::Request& request, std::string_view name) {
   return std::string(http::FindHeader(request.headers, name).value_or(""));
 }
 
 }  // namespace
 
 SoakEngine::SoakEngine(boost::asio::io_context& io, SoakEngineOptions options,
-                       SoakRecord& record, std::function<void()> crashed,
+                       SoakRecord& record, std::function<void()> on_crash,
                        const core::Clock& clock, const core::Logger& log)
     : options_(std::move(options)),
       io_(io),
       record_(record),
-      crashed_(std::move(crashed)),
+      on_crash_(std::move(on_crash)),
       clock_(clock),
       log_(log),
       instance_(options_.instance),
-      held_(options_.models),
+      loaded_models_(options_.models),
       server_(
           io.get_executor(), options_.listen, http::ServerLimits(),
           [this](const http::Request& request, http::ResponseWriter& writer) {
@@ -61,8 +61,8 @@
 }
 
 void SoakEngine::Crash() {
-  ++start_;
-  held_.clear();
+  ++crash_count_;
+  loaded_models_.clear();
   running_.clear();
   order_in_progress_ = false;
   orders_ = 0;
@@ -79,28 +79,28 @@
     co_await writer.Send(Report());
     co_return;
   }
-  const std::string expected = FieldOf(request, kExpectInstance);
+  const std::string expected = HeaderOf(request, kExpectInstance);
   if (!expected.empty() && expected != instance_) {
-    co_await writer.Send(NotRun(kMisdirected));
+    co_await writer.Send(NotRunResponse(kMisdirected));
     co_return;
   }
   if (request.target.ends_with("/order")) {
     co_await AnswerOrder(request, writer);
     co_return;
   }
-  const std::string model = FieldOf(request, kModel);
+  const std::string model = HeaderOf(request, kModel);
   if (model.empty()) {
     co_await RunPlain(request, writer);
-  } else if (held_.contains(model)) {
+  } else if (loaded_models_.contains(model)) {
     co_await RunStream(request, writer);
   } else {
-    co_await writer.Send(NotRun(kMisdirected));
+    co_await writer.Send(NotRunResponse(kMisdirected));
   }
 }
 
 http::Response SoakEngine::Report() const {
   json::array models;
-  for (const std::string& it : held_) {
+  for (const std::string& it : loaded_models_) {
     models.push_back(json::object{
         {"name", it}, {"version", 1}, {"adapters", json::array()}});
   }
@@ -122,59 +122,60 @@
 core::Task<> SoakEngine::AnswerOrder(const http::Request& request,
                                      http::ResponseWriter& writer) {
   const json::object order = external::ParseObject(request.body);
-  SeenOrder seen;
+  ReceivedOrder seen;
   seen.instance = instance_;
   seen.holder = external::StringAt(order, "holder");
   seen.fence = external::IntegerAt(order, "fence");
   seen.at = clock_.Now();
   record_.orders.push_back(seen);
-  const int status = TakeOrder(order);
+  const int status = AcceptOrder(order);
   co_await writer.Send(http::MakeResponse(status, "application/json", "{}"));
 }
 
 /** @return The HTTP status of the answer. */
-int SoakEngine::TakeOrder(const json::object& order) {
+int SoakEngine::AcceptOrder(const json::object& order) {
   const std::string model = external::StringAt(order, "model");
   const bool load = external::StringAt(order, "op") == "load";
-  if (held_.contains(model) == load) return kOk;
+  if (loaded_models_.contains(model) == load) return kOk;
   const bool stale = external::IntegerAt(order, "expect") != orders_;
   if (order_in_progress_ || stale) return kConflict;
-  if (load && held_.size() >= options_.room) {
-    record_.overfull.push_back(instance_ + " by " + model);
+  if (load && loaded_models_.size() >= options_.max_models) {
+    record_.over_memory.push_back(instance_ + " by " + model);
   }
   ++orders_;
   order_in_progress_ = true;
-  const std::int64_t start = start_;
-  core::Spawn(io_.get_executor(), log_, "order", [this, load, model, start] {
-    return load ? Load(model, start) : Unload(model, start);
-  });
+  const std::int64_t crash_count = crash_count_;
+  core::Spawn(
+      io_.get_executor(), log_, "order", [this, load, model, crash_count] {
+        return load ? Load(model, crash_count) : Unload(model, crash_count);
+      });
   return kAccepted;
 }
 
-core::Task<> SoakEngine::Load(std::string model, std::int64_t start) {
-  co_await core::SleepFor(kLoad);
-  if (start != start_) co_return;
-  held_.insert(model);
+core::Task<> SoakEngine::Load(std::string model, std::int64_t crash_count) {
+  co_await core::SleepFor(kLoadTime);
+  if (crash_count != crash_count_) co_return;
+  loaded_models_.insert(model);
   order_in_progress_ = false;
 }
 
-core::Task<> SoakEngine::Unload(std::string model, std::int64_t start) {
-  while (start == start_ && running_[model] > 0) {
-    co_await core::SleepFor(kLookForRuns);
+core::Task<> SoakEngine::Unload(std::string model, std::int64_t crash_count) {
+  while (crash_count == crash_count_ && running_[model] > 0) {
+    co_await core::SleepFor(kRunPollInterval);
   }
-  if (start != start_) co_return;
-  held_.erase(model);
+  if (crash_count != crash_count_) co_return;
+  loaded_models_.erase(model);
   order_in_progress_ = false;
 }
 
-http::Response SoakEngine::NotRun(int status) const {
+http::Response SoakEngine::NotRunResponse(int status) const {
   http::Response response = http::MakeResponse(status, "text/plain", "");
   response.head.headers.push_back({std::string(kNotRun), "1"});
   response.head.headers.push_back({std::string(kInstance), instance_});
   return response;
 }
 
-http::ResponseHead SoakEngine::Mark(const std::string& id) const {
+http::ResponseHead SoakEngine::MakeResponseHead(const std::string& id) const {
   http::ResponseHead head;
   head.headers.push_back({std::string(kRequestId), id});
   head.headers.push_back({std::string(kResponseStamp), "soak"});
@@ -183,8 +184,8 @@
 }
 
 void SoakEngine::Begin(const http::Request& request) {
-  const std::string id = FieldOf(request, kRequestId);
-  const std::string organisation = FieldOf(request, kOrganisation);
+  const std::string id = HeaderOf(request, kRequestId);
+  const std::string organisation = HeaderOf(request, kOrganisation);
   const bool wrong =
       !organisation.empty() && organisation != OrganisationOfId(id);
   if (wrong || http::FindHeader(request.headers, kCredentials)) {
@@ -192,7 +193,7 @@
   }
   if (request.body == kDeadlyBody) {
     ++record_.deadly_crashes;
-    crashed_();
+    on_crash_();
     throw http::ConnectionCut("crashed");
   }
   Run run;
@@ -202,18 +203,19 @@
 }
 
 /** @throws http::ConnectionCut if the engine crashes during the pause. */
-core::Task<> SoakEngine::Pause(milliseconds time, std::int64_t start) const {
+core::Task<> SoakEngine::SleepUnlessCrashed(milliseconds time,
+                                            std::int64_t crash_count) const {
   co_await core::SleepFor(time);
-  if (start != start_) throw http::ConnectionCut("crashed");
+  if (crash_count != crash_count_) throw http::ConnectionCut("crashed");
 }
 
 core::Task<> SoakEngine::RunPlain(const http::Request& request,
                                   http::ResponseWriter& writer) {
-  const std::string id = FieldOf(request, kRequestId);
+  const std::string id = HeaderOf(request, kRequestId);
   Begin(request);
-  co_await Pause(kPlainWork, start_);
+  co_await SleepUnlessCrashed(kPlainRunTime, crash_count_);
   http::Response response = http::MakeResponse(kOk, "text/plain", id);
-  const http::ResponseHead mark = Mark(id);
+  const http::ResponseHead mark = MakeResponseHead(id);
   response.head.headers.insert(response.head.headers.end(),
                                mark.headers.begin(), mark.headers.end());
   co_await writer.Send(std::move(response));
@@ -221,20 +223,20 @@
 
 core::Task<> SoakEngine::RunStream(const http::Request& request,
                                    http::ResponseWriter& writer) {
-  const std::string id = FieldOf(request, kRequestId);
-  const std::string model = FieldOf(request, kModel);
-  const std::string tokens = FieldOf(request, kTokenCount);
+  const std::string id = HeaderOf(request, kRequestId);
+  const std::string model = HeaderOf(request, kModel);
+  const std::string tokens = HeaderOf(request, kTokenCount);
   const int events = std::stoi(tokens.substr(tokens.find(',') + 1));
-  const std::string last = FieldOf(request, kLastEvent);
+  const std::string last = HeaderOf(request, kLastEvent);
   Begin(request);
   const std::size_t run = record_.runs[id].size() - 1;
-  const std::int64_t start = start_;
+  const std::int64_t crash_count = crash_count_;
   ++running_[model];
   std::exception_ptr end;
   try {
-    co_await writer.Begin(Mark(id));
+    co_await writer.Begin(MakeResponseHead(id));
     for (int i = last.empty() ? 1 : std::stoi(last) + 1; i <= events; ++i) {
-      co_await Pause(kEventPause, start);
+      co_await SleepUnlessCrashed(kEventInterval, crash_count);
       if (writer.CallerGone()) throw http::ConnectionCut("caller gone");
       co_await writer.Write(fmt::format("id: {}\ndata: {}\n\n", i, id));
     }
@@ -242,9 +244,9 @@
   } catch (...) {
     end = std::current_exception();
   }
-  if (start == start_) --running_[model];
+  if (crash_count == crash_count_) --running_[model];
   record_.runs[id][run].ended = clock_.Now();
-  record_.runs[id][run].over = true;
+  record_.runs[id][run].finished = true;
   if (end) std::rethrow_exception(end);
 }
 
--- a/deploy/soak/soak_engine_base.h
+++ b/deploy/soak/soak_engine_base.h
@@ -27,7 +27,7 @@
   /** Models whose checkpoints are on the local disk; kept across restarts. */
   std::set<std::string> disk;
   /** Number of models that fit into memory. */
-  std::size_t room = 3;
+  std::size_t max_models = 3;
 };
 
 /** Implements the platform's engine protocol and records the requests it runs.
@@ -36,7 +36,7 @@
  public:
   /** @pre All references outlive it. */
   SoakEngine(boost::asio::io_context& io, SoakEngineOptions options,
-             SoakRecord& record, std::function<void()> crashed,
+             SoakRecord& record, std::function<void()> on_crash,
              const core::Clock& clock, const core::Logger& log);
 
   /** Restarts as a new instance without loaded models; checkpoints stay on its
@@ -46,36 +46,39 @@
   void Crash();
 
   [[nodiscard]] const std::string& instance() const { return instance_; }
-  [[nodiscard]] const std::set<std::string>& held() const { return held_; }
+  [[nodiscard]] const std::set<std::string>& loaded_models() const {
+    return loaded_models_;
+  }
 
  private:
   core::Task<> Answer(const http::Request& request,
                       http::ResponseWriter& writer);
   core::Task<> AnswerOrder(const http::Request& request,
                            http::ResponseWriter& writer);
-  core::Task<> Load(std::string model, std::int64_t start);
-  core::Task<> Unload(std::string model, std::int64_t start);
+  core::Task<> Load(std::string model, std::int64_t crash_count);
+  core::Task<> Unload(std::string model, std::int64_t crash_count);
   core::Task<> RunStream(const http::Request& request,
                          http::ResponseWriter& writer);
   core::Task<> RunPlain(const http::Request& request,
                         http::ResponseWriter& writer);
   http::Response Report() const;
-  int TakeOrder(const boost::json::object& order);
-  http::Response NotRun(int status) const;
-  http::ResponseHead Mark(const std::string& id) const;
+  int AcceptOrder(const boost::json::object& order);
+  http::Response NotRunResponse(int status) const;
+  http::ResponseHead MakeResponseHead(const std::string& id) const;
   void Begin(const http::Request& request);
-  core::Task<> Pause(milliseconds time, std::int64_t start) const;
+  core::Task<> SleepUnlessCrashed(milliseconds time,
+                                  std::int64_t crash_count) const;
 
   const SoakEngineOptions options_;
   boost::asio::io_context& io_;
   SoakRecord& record_;
-  const std::function<void()> crashed_;
+  const std::function<void()> on_crash_;
   const core::Clock& clock_;
   const core::Logger& log_;
   std::string instance_;
   /** Counts crashes; work that began under an earlier value is aborted. */
-  std::int64_t start_ = 0;
-  std::set<std::string> held_;
+  std::int64_t crash_count_ = 0;
+  std::set<std::string> loaded_models_;
   std::map<std::string, int> running_;
   bool order_in_progress_ = false;
   std::int64_t orders_ = 0;
--- a/deploy/soak/soak_faults.cc
+++ b/deploy/soak/soak_faults.cc
@@ -13,39 +13,39 @@
 /** The platform deregisters a silent engine after three heartbeat intervals. */
 constexpr milliseconds kSilenceLimit{3600};
 /** How long an engine keeps serving after it was registered as draining. */
-constexpr milliseconds kServesOn{4000};
-constexpr milliseconds kGrace{8000};
-constexpr milliseconds kPoll{20};
+constexpr milliseconds kServingAfterDrain{4000};
+constexpr milliseconds kExitTimeout{8000};
+constexpr milliseconds kPollInterval{20};
 constexpr milliseconds kDelay{150};
 
 }  // namespace
 
-core::Task<> SoakWorld::Inject(Fault fault) {
+core::Task<> SoakRunner::Inject(Fault fault) {
   if (fault.kind <= FaultKind::kEntryReload) {
     co_await InjectEntry(fault);
   } else if (fault.kind < FaultKind::kStoreBusy ||
-             fault.kind == FaultKind::kEngineLeave ||
-             fault.kind == FaultKind::kEndpointLost) {
+             fault.kind == FaultKind::kEngineDeregistration ||
+             fault.kind == FaultKind::kEndpointOutage) {
     co_await InjectEngine(fault);
   } else {
     co_await InjectStore(fault);
   }
 }
 
-core::Task<> SoakWorld::InjectEntry(Fault fault) {
+core::Task<> SoakRunner::InjectEntry(Fault fault) {
   EntryVm& entry = *entries_.at(static_cast<std::size_t>(fault.target));
-  if (entry.leaving) co_return;
+  if (entry.stopping) co_return;
   switch (fault.kind) {
     case FaultKind::kEntryKill:
       DisturbEntry(fault.target, milliseconds(1000));
       entry.process->Signal(SIGKILL);
-      entry.process->WaitForExit(kGrace);
+      entry.process->WaitForExit(kExitTimeout);
       StartEntry(entry);
       break;
     case FaultKind::kEntryPause:
-      DisturbEntry(fault.target, fault.length);
+      DisturbEntry(fault.target, fault.duration);
       entry.process->Signal(SIGSTOP);
-      co_await core::SleepFor(fault.length);
+      co_await core::SleepFor(fault.duration);
       entry.process->Signal(SIGCONT);
       break;
     case FaultKind::kEntryStop:
@@ -58,89 +58,89 @@
 
 /** Stops the entry gracefully and restarts it. Callers keep using their
  * connections until the process has exited. */
-core::Task<> SoakWorld::StopEntry(int number) {
+core::Task<> SoakRunner::StopEntry(int number) {
   EntryVm& entry = *entries_.at(static_cast<std::size_t>(number));
-  entry.leaving = true;
+  entry.stopping = true;
   const core::SteadyTime began = clock_.Now();
   entry.process->Signal(SIGTERM);
   while (!entry.process->WaitForExit(milliseconds(0)) &&
-         clock_.Now() - began < kGrace) {
-    co_await core::SleepFor(kPoll);
+         clock_.Now() - began < kExitTimeout) {
+    co_await core::SleepFor(kPollInterval);
   }
   entry.process->Signal(SIGKILL);
-  entry.process->WaitForExit(kGrace);
+  entry.process->WaitForExit(kExitTimeout);
   DisturbEntry(number, milliseconds(1000));
   StartEntry(entry);
-  entry.leaving = false;
+  entry.stopping = false;
 }
 
-core::Task<> SoakWorld::InjectEngine(Fault fault) {
+core::Task<> SoakRunner::InjectEngine(Fault fault) {
   EngineVm& vm = *engines_.at(static_cast<std::size_t>(fault.target));
   if (fault.kind == FaultKind::kEndpointKill ||
       fault.kind == FaultKind::kEndpointPause ||
-      fault.kind == FaultKind::kEndpointLost) {
+      fault.kind == FaultKind::kEndpointOutage) {
     co_await InjectEndpoint(fault);
     co_return;
   }
   if (vm.down) co_return;
   switch (fault.kind) {
     case FaultKind::kEngineCrash:
-      co_await CrashEngine(vm, fault.length);
+      co_await CrashEngine(vm, fault.duration);
       break;
     case FaultKind::kEngineDrain:
-      co_await DrainEngine(vm, kServesOn);
+      co_await DrainEngine(vm, kServingAfterDrain);
       break;
-    case FaultKind::kEngineLeave:
-      co_await LeaveEngine(vm, fault.length);
+    case FaultKind::kEngineDeregistration:
+      co_await DeregisterEngine(vm, fault.duration);
       break;
     case FaultKind::kEngineReset:
       vm.relay->Reset();
       break;
     case FaultKind::kEngineDelay:
       vm.relay->Delay(kDelay);
-      co_await core::SleepFor(fault.length);
+      co_await core::SleepFor(fault.duration);
       vm.relay->Delay(milliseconds(0));
       break;
     default:
       // An entry can't cancel a run through the cut after its caller has left.
-      DisturbAllEntries(fault.length);
+      DisturbAllEntries(fault.duration);
       vm.relay->Cut(fault.kind == FaultKind::kEngineCut, true);
-      co_await core::SleepFor(fault.length);
+      co_await core::SleepFor(fault.duration);
       vm.relay->Cut(false, false);
       // The dropped bytes are missing in the middle of answers.
       vm.relay->Reset();
   }
 }
 
-core::Task<> SoakWorld::InjectEndpoint(Fault fault) {
+core::Task<> SoakRunner::InjectEndpoint(Fault fault) {
   EngineVm& vm = *engines_.at(static_cast<std::size_t>(fault.target));
-  const bool lost = fault.kind == FaultKind::kEndpointLost;
+  const bool lost = fault.kind == FaultKind::kEndpointOutage;
   // While the engine is down, only a long outage is injected.
-  if (!vm.process || vm.endpoint_lost || (vm.down && !lost)) co_return;
+  if (!vm.process || vm.endpoint_down || (vm.down && !lost)) co_return;
   if (fault.kind == FaultKind::kEndpointPause) {
     vm.process->Signal(SIGSTOP);
-    co_await core::SleepFor(fault.length);
+    co_await core::SleepFor(fault.duration);
     vm.process->Signal(SIGCONT);
     co_return;
   }
   vm.process->Signal(SIGKILL);
-  vm.process->WaitForExit(kGrace);
+  vm.process->WaitForExit(kExitTimeout);
   if (lost) {
-    vm.endpoint_lost = true;
-    co_await core::SleepFor(fault.length);
-    vm.endpoint_lost = false;
+    vm.endpoint_down = true;
+    co_await core::SleepFor(fault.duration);
+    vm.endpoint_down = false;
   }
   StartEndpoint(vm);
 }
 
-core::Task<> SoakWorld::CrashEngine(EngineVm& vm, milliseconds down) {
+core::Task<> SoakRunner::CrashEngine(EngineVm& vm, milliseconds down) {
   if (vm.down) co_return;
   vm.down = true;
   vm.relay->Close();
   vm.engine->Crash();
   core::Spawn(io_.get_executor(), log_, "forget",
               [this, instance = vm.engine->instance()] {
-                return ForgetSilent(instance);
+                return DeregisterAfterSilence(instance);
               });
   co_await core::SleepFor(down);
   vm.engine->Restart(NextInstance());
@@ -149,42 +149,43 @@
   vm.down = false;
 }
 
-core::Task<> SoakWorld::ForgetSilent(std::string instance) {
+core::Task<> SoakRunner::DeregisterAfterSilence(std::string instance) {
   co_await core::SleepFor(kSilenceLimit);
   Remove("servers/" + instance);
 }
 
-core::Task<> SoakWorld::DrainEngine(EngineVm& vm, milliseconds serves_on) {
+core::Task<> SoakRunner::DrainEngine(EngineVm& vm, milliseconds serving_time) {
   vm.down = true;
   Register(vm, true);
   const std::string instance = vm.engine->instance();
-  record_.drainings.push_back({instance, clock_.Now()});
-  co_await core::SleepFor(serves_on);
+  record_.engine_departures.push_back({instance, clock_.Now()});
+  co_await core::SleepFor(serving_time);
   co_await ReplaceEngine(vm);
 }
 
-core::Task<> SoakWorld::LeaveEngine(EngineVm& vm, milliseconds serves_on) {
+core::Task<> SoakRunner::DeregisterEngine(EngineVm& vm,
+                                          milliseconds serving_time) {
   vm.down = true;
   const std::string instance = vm.engine->instance();
   Remove("servers/" + instance);
-  record_.drainings.push_back({instance, clock_.Now()});
-  co_await core::SleepFor(serves_on);
+  record_.engine_departures.push_back({instance, clock_.Now()});
+  co_await core::SleepFor(serving_time);
   co_await ReplaceEngine(vm);
 }
 
 /** Stops the engine and starts a new instance in its place. */
-core::Task<> SoakWorld::ReplaceEngine(EngineVm& vm) {
+core::Task<> SoakRunner::ReplaceEngine(EngineVm& vm) {
   const std::string instance = vm.engine->instance();
   vm.relay->Close();
   vm.engine->Restart(NextInstance());
   Remove("servers/" + instance);
-  co_await core::SleepFor(kPoll);
+  co_await core::SleepFor(kPollInterval);
   vm.relay->Reopen();
   Register(vm, false);
   vm.down = false;
 }
 
-void SoakWorld::RevokeKey(int organisation) {
+void SoakRunner::RevokeKey(int organisation) {
   int& generation = keys_.at(static_cast<std::size_t>(organisation));
   const std::string key = KeyOf(organisation, generation);
   ++generation;
@@ -193,13 +194,13 @@
       {key, KeyOf(organisation, generation), clock_.Now()});
 }
 
-core::Task<> SoakWorld::InjectStore(Fault fault) {
+core::Task<> SoakRunner::InjectStore(Fault fault) {
   if (fault.kind == FaultKind::kKeyRevoke) {
     RevokeKey(fault.target);
     co_return;
   }
   if (fault.kind == FaultKind::kConfigChange) {
-    ++routes_;
+    ++added_routes_;
     WriteConfiguration();
     co_return;
   }
@@ -210,34 +211,35 @@
     co_return;
   }
   const core::SteadyTime now = clock_.Now();
-  record_.store_disturbed.push_back({now, now + fault.length});
+  record_.store_disturbed.push_back({now, now + fault.duration});
   store_.fault = fault.kind == FaultKind::kStoreBusy
                      ? platform::testing::Fault::kBusy
                  : fault.kind == FaultKind::kStoreSilent
                      ? platform::testing::Fault::kSilent
                      : platform::testing::Fault::kAnswerLost;
-  co_await core::SleepFor(fault.length);
+  co_await core::SleepFor(fault.duration);
   store_.fault = platform::testing::Fault::kNone;
 }
 
-core::Task<> SoakWorld::CutStore(Fault fault) {
+core::Task<> SoakRunner::CutStore(Fault fault) {
   const core::SteadyTime now = clock_.Now();
-  record_.store_out_of_reach[fault.target].push_back({now, now + fault.length});
+  record_.store_unreachable[fault.target].push_back(
+      {now, now + fault.duration});
   tests::Relay& relay =
       *entries_.at(static_cast<std::size_t>(fault.target))->store;
   relay.Cut(true, true);
-  co_await core::SleepFor(fault.length);
+  co_await core::SleepFor(fault.duration);
   relay.Cut(false, false);
   if (fault.kind == FaultKind::kStoreCut) relay.Reset();
 }
 
-void SoakWorld::DisturbEntry(int number, milliseconds length) {
+void SoakRunner::DisturbEntry(int number, milliseconds duration) {
   const core::SteadyTime now = clock_.Now();
-  record_.entry_disturbed[number].push_back({now, now + length});
+  record_.entry_disturbed[number].push_back({now, now + duration});
 }
 
-void SoakWorld::DisturbAllEntries(milliseconds length) {
-  for (int i = 0; i < plan_.entries; ++i) DisturbEntry(i, length);
+void SoakRunner::DisturbAllEntries(milliseconds duration) {
+  for (int i = 0; i < plan_.entries; ++i) DisturbEntry(i, duration);
 }
 
 }  // namespace sapphire::deploy::soak
--- a/deploy/soak/soak_identity_func.h
+++ b/deploy/soak/soak_identity_func.h
@@ -13,7 +13,7 @@
 
 inline constexpr int kOrganisations = 4;
 /** The organisation with a quota that its callers exceed. */
-inline constexpr int kLimited = 3;
+inline constexpr int kLimitedOrganisation = 3;
 inline constexpr double kLimitPerSecond = 4;
 inline constexpr double kLimitBurst = 4;
 inline constexpr double kQuotaExcess = 0.1;
@@ -22,7 +22,7 @@
 inline constexpr int kQuotaWindowSeconds = 8;
 /** Number of the caller that keeps using the first key of its organisation
  * after the key is revoked. */
-inline constexpr int kStaleCaller = 14;
+inline constexpr int kStaleKeyCaller = 14;
 
 /** Generation of the current key of each organisation; the first key is 0. */
 using KeyGenerations = std::array<int, kOrganisations>;
@@ -50,7 +50,7 @@
     boost::json::object it{{"name", OrganisationName(i)},
                            {"apiKeys", {KeyOf(i, generation)}},
                            {"unit", "requests"}};
-    if (i == kLimited) {
+    if (i == kLimitedOrganisation) {
       it["ratePerS"] = kLimitPerSecond;
       it["burst"] = kLimitBurst;
     }
--- a/deploy/soak/soak_judge.cc
+++ b/deploy/soak/soak_judge.cc
@@ -13,59 +13,59 @@
 namespace {
 
 /** Checks with a time limit apply again this long after a disturbance. */
-constexpr milliseconds kSettled{3000};
+constexpr milliseconds kSettleTime{3000};
 /** An engine that drains or is deregistered gets no new requests after this. */
-constexpr milliseconds kDrainLimit{2000};
+constexpr milliseconds kDepartureLimit{2000};
 /** Minimum time between orders of two different holders to one engine. */
-constexpr milliseconds kTurnGap{3000};
+constexpr milliseconds kMinHolderGap{3000};
 /** A run ends within this time after its caller has disconnected. */
-constexpr milliseconds kLeaveLimit{1000};
+constexpr milliseconds kCancelLimit{1000};
 /** Maximum number of crashes by deadly requests. Two crashes are needed to
  * identify a deadly request; more may already be under way then. */
-constexpr int kDeadlyLimit = 6;
+constexpr int kMaxDeadlyCrashes = 6;
 constexpr int kUnauthorised = 401;
 constexpr int kOverQuota = 429;
 
 bool Overlaps(const std::vector<Disturbance>& times, core::SteadyTime from,
               core::SteadyTime to) {
   return std::ranges::any_of(times, [&](const Disturbance& it) {
-    return it.from <= to && from <= it.to + kSettled;
+    return it.from <= to && from <= it.to + kSettleTime;
   });
 }
 
-class Judgement {
+class RecordChecker {
  public:
-  Judgement(const SoakRecord& record, double served_at_end)
-      : record_(record), served_at_end_(served_at_end) {}
-
-  std::vector<std::string> Give() {
-    for (const Attempt& it : record_.attempts) JudgeAttempt(it);
-    JudgeOrders();
-    JudgeDrainings();
-    JudgeKeys();
-    JudgeQuota();
-    JudgeEnd();
+  RecordChecker(const SoakRecord& record, double min_served_share)
+      : record_(record), min_served_share_(min_served_share) {}
+
+  std::vector<std::string> Check() {
+    for (const Attempt& it : record_.attempts) CheckAttempt(it);
+    CheckOrders();
+    CheckDepartures();
+    CheckKeys();
+    CheckQuota();
+    CheckRecovery();
     for (const std::string& it : record_.misattributed) {
-      Blame("ran for another organisation or with the caller's credentials",
-            it);
+      AddViolation(
+          "ran for another organisation or with the caller's credentials", it);
     }
-    for (const std::string& it : record_.overfull) {
-      Blame("loaded more models than fit into memory", it);
+    for (const std::string& it : record_.over_memory) {
+      AddViolation("loaded more models than fit into memory", it);
     }
-    for (const std::string& it : record_.ended_alone) {
-      Blame("process exited unexpectedly", it);
+    for (const std::string& it : record_.unexpected_exits) {
+      AddViolation("process exited unexpectedly", it);
     }
-    if (record_.deadly_crashes > kDeadlyLimit) {
-      Blame("deadly requests crashed too many engines",
-            fmt::format("{} crashes, limit {}", record_.deadly_crashes,
-                        kDeadlyLimit));
+    if (record_.deadly_crashes > kMaxDeadlyCrashes) {
+      AddViolation("deadly requests crashed too many engines",
+                   fmt::format("{} crashes, limit {}", record_.deadly_crashes,
+                               kMaxDeadlyCrashes));
     }
-    return std::move(broken_);
+    return std::move(violations_);
   }
 
  private:
-  void Blame(std::string_view promise, const std::string& what) {
-    broken_.push_back(fmt::format("{}: {}", promise, what));
+  void AddViolation(std::string_view guarantee, const std::string& detail) {
+    violations_.push_back(fmt::format("{}: {}", guarantee, detail));
   }
 
   [[nodiscard]] bool EntryDisturbed(const Attempt& attempt) const {
@@ -74,71 +74,76 @@
            Overlaps(it->second, attempt.sent, attempt.ended);
   }
 
-  void JudgeAttempt(const Attempt& attempt) {
+  void CheckAttempt(const Attempt& attempt) {
     const auto found = record_.runs.find(attempt.id);
     const std::size_t runs =
         found == record_.runs.end() ? 0 : found->second.size();
     if (attempt.kind == routing::RequestKind::kNonIdempotent && runs > 1) {
-      Blame("non-idempotent request ran more than once", attempt.id);
+      AddViolation("non-idempotent request ran more than once", attempt.id);
     }
     if (attempt.end == AttemptEnd::kRefused && runs > 0) {
-      Blame("refused as not run, but it ran", attempt.id);
+      AddViolation("refused as not run, but it ran", attempt.id);
     }
-    if (attempt.spoiled) Blame("incomplete or corrupt answer", attempt.id);
-    if (attempt.end == AttemptEnd::kSilent && !EntryDisturbed(attempt)) {
-      Blame("no answer in time", attempt.id);
+    if (attempt.corrupt)
+      AddViolation("incomplete or corrupt answer", attempt.id);
+    if (attempt.end == AttemptEnd::kTimedOut && !EntryDisturbed(attempt)) {
+      AddViolation("no answer in time", attempt.id);
     }
-    if (attempt.end == AttemptEnd::kLeft && !EntryDisturbed(attempt) &&
+    if (attempt.end == AttemptEnd::kCancelled && !EntryDisturbed(attempt) &&
         runs > 0) {
-      JudgeLeft(attempt, found->second.back());
+      CheckCancelled(attempt, found->second.back());
     }
   }
 
-  void JudgeLeft(const Attempt& attempt, const Run& run) {
-    const bool late = run.over && run.ended > attempt.ended + kLeaveLimit;
-    if (late) Blame("ran on after its caller had disconnected", attempt.id);
+  void CheckCancelled(const Attempt& attempt, const Run& run) {
+    const bool late = run.finished && run.ended > attempt.ended + kCancelLimit;
+    if (late)
+      AddViolation("ran on after its caller had disconnected", attempt.id);
   }
 
   /** Checks that each engine has one holder at a time and that its fence never
-   * decreases. Orders of two holders have to be kTurnGap apart, as operators
-   * require. */
-  void JudgeOrders() {
-    std::map<std::string, SeenOrder> newest;
-    for (const SeenOrder& it : record_.orders) {
+   * decreases. Orders of two holders have to be kMinHolderGap apart, as
+   * operators require. */
+  void CheckOrders() {
+    std::map<std::string, ReceivedOrder> newest;
+    for (const ReceivedOrder& it : record_.orders) {
       const auto [last, first] = newest.try_emplace(it.instance, it);
       if (first) continue;
       const bool by_turns = last->second.holder != it.holder &&
-                            it.at - last->second.at < kTurnGap;
+                            it.at - last->second.at < kMinHolderGap;
       if (by_turns || it.fence < last->second.fence) {
-        Blame("orders of two holders or with a lower fence", it.instance);
+        AddViolation("orders of two holders or with a lower fence",
+                     it.instance);
       }
       last->second = it;
     }
   }
 
-  void JudgeDrainings() {
-    for (const Draining& draining : record_.drainings) {
+  void CheckDepartures() {
+    for (const EngineDeparture& departure : record_.engine_departures) {
       for (const Attempt& attempt : record_.attempts) {
         if (EntryDisturbed(attempt)) continue;
-        JudgeDrained(attempt, draining, LimitFor(attempt.entry, draining.at));
+        CheckDeparture(attempt, departure,
+                       NoticeDeadline(attempt.entry, departure.at));
       }
     }
   }
 
   /** @return The time by which an entry has to know that an engine left or a
-   * key was revoked at `left_at`: kDrainLimit later, or kSettled after the end
-   * of the store disturbances that overlap this time. */
-  [[nodiscard]] core::SteadyTime LimitFor(int entry,
-                                          core::SteadyTime left_at) const {
-    std::vector<Disturbance> amiss = record_.store_disturbed;
-    const auto own = record_.store_out_of_reach.find(entry);
-    if (own != record_.store_out_of_reach.end()) {
-      amiss.insert(amiss.end(), own->second.begin(), own->second.end());
-    }
-    std::ranges::sort(amiss, {}, &Disturbance::from);
-    core::SteadyTime limit = left_at + kDrainLimit;
-    for (const Disturbance& it : amiss) {
-      const core::SteadyTime settled = it.to + kSettled;
+   * key was revoked at `left_at`: kDepartureLimit later, or kSettleTime after
+   * the end of the store disturbances that overlap this time. */
+  [[nodiscard]] core::SteadyTime NoticeDeadline(
+      int entry, core::SteadyTime left_at) const {
+    std::vector<Disturbance> disturbances = record_.store_disturbed;
+    const auto own = record_.store_unreachable.find(entry);
+    if (own != record_.store_unreachable.end()) {
+      disturbances.insert(disturbances.end(), own->second.begin(),
+                          own->second.end());
+    }
+    std::ranges::sort(disturbances, {}, &Disturbance::from);
+    core::SteadyTime limit = left_at + kDepartureLimit;
+    for (const Disturbance& it : disturbances) {
+      const core::SteadyTime settled = it.to + kSettleTime;
       if (it.from <= limit && settled > left_at) {
         limit = std::max(limit, settled);
       }
@@ -146,25 +151,25 @@
     return limit;
   }
 
-  void JudgeDrained(const Attempt& attempt, const Draining& draining,
-                    core::SteadyTime limit) {
+  void CheckDeparture(const Attempt& attempt, const EngineDeparture& departure,
+                      core::SteadyTime limit) {
     const auto runs = record_.runs.find(attempt.id);
     if (runs == record_.runs.end()) return;
     for (const Run& run : runs->second) {
-      if (run.instance == draining.instance && run.began > limit) {
-        Blame("sent to an engine that is leaving", attempt.id);
+      if (run.instance == departure.instance && run.began > limit) {
+        AddViolation("sent to an engine that is leaving", attempt.id);
       }
     }
   }
 
-  void JudgeKeys() {
+  void CheckKeys() {
     for (const Revocation& it : record_.revocations) {
       for (const Attempt& attempt : record_.attempts) {
-        const core::SteadyTime limit = LimitFor(attempt.entry, it.at);
+        const core::SteadyTime limit = NoticeDeadline(attempt.entry, it.at);
         if (attempt.sent <= limit || EntryDisturbed(attempt)) continue;
         const bool ran = record_.runs.contains(attempt.id);
         if (attempt.key == it.key && ran) {
-          Blame("ran with a revoked key", attempt.id);
+          AddViolation("ran with a revoked key", attempt.id);
         }
         const bool revoked_later =
             std::ranges::any_of(record_.revocations, [&](const auto& other) {
@@ -172,7 +177,7 @@
             });
         if (attempt.key == it.next && attempt.status == kUnauthorised &&
             !revoked_later) {
-          Blame("rejected a valid key", attempt.id);
+          AddViolation("rejected a valid key", attempt.id);
         }
       }
     }
@@ -180,11 +185,12 @@
 
   /** Checks the quota in a sliding time window of the attempts that ran, by the
    * time they were sent. */
-  void JudgeQuota() {
+  void CheckQuota() {
     if (record_.revocations.empty()) return;
     std::vector<core::SteadyTime> sent;
     for (const Attempt& it : record_.attempts) {
-      const bool limited = OrganisationOf(std::stoi(it.id)) == kLimited;
+      const bool limited =
+          OrganisationOf(std::stoi(it.id)) == kLimitedOrganisation;
       if (limited && record_.runs.contains(it.id)) sent.push_back(it.sent);
     }
     std::ranges::sort(sent);
@@ -201,36 +207,38 @@
       most = std::max(most, i - first + 1);
     }
     if (static_cast<double>(most) > bound) {
-      Blame("quota exceeded",
-            fmt::format("{} requests in a window, limit {}", most, bound));
+      AddViolation(
+          "quota exceeded",
+          fmt::format("{} requests in a window, limit {}", most, bound));
     }
   }
 
-  void JudgeEnd() {
+  void CheckRecovery() {
     int sent = 0;
     int served = 0;
     for (const Attempt& it : record_.attempts) {
-      if (it.sent < record_.quiet_from + kSettled) continue;
-      if (it.end == AttemptEnd::kLeft) continue;
+      if (it.sent < record_.fault_free_from + kSettleTime) continue;
+      if (it.end == AttemptEnd::kCancelled) continue;
       if (it.status == kUnauthorised || it.status == kOverQuota) continue;
       ++sent;
       if (it.end == AttemptEnd::kServed) ++served;
     }
-    if (sent == 0 || served < served_at_end_ * sent) {
-      Blame("did not recover after the faults",
-            fmt::format("{} of {} served", served, sent));
+    if (sent == 0 || served < min_served_share_ * sent) {
+      AddViolation("did not recover after the faults",
+                   fmt::format("{} of {} served", served, sent));
     }
   }
 
   const SoakRecord& record_;
-  const double served_at_end_;
-  std::vector<std::string> broken_;
+  const double min_served_share_;
+  std::vector<std::string> violations_;
 };
 
 }  // namespace
 
-std::vector<std::string> Judge(const SoakRecord& record, double served_at_end) {
-  return Judgement(record, served_at_end).Give();
+std::vector<std::string> FindViolations(const SoakRecord& record,
+                                        double min_served_share) {
+  return RecordChecker(record, min_served_share).Check();
 }
 
 std::string Summary(const SoakRecord& record) {
--- a/deploy/soak/soak_judge_func.h
+++ b/deploy/soak/soak_judge_func.h
@@ -12,16 +12,16 @@
 
 /** Least share of the attempts sent in the fault-free time at the end that has
  * to be served. */
-inline constexpr double kServedAtEnd = 0.9;
+inline constexpr double kMinServedShare = 0.9;
 
 /**
- * @param served_at_end Least share of attempts served at the end. Use less than
- *   the default on a machine that may be busy with other work, because the
+ * @param min_served_share Least share of attempts served at the end. Use less
+ * than the default on a machine that may be busy with other work, because the
  *   share depends on how fast models load.
  * @return One line per violation; empty if there is none.
  */
-std::vector<std::string> Judge(const SoakRecord& record,
-                               double served_at_end = kServedAtEnd);
+std::vector<std::string> FindViolations(
+    const SoakRecord& record, double min_served_share = kMinServedShare);
 
 /** @return The number of attempts by outcome, of orders and of deadly crashes,
  * on one line. */
--- a/deploy/soak/soak_organisation_test.cc
+++ b/deploy/soak/soak_organisation_test.cc
@@ -9,9 +9,9 @@
 
 /** Guards against serving revoked keys, rejecting valid keys and exceeding
  * quotas while entries and the store fail. */
-BOOST_AUTO_TEST_CASE(KeysAndQuotasHoldUnderFaults) {
+BOOST_AUTO_TEST_CASE(KeysAndQuotasAreEnforcedUnderFaults) {
   constexpr std::uint64_t kSeed = 31;
-  testing::PlaySeed(kSeed, 0, true);
+  testing::RunSeed(kSeed, 0, true);
 }
 
 }  // namespace sapphire::deploy::soak
--- a/deploy/soak/soak_plan.cc
+++ b/deploy/soak/soak_plan.cc
@@ -13,27 +13,27 @@
 
 /** Interval between the starts of two series, so that two or three series
  * overlap at a time. */
-constexpr milliseconds kSeriesPause{2500};
-constexpr int kMostRepeats = 3;
-constexpr milliseconds kLeastGap{300};
-constexpr milliseconds kMostGap{1500};
-constexpr milliseconds kLeastLength{500};
-constexpr milliseconds kMostLength{3000};
+constexpr milliseconds kSeriesInterval{2500};
+constexpr int kMaxFaultsPerSeries = 3;
+constexpr milliseconds kMinGap{300};
+constexpr milliseconds kMaxGap{1500};
+constexpr milliseconds kMinDuration{500};
+constexpr milliseconds kMaxDuration{3000};
 /** Long enough for an entry to consider the store unreachable. */
-constexpr milliseconds kLeastPartition{2500};
-constexpr milliseconds kMostPartition{5000};
-constexpr milliseconds kServesPastPartition{5000};
+constexpr milliseconds kMinPartition{2500};
+constexpr milliseconds kMaxPartition{5000};
+constexpr milliseconds kServingAfterPartition{5000};
 /** XORed with the seed to give departures a random stream of their own. */
 constexpr std::uint64_t kDepartureStream = 0x6465'7061'7274;
 
 constexpr std::uint64_t kRevocationStream = 0x7265'766f'6b65;
 constexpr int kRevocations = 4;
-constexpr std::uint64_t kEndpointLossStream = 0x6c6f'7374;
+constexpr std::uint64_t kEndpointOutageStream = 0x6c6f'7374;
 /** Long enough for an entry to take over the engine and send it orders. */
-constexpr milliseconds kLeastLoss{24'000};
-constexpr milliseconds kMostLoss{30'000};
+constexpr milliseconds kMinEndpointOutage{24'000};
+constexpr milliseconds kMaxEndpointOutage{30'000};
 
-bool IsOfEntry(FaultKind kind) {
+bool TargetsEntry(FaultKind kind) {
   return kind <= FaultKind::kEntryReload || kind == FaultKind::kStoreCut;
 }
 
@@ -65,16 +65,16 @@
   for (int i = 0; i < plan.departures; ++i) {
     Fault partition;
     partition.kind = FaultKind::kStorePartition;
-    partition.length = draw.Between(kLeastPartition, kMostPartition);
+    partition.duration = draw.Between(kMinPartition, kMaxPartition);
     partition.at =
-        draw.Between(milliseconds(0), plan.length - partition.length);
+        draw.Between(milliseconds(0), plan.duration - partition.duration);
     partition.target = draw.Below(plan.entries);
     plan.faults.push_back(partition);
-    const milliseconds end = partition.at + partition.length;
+    const milliseconds end = partition.at + partition.duration;
     Fault leave;
-    leave.kind = FaultKind::kEngineLeave;
-    leave.at = draw.Between(partition.at + kLeastGap, end);
-    leave.length = end + kServesPastPartition - leave.at;
+    leave.kind = FaultKind::kEngineDeregistration;
+    leave.at = draw.Between(partition.at + kMinGap, end);
+    leave.duration = end + kServingAfterPartition - leave.at;
     leave.target = draw.Below(plan.engines + plan.plain);
     plan.faults.push_back(leave);
   }
@@ -85,7 +85,7 @@
   for (int i = 0; i < kRevocations; ++i) {
     Fault revoke;
     revoke.kind = FaultKind::kKeyRevoke;
-    revoke.at = draw.Between(milliseconds(0), plan.length);
+    revoke.at = draw.Between(milliseconds(0), plan.duration);
     revoke.target = draw.Below(kOrganisations);
     plan.faults.push_back(revoke);
   }
@@ -93,14 +93,15 @@
 
 /** Draws outages of endpoint processes that last until after an entry has taken
  * over the engine. */
-void DrawEndpointLosses(SoakPlan& plan) {
-  Draw draw(plan.seed ^ kEndpointLossStream);
-  for (int i = 0; i < plan.endpoint_losses; ++i) {
+void DrawEndpointOutages(SoakPlan& plan) {
+  Draw draw(plan.seed ^ kEndpointOutageStream);
+  for (int i = 0; i < plan.endpoint_outages; ++i) {
     Fault loss;
-    loss.kind = FaultKind::kEndpointLost;
-    loss.length = draw.Between(kLeastLoss, kMostLoss);
-    loss.at = draw.Between(milliseconds(0), plan.length - loss.length);
-    loss.target = plan.unattended + draw.Below(plan.engines - plan.unattended);
+    loss.kind = FaultKind::kEndpointOutage;
+    loss.duration = draw.Between(kMinEndpointOutage, kMaxEndpointOutage);
+    loss.at = draw.Between(milliseconds(0), plan.duration - loss.duration);
+    loss.target = plan.engines_without_endpoint +
+                  draw.Below(plan.engines - plan.engines_without_endpoint);
     plan.faults.push_back(loss);
   }
 }
@@ -110,33 +111,35 @@
 SoakPlan DrawFaults(SoakPlan plan) {
   Draw draw(plan.seed);
   plan.faults.clear();
-  for (milliseconds start{0}; start < plan.length; start += kSeriesPause) {
-    const auto kind = static_cast<FaultKind>(draw.Below(kDrawnKinds));
-    const int repeats = 1 + draw.Below(kMostRepeats);
-    milliseconds at = start + draw.Between(milliseconds(0), kSeriesPause);
+  for (milliseconds start{0}; start < plan.duration; start += kSeriesInterval) {
+    const auto kind = static_cast<FaultKind>(draw.Below(kBaseFaultKinds));
+    const int repeats = 1 + draw.Below(kMaxFaultsPerSeries);
+    milliseconds at = start + draw.Between(milliseconds(0), kSeriesInterval);
     for (int i = 0; i < repeats; ++i) {
       Fault fault;
       fault.kind = kind;
       fault.at = at;
-      fault.length = draw.Between(kLeastLength, kMostLength);
-      fault.target = draw.Below(IsOfEntry(kind) ? plan.entries : plan.engines);
-      if (fault.at + fault.length < plan.length) plan.faults.push_back(fault);
-      at += draw.Between(kLeastGap, kMostGap);
+      fault.duration = draw.Between(kMinDuration, kMaxDuration);
+      fault.target =
+          draw.Below(TargetsEntry(kind) ? plan.entries : plan.engines);
+      if (fault.at + fault.duration < plan.duration)
+        plan.faults.push_back(fault);
+      at += draw.Between(kMinGap, kMaxGap);
     }
   }
   DrawDepartures(plan);
   if (plan.organisations) DrawRevocations(plan);
-  DrawEndpointLosses(plan);
+  DrawEndpointOutages(plan);
   std::ranges::stable_sort(plan.faults, {}, &Fault::at);
   return plan;
 }
 
-std::string Describe(const SoakPlan& plan) {
+std::string DescribeFaults(const SoakPlan& plan) {
   std::string text;
   for (const Fault& it : plan.faults) {
     text += fmt::format("{} ms {} {} for {} ms\n", it.at.count(),
                         kFaultNames.at(static_cast<std::size_t>(it.kind)),
-                        it.target, it.length.count());
+                        it.target, it.duration.count());
   }
   return text;
 }
--- a/deploy/soak/soak_plan_func.h
+++ b/deploy/soak/soak_plan_func.h
@@ -9,12 +9,12 @@
 /**
  * Draws series of faults that overlap in time. The same seed and sizes give
  * the same plan.
- * @param plan Seed, sizes and length; its faults are replaced.
+ * @param plan Seed, sizes and duration; its faults are replaced.
  */
 SoakPlan DrawFaults(SoakPlan plan);
 
 /** @return The faults of the plan, one per line. */
-std::string Describe(const SoakPlan& plan);
+std::string DescribeFaults(const SoakPlan& plan);
 
 }  // namespace sapphire::deploy::soak
 
--- a/deploy/soak/soak_regression_test.cc
+++ b/deploy/soak/soak_regression_test.cc
@@ -6,20 +6,20 @@
 
 namespace sapphire::deploy::soak {
 
-using testing::PlaySeed;
+using testing::RunSeed;
 
 /**
  * Guards against requests to engines that have left and refusals although new
  * engines are available. The store stops answering and drops a waiting watch
  * while the connection stays open; entries waited 20 s for that watch.
  */
-BOOST_AUTO_TEST_CASE(ASilentStoreIsNoticed) { PlaySeed(145); }
+BOOST_AUTO_TEST_CASE(UnresponsiveStoreIsDetected) { RunSeed(145); }
 
 /**
  * Guards against refusals for some models although engines are idle. An engine
  * crashes during a load and restarts at once; its endpoint process waited 30 s
  * for the order, which the crash had aborted.
  */
-BOOST_AUTO_TEST_CASE(AnOrderLostInACrashHoldsNothingUp) { PlaySeed(131); }
+BOOST_AUTO_TEST_CASE(OrderLostInACrashDoesNotBlockLaterLoads) { RunSeed(131); }
 
 }  // namespace sapphire::deploy::soak
--- a/deploy/soak/soak_subnet_test.cc
+++ b/deploy/soak/soak_subnet_test.cc
@@ -10,7 +10,7 @@
 
 /** Guards against a soak that fails to start because another one, whose process
  * id is the same modulo the number of subnets, listens on its addresses. */
-BOOST_AUTO_TEST_CASE(TwoSoaksNeverShareASubnet) {
+BOOST_AUTO_TEST_CASE(ConcurrentSoaksUseDistinctSubnets) {
   const SoakSubnet one(90);
   const SoakSubnet other(290);
   BOOST_TEST(one.Ip(5, 1) != other.Ip(5, 1));
--- a/deploy/soak/soak_test.cc
+++ b/deploy/soak/soak_test.cc
@@ -7,14 +7,14 @@
 
 namespace sapphire::deploy::soak {
 
-BOOST_AUTO_TEST_CASE(ASeedIsDrawnTheSameWayEachTime) {
+BOOST_AUTO_TEST_CASE(SameSeedGivesTheSameFaults) {
   SoakPlan plan;
   plan.seed = 7;
-  const std::string once = Describe(DrawFaults(plan));
+  const std::string once = DescribeFaults(DrawFaults(plan));
   BOOST_TEST(!once.empty());
-  BOOST_TEST(once == Describe(DrawFaults(plan)));
+  BOOST_TEST(once == DescribeFaults(DrawFaults(plan)));
 }
 
-BOOST_AUTO_TEST_CASE(AShortSoakKeepsItsPromises) { testing::PlaySeed(1); }
+BOOST_AUTO_TEST_CASE(ShortSoakHasNoViolations) { testing::RunSeed(1); }
 
 }  // namespace sapphire::deploy::soak
--- a/deploy/soak/soak_type.h
+++ b/deploy/soak/soak_type.h
@@ -38,13 +38,13 @@
   // The kinds below are drawn from separate random streams, so that existing
   // seeds keep their faults.
   kStorePartition,  ///< As kStoreCut, but affected connections stay silent.
-  kEngineLeave,     ///< Its registration is deleted; it keeps serving.
-  kKeyRevoke,       ///< An organisation's key is replaced by another.
-  kEndpointLost,    ///< SIGKILL, restarted after the fault's length.
+  kEngineDeregistration,  ///< Its registration is deleted; it keeps serving.
+  kKeyRevoke,             ///< An organisation's key is replaced by another.
+  kEndpointOutage,        ///< SIGKILL, restarted after the fault's duration.
 };
 
 /** Number of leading fault kinds that the main random stream draws from. */
-inline constexpr int kDrawnKinds = 17;
+inline constexpr int kBaseFaultKinds = 17;
 
 inline constexpr std::array<std::string_view, 21> kFaultNames = {
     "entry_kill",    "entry_pause",     "entry_stop",          "entry_reload",
@@ -58,7 +58,7 @@
   FaultKind kind = FaultKind::kEntryKill;
   /** Time since the start of traffic. */
   milliseconds at{0};
-  milliseconds length{0};
+  milliseconds duration{0};
   /** Index of the target entry, engine or organisation, if the kind has one. */
   int target = 0;
 };
@@ -75,13 +75,13 @@
   int departures = 0;
   /** Number of model engines, counted from the first, without an endpoint
    * process. */
-  int unattended = 0;
+  int engines_without_endpoint = 0;
   /** Number of long outages of an endpoint process. */
-  int endpoint_losses = 0;
+  int endpoint_outages = 0;
   /** Callers have keys, some keys are revoked, and one quota is exceeded. */
   bool organisations = false;
   /** Duration of traffic with faults; traffic without faults follows. */
-  milliseconds length{12'000};
+  milliseconds duration{12'000};
   std::vector<Fault> faults;
 };
 
@@ -90,17 +90,17 @@
   std::string instance;
   core::SteadyTime began;
   core::SteadyTime ended;
-  bool over = false;
+  bool finished = false;
 };
 
 /** Outcome of an attempt of a caller. */
 enum class AttemptEnd {
   kServed,
-  kRefused,  ///< With a status that guarantees that it has not run.
-  kFailed,   ///< Any other status.
-  kBroken,   ///< The connection failed, or the answer was cut.
-  kSilent,   ///< No final answer in time.
-  kLeft,     ///< The caller cancelled the request.
+  kRefused,           ///< With a status that guarantees that it has not run.
+  kFailed,            ///< Any other status.
+  kConnectionFailed,  ///< The connection failed, or the answer was cut.
+  kTimedOut,          ///< No final answer in time.
+  kCancelled,         ///< The caller cancelled the request.
 };
 
 struct Attempt {
@@ -115,7 +115,7 @@
   std::string key;
   /** True for a success whose body is not the engine's complete answer to this
    * request. */
-  bool spoiled = false;
+  bool corrupt = false;
 };
 
 /** A period in which a fault suspends some of the checks. */
@@ -125,7 +125,7 @@
 };
 
 /** The time at which an engine was registered as draining or deregistered. */
-struct Draining {
+struct EngineDeparture {
   std::string instance;
   core::SteadyTime at;
 };
@@ -138,7 +138,7 @@
 };
 
 /** An order that an engine received. */
-struct SeenOrder {
+struct ReceivedOrder {
   std::string instance;
   std::string holder;
   std::int64_t fence = 0;
@@ -149,23 +149,23 @@
 struct SoakRecord {
   std::map<std::string, std::vector<Run>> runs;
   std::vector<Attempt> attempts;
-  std::vector<SeenOrder> orders;
-  std::vector<Draining> drainings;
+  std::vector<ReceivedOrder> orders;
+  std::vector<EngineDeparture> engine_departures;
   std::vector<Revocation> revocations;
   /** Ids of requests that ran for another organisation than the caller's, or
    * with the caller's credentials passed on to the engine. */
   std::vector<std::string> misattributed;
-  std::vector<std::string> overfull;
+  std::vector<std::string> over_memory;
   /** Disturbances of entries, by the entry's index. */
   std::map<int, std::vector<Disturbance>> entry_disturbed;
   std::vector<Disturbance> store_disturbed;
   /** Periods in which an entry could not reach the store, by its index. */
-  std::map<int, std::vector<Disturbance>> store_out_of_reach;
+  std::map<int, std::vector<Disturbance>> store_unreachable;
   /** Number of engine crashes caused by requests with kDeadlyBody. */
   int deadly_crashes = 0;
   /** VMs whose process exited unexpectedly. */
-  std::vector<std::string> ended_alone;
-  core::SteadyTime quiet_from;
+  std::vector<std::string> unexpected_exits;
+  core::SteadyTime fault_free_from;
 };
 
 }  // namespace sapphire::deploy::soak
--- a/deploy/soak/soak_unattended_test.cc
+++ b/deploy/soak/soak_unattended_test.cc
@@ -9,14 +9,14 @@
 
 /** Guards against refusals for models at engines without an endpoint process,
  * and against orders of two entries to one engine. */
-BOOST_AUTO_TEST_CASE(EntriesOrderEnginesWithoutAProcessBesideThem) {
+BOOST_AUTO_TEST_CASE(EntriesSendOrdersToEnginesWithoutAnEndpoint) {
   SoakPlan plan;
   plan.seed = 801;
-  plan.unattended = 3;
-  const SoakRecord record = testing::PlayPlan(plan);
+  plan.engines_without_endpoint = 3;
+  const SoakRecord record = testing::RunPlan(plan);
   const bool ordered = std::ranges::any_of(
       record.orders,
-      [](const SeenOrder& it) { return it.holder.starts_with("entry-"); });
+      [](const ReceivedOrder& it) { return it.holder.starts_with("entry-"); });
   BOOST_TEST(ordered);
 }
 
--- a/deploy/soak/soak_world.cc
+++ b/deploy/soak/soak_world.cc
@@ -25,15 +25,15 @@
 constexpr int kEntryPart = 3;
 constexpr int kStoreRelayPart = 4;
 constexpr int kStorePart = 5;
-constexpr std::size_t kHistory = 100;
+constexpr std::size_t kStoreHistory = 100;
 constexpr int kModels = 8;
-constexpr std::size_t kRoom = 3;
+constexpr std::size_t kMaxModels = 3;
 constexpr int kModelMegabytes = 10'000;
 /** Time before traffic starts, for the programs to discover each other. */
 constexpr milliseconds kWarmUp{2500};
 /** Duration of the traffic without faults at the end. The share of served
  * attempts is checked once it has settled. */
-constexpr milliseconds kQuiet{9000};
+constexpr milliseconds kFaultFreeTime{9000};
 /** Time for callers and engines to finish their last requests. */
 constexpr milliseconds kWindDown{6500};
 
@@ -59,14 +59,14 @@
 
 }  // namespace
 
-SoakWorld::SoakWorld(SoakOptions options, SoakPlan plan)
+SoakRunner::SoakRunner(SoakOptions options, SoakPlan plan)
     : options_(std::move(options)),
       subnet_(::getpid()),
       plan_(std::move(plan)),
       log_({"soak", core::VmId("soak"), core::ZoneId("z")},
            core::LogLevel::kError, clock_),
       store_(io_, clock_, log_, fmt::format("{}:{}", Ip(kStorePart, 1), kPort),
-             kHistory) {
+             kStoreHistory) {
   store_.watches_wait = true;
   for (int i = 0; i < kModels; ++i) models_.push_back(fmt::format("m{}", i));
   WriteConfiguration();
@@ -74,11 +74,11 @@
   for (int i = 0; i < plan_.entries; ++i) AddEntry(i);
 }
 
-std::string SoakWorld::Ip(int part, int number) const {
+std::string SoakRunner::Ip(int part, int number) const {
   return subnet_.Ip(part, number);
 }
 
-void SoakWorld::AddEngine(int number) {
+void SoakRunner::AddEngine(int number) {
   auto vm = std::make_unique<EngineVm>();
   const bool plain = number >= plan_.engines;
   vm->vm = fmt::format("engine-{}", number);
@@ -87,7 +87,7 @@
   SoakEngineOptions engine;
   engine.listen = fmt::format("{}:{}", Ip(kBehindRelayPart, number + 1), kPort);
   engine.instance = NextInstance();
-  engine.room = kRoom;
+  engine.max_models = kMaxModels;
   if (!plain) {
     engine.disk.insert(models_.begin(), models_.end());
     for (int i = 0; i < 2; ++i) {
@@ -105,12 +105,12 @@
       },
       clock_, log_);
   vm->relay = std::make_unique<tests::Relay>(io_, engine.listen, vm->address);
-  if (!plain && number >= plan_.unattended) StartEndpoint(*vm);
+  if (!plain && number >= plan_.engines_without_endpoint) StartEndpoint(*vm);
   Register(*vm, false);
   engines_.push_back(std::move(vm));
 }
 
-void SoakWorld::AddEntry(int number) {
+void SoakRunner::AddEntry(int number) {
   auto entry = std::make_unique<EntryVm>();
   entry->vm = fmt::format("entry-{}", number);
   entry->address = fmt::format("{}:{}", Ip(kEntryPart, number + 1), kPort);
@@ -121,7 +121,7 @@
   entries_.push_back(std::move(entry));
 }
 
-void SoakWorld::StartEntry(EntryVm& entry) {
+void SoakRunner::StartEntry(EntryVm& entry) {
   const std::string ip = entry.address.substr(0, entry.address.rfind(':'));
   const std::string path =
       fmt::format("{}/{}.toml", options_.directory, entry.vm);
@@ -142,7 +142,7 @@
       options_.directory);
 }
 
-void SoakWorld::StartEndpoint(EngineVm& vm) {
+void SoakRunner::StartEndpoint(EngineVm& vm) {
   const std::string ip = vm.address.substr(0, vm.address.rfind(':'));
   const int host = std::stoi(ip.substr(ip.rfind('.') + 1));
   const std::string behind = Ip(kBehindRelayPart, host);
@@ -160,11 +160,11 @@
       options_.directory);
 }
 
-void SoakWorld::WriteConfiguration() {
+void SoakRunner::WriteConfiguration() {
   json::array routes = {Route(kStreamPath, "stream", kDrafts),
                         Route(kOncePath, "unsafe", kPlain),
                         Route(kSafePath, "safe", kPlain)};
-  for (int i = 0; i < routes_; ++i) {
+  for (int i = 0; i < added_routes_; ++i) {
     routes.push_back(Route(fmt::format("/added{}/", i), "safe", kPlain));
   }
   json::array models;
@@ -177,7 +177,7 @@
   }
   const json::object engine{{"slots", 64},
                             {"kvCapacity", 100'000},
-                            {"mb", kModelMegabytes * kRoom},
+                            {"mb", kModelMegabytes * kMaxModels},
                             {"adapterSlots", 8},
                             {"loadsPerS", 4.0},
                             {"models", models}};
@@ -197,9 +197,9 @@
   Put("op/config", json::serialize(document));
 }
 
-void SoakWorld::Register(EngineVm& vm, bool draining) {
+void SoakRunner::Register(EngineVm& vm, bool draining) {
   json::array models;
-  for (const std::string& it : vm.engine->held()) {
+  for (const std::string& it : vm.engine->loaded_models()) {
     models.push_back(json::object{{"name", it}, {"version", 1}});
   }
   Put("servers/" + vm.engine->instance(),
@@ -210,35 +210,35 @@
                                    {"slots", vm.service == kPlain ? 6 : 64},
                                    {"state", draining ? "draining" : "ready"},
                                    {"coldLeftMs", 0},
-                                   {"seq", ++entries_written_},
+                                   {"seq", ++registration_seq_},
                                    {"models", models}}));
 }
 
-void SoakWorld::Put(const std::string& key, const std::string& value) {
+void SoakRunner::Put(const std::string& key, const std::string& value) {
   const auto current = store_.state.Get(key);
   store_.state.CompareAndSwap(key, current ? current->revision : 0, value, "");
 }
 
-void SoakWorld::Remove(const std::string& key) {
+void SoakRunner::Remove(const std::string& key) {
   const auto current = store_.state.Get(key);
   if (current) store_.state.DeleteIf(key, current->revision);
 }
 
-std::string SoakWorld::NextInstance() {
-  return fmt::format("i-{}", ++instances_);
+std::string SoakRunner::NextInstance() {
+  return fmt::format("i-{}", ++instance_count_);
 }
 
-SoakRecord SoakWorld::Play() {
-  core::Spawn(io_.get_executor(), log_, "direct", [this] { return Direct(); });
-  while (!over_) io_.run_one();
+SoakRecord SoakRunner::Run() {
+  core::Spawn(io_.get_executor(), log_, "direct", [this] { return RunPlan(); });
+  while (!finished_) io_.run_one();
   return record_;
 }
 
-core::Task<> SoakWorld::Direct() {
+core::Task<> SoakRunner::RunPlan() {
   co_await core::SleepFor(kWarmUp);
   const core::SteadyTime began = clock_.Now();
-  const core::SteadyTime end = began + plan_.length + kQuiet;
-  record_.quiet_from = began + plan_.length;
+  const core::SteadyTime end = began + plan_.duration + kFaultFreeTime;
+  record_.fault_free_from = began + plan_.duration;
   for (int i = 0; i < plan_.callers; ++i) {
     SoakCallerOptions caller;
     for (const auto& it : entries_) caller.entries.push_back(it->address);
@@ -246,7 +246,7 @@
     caller.seed = plan_.seed;
     caller.number = i;
     // A deadly request is a fault, so none is sent in the fault-free time.
-    if (i == 0) caller.deadly_until = record_.quiet_from;
+    if (i == 0) caller.deadly_until = record_.fault_free_from;
     if (plan_.organisations) caller.keys = &keys_;
     callers_.push_back(std::make_unique<SoakCaller>(caller, record_, clock_));
     SoakCaller* raw = callers_.back().get();
@@ -263,19 +263,19 @@
   const auto rest =
       std::chrono::duration_cast<milliseconds>(end + kWindDown - clock_.Now());
   co_await core::SleepFor(rest);
-  NoteEnds();
-  over_ = true;
+  RecordUnexpectedExits();
+  finished_ = true;
 }
 
-void SoakWorld::NoteEnds() {
+void SoakRunner::RecordUnexpectedExits() {
   for (const auto& it : entries_) {
     const bool ended = it->process->WaitForExit(milliseconds(0)).has_value();
-    if (ended) record_.ended_alone.push_back(it->vm);
+    if (ended) record_.unexpected_exits.push_back(it->vm);
   }
   for (const auto& it : engines_) {
-    if (!it->process || it->endpoint_lost) continue;
+    if (!it->process || it->endpoint_down) continue;
     const bool ended = it->process->WaitForExit(milliseconds(0)).has_value();
-    if (ended) record_.ended_alone.push_back(it->vm);
+    if (ended) record_.unexpected_exits.push_back(it->vm);
   }
 }
 
--- a/deploy/soak/soak_world_base.h
+++ b/deploy/soak/soak_world_base.h
@@ -38,12 +38,12 @@
  * of each entry. Single-threaded. Signals only processes that it has started,
  * by id.
  */
-class SoakWorld {
+class SoakRunner {
  public:
-  SoakWorld(SoakOptions options, SoakPlan plan);
+  SoakRunner(SoakOptions options, SoakPlan plan);
 
   /** Runs the plan to its end. */
-  SoakRecord Play();
+  SoakRecord Run();
 
  private:
   /** An engine, the relay in front of it, and its endpoint process. */
@@ -56,14 +56,14 @@
     /** The endpoint process; null if the engine has none. */
     std::unique_ptr<tests::Process> process;
     bool down = false;
-    bool endpoint_lost = false;
+    bool endpoint_down = false;
   };
   struct EntryVm {
     std::string vm;
     std::string address;
     std::unique_ptr<tests::Relay> store;
     std::unique_ptr<tests::Process> process;
-    bool leaving = false;
+    bool stopping = false;
   };
 
   [[nodiscard]] std::string Ip(int part, int number) const;
@@ -77,23 +77,23 @@
   void Remove(const std::string& key);
   std::string NextInstance();
 
-  core::Task<> Direct();
+  core::Task<> RunPlan();
   core::Task<> Inject(Fault fault);
   core::Task<> InjectEntry(Fault fault);
   core::Task<> InjectEngine(Fault fault);
   core::Task<> InjectEndpoint(Fault fault);
   core::Task<> InjectStore(Fault fault);
   core::Task<> CrashEngine(EngineVm& vm, milliseconds down);
-  core::Task<> DrainEngine(EngineVm& vm, milliseconds serves_on);
-  core::Task<> LeaveEngine(EngineVm& vm, milliseconds serves_on);
+  core::Task<> DrainEngine(EngineVm& vm, milliseconds serving_time);
+  core::Task<> DeregisterEngine(EngineVm& vm, milliseconds serving_time);
   core::Task<> ReplaceEngine(EngineVm& vm);
   core::Task<> CutStore(Fault fault);
   void RevokeKey(int organisation);
   core::Task<> StopEntry(int number);
-  core::Task<> ForgetSilent(std::string instance);
-  void DisturbEntry(int number, milliseconds length);
-  void DisturbAllEntries(milliseconds length);
-  void NoteEnds();
+  core::Task<> DeregisterAfterSilence(std::string instance);
+  void DisturbEntry(int number, milliseconds duration);
+  void DisturbAllEntries(milliseconds duration);
+  void RecordUnexpectedExits();
 
   const SoakOptions options_;
   const SoakSubnet subnet_;
@@ -108,11 +108,11 @@
   std::vector<std::unique_ptr<EntryVm>> entries_;
   std::vector<std::unique_ptr<SoakCaller>> callers_;
   std::int64_t version_ = 0;
-  int routes_ = 0;
+  int added_routes_ = 0;
   KeyGenerations keys_{};
-  int instances_ = 0;
-  int entries_written_ = 0;
-  bool over_ = false;
+  int instance_count_ = 0;
+  int registration_seq_ = 0;
+  bool finished_ = false;
 };
 
 }  // namespace sapphire::deploy::soak
