--- a/deploy/soak/sapphire_soak_main.cc
+++ b/deploy/soak/sapphire_soak_main.cc
@@ -6,9 +6,9 @@
 #include <filesystem>
 #include <string>
 
-#include "soak_judge_func.h"
+#include "soak_check_func.h"
 #include "soak_plan_func.h"
-#include "soak_world_base.h"
+#include "soak_runner_base.h"
 
 namespace sapphire::deploy::soak {
 
--- a/deploy/soak/soak_judge.cc
+++ b/deploy/soak/soak_check.cc
@@ -1,12 +1,12 @@
-/** @file soak_judge.cc Checks the record of a soak for violated
+/** @file soak_check.cc Checks the record of a soak for violated
  * guarantees. */
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <array>
 
+#include "soak_check_func.h"
 #include "soak_identity_func.h"
-#include "soak_judge_func.h"
 
 namespace sapphire::deploy::soak {
 
--- a/deploy/soak/soak_judge_func.h
+++ b/deploy/soak/soak_check_func.h
@@ -1,7 +1,7 @@
-/** @file soak_judge_func.h Checks the record of a soak for violated
+/** @file soak_check_func.h Checks the record of a soak for violated
  * guarantees. */
-#ifndef SAPPHIRE_DEPLOY_SOAK_SOAK_JUDGE_FUNC_H_
-#define SAPPHIRE_DEPLOY_SOAK_SOAK_JUDGE_FUNC_H_
+#ifndef SAPPHIRE_DEPLOY_SOAK_SOAK_CHECK_FUNC_H_
+#define SAPPHIRE_DEPLOY_SOAK_SOAK_CHECK_FUNC_H_
 
 #include <string>
 #include <vector>
@@ -29,4 +29,4 @@
 
 }  // namespace sapphire::deploy::soak
 
-#endif  // SAPPHIRE_DEPLOY_SOAK_SOAK_JUDGE_FUNC_H_
+#endif  // SAPPHIRE_DEPLOY_SOAK_SOAK_CHECK_FUNC_H_
--- a/deploy/soak/soak_faults.cc
+++ b/deploy/soak/soak_faults.cc
@@ -4,7 +4,7 @@
 #include <string>
 
 #include "core/task_func.h"
-#include "soak_world_base.h"
+#include "soak_runner_base.h"
 
 namespace sapphire::deploy::soak {
 
--- a/deploy/soak/soak_world.cc
+++ b/deploy/soak/soak_runner.cc
@@ -1,4 +1,4 @@
-/** @file soak_world.cc Runs a soak with the real programs on this
+/** @file soak_runner.cc Runs a soak with the real programs on this
  * machine. */
 #include <fmt/format.h>
 #include <unistd.h>
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "core/task_func.h"
-#include "soak_world_base.h"
+#include "soak_runner_base.h"
 
 namespace sapphire::deploy::soak {
 
--- a/deploy/soak/soak_world_base.h
+++ b/deploy/soak/soak_runner_base.h
@@ -1,7 +1,7 @@
-/** @file soak_world_base.h Runs a soak with the real programs on this
+/** @file soak_runner_base.h Runs a soak with the real programs on this
  * machine. */
-#ifndef SAPPHIRE_DEPLOY_SOAK_SOAK_WORLD_BASE_H_
-#define SAPPHIRE_DEPLOY_SOAK_SOAK_WORLD_BASE_H_
+#ifndef SAPPHIRE_DEPLOY_SOAK_SOAK_RUNNER_BASE_H_
+#define SAPPHIRE_DEPLOY_SOAK_SOAK_RUNNER_BASE_H_
 
 #include <boost/asio/io_context.hpp>
 #include <memory>
@@ -117,4 +117,4 @@
 
 }  // namespace sapphire::deploy::soak
 
-#endif  // SAPPHIRE_DEPLOY_SOAK_SOAK_WORLD_BASE_H_
+#endif  // SAPPHIRE_DEPLOY_SOAK_SOAK_RUNNER_BASE_H_
--- a/deploy/soak/soak_player_test.h
+++ b/deploy/soak/soak_runner_test.h
@@ -1,6 +1,6 @@
-/** @file soak_player_test.h Runs one seed of the soak in a test. */
-#ifndef SAPPHIRE_DEPLOY_SOAK_SOAK_PLAYER_TEST_H_
-#define SAPPHIRE_DEPLOY_SOAK_SOAK_PLAYER_TEST_H_
+/** @file soak_runner_test.h Runs one seed of the soak in a test. */
+#ifndef SAPPHIRE_DEPLOY_SOAK_SOAK_RUNNER_TEST_H_
+#define SAPPHIRE_DEPLOY_SOAK_SOAK_RUNNER_TEST_H_
 
 #include <unistd.h>
 
@@ -8,9 +8,9 @@
 #include <filesystem>
 #include <string>
 
-#include "soak_judge_func.h"
+#include "soak_check_func.h"
 #include "soak_plan_func.h"
-#include "soak_world_base.h"
+#include "soak_runner_base.h"
 
 namespace sapphire::deploy::soak::testing {
 
@@ -51,4 +51,4 @@
 
 }  // namespace sapphire::deploy::soak::testing
 
-#endif  // SAPPHIRE_DEPLOY_SOAK_SOAK_PLAYER_TEST_H_
+#endif  // SAPPHIRE_DEPLOY_SOAK_SOAK_RUNNER_TEST_H_
--- a/deploy/soak/soak_unattended_test.cc
+++ b/deploy/soak/soak_unattended_test.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 
-#include "soak_player_test.h"
+#include "soak_runner_test.h"
 
 namespace sapphire::deploy::soak {
 
