--- a/deploy/soak/soak_check.cc
+++ b/deploy/soak/soak_check.cc
@@ -84,8 +84,9 @@
     if (attempt.end == AttemptEnd::kRefused && runs > 0) {
       AddViolation("refused as not run, but it ran", attempt.id);
     }
-    if (attempt.corrupt)
+    if (attempt.corrupt) {
       AddViolation("incomplete or corrupt answer", attempt.id);
+    }
     if (attempt.end == AttemptEnd::kTimedOut && !EntryDisturbed(attempt)) {
       AddViolation("no answer in time", attempt.id);
     }
@@ -97,8 +98,9 @@
 
   void CheckCancelled(const Attempt& attempt, const Run& run) {
     const bool late = run.finished && run.ended > attempt.ended + kCancelLimit;
-    if (late)
+    if (late) {
       AddViolation("ran on after its caller had disconnected", attempt.id);
+    }
   }
 
   /** Checks that each engine has one holder at a time and that its fence never
--- a/deploy/soak/soak_plan.cc
+++ b/deploy/soak/soak_plan.cc
@@ -122,8 +122,9 @@
       fault.duration = draw.Between(kMinDuration, kMaxDuration);
       fault.target =
           draw.Below(TargetsEntry(kind) ? plan.entries : plan.engines);
-      if (fault.at + fault.duration < plan.duration)
+      if (fault.at + fault.duration < plan.duration) {
         plan.faults.push_back(fault);
+      }
       at += draw.Between(kMinGap, kMaxGap);
     }
   }
