--- a/deploy/soak/soak_engine_base.h
+++ b/deploy/soak/soak_engine_base.h
@@ -1,4 +1,4 @@
-/** @file soak_engine_base.h An engine of the platform, for soaks. */
+/** @file soak_engine_base.h Simulates an engine of the platform. */
 #ifndef SAPPHIRE_DEPLOY_SOAK_SOAK_ENGINE_BASE_H_
 #define SAPPHIRE_DEPLOY_SOAK_SOAK_ENGINE_BASE_H_
 
@@ -16,65 +16,69 @@
 
 namespace sapphire::deploy::soak {
 
-/** A request with this body crashes each engine that begins to run it. */
+/** Body of a request that crashes every engine that starts to run it. */
 inline constexpr std::string_view kDeadlyBody = "deadly";
 
 struct SoakEngineOptions {
   std::string listen;
   std::string instance;
-  /** Empty: a plain service. */
+  /** Initially loaded models; empty for an engine of a plain service. */
   std::set<std::string> models;
-  /** Checkpoints near; the same after each start. */
+  /** Models whose checkpoints are on the local disk; kept across restarts. */
   std::set<std::string> disk;
-  /** Models that fit. */
-  std::size_t room = 3;
+  /** Number of models that fit into memory. */
+  std::size_t max_models = 3;
 };
 
-/** Keeps the platform's protocol of engines; records what it runs. One thread.
- */
+/** Implements the platform's engine protocol and records the requests it runs.
+ * Single-threaded. */
 class SoakEngine {
  public:
   /** @pre All references outlive it. */
   SoakEngine(boost::asio::io_context& io, SoakEngineOptions options,
-             SoakRecord& record, std::function<void()> crashed,
+             SoakRecord& record, std::function<void()> on_crash,
              const core::Clock& clock, const core::Logger& log);
 
-  /** Comes up as another start, empty; checkpoints stay on its disk. */
+  /** Restarts as a new instance without loaded models; checkpoints stay on its
+   * disk. */
   void Restart(const std::string& instance);
-  /** What is in progress ends here. */
+  /** Aborts running requests and the current order, and drops loaded models. */
   void Crash();
 
   [[nodiscard]] const std::string& instance() const { return instance_; }
-  [[nodiscard]] const std::set<std::string>& held() const { return held_; }
+  [[nodiscard]] const std::set<std::string>& loaded_models() const {
+    return loaded_models_;
+  }
 
  private:
   core::Task<> Answer(const http::Request& request,
                       http::ResponseWriter& writer);
   core::Task<> AnswerOrder(const http::Request& request,
                            http::ResponseWriter& writer);
-  core::Task<> Load(std::string model, std::int64_t start);
-  core::Task<> Unload(std::string model, std::int64_t start);
+  core::Task<> Load(std::string model, std::int64_t crash_count);
+  core::Task<> Unload(std::string model, std::int64_t crash_count);
   core::Task<> RunStream(const http::Request& request,
                          http::ResponseWriter& writer);
   core::Task<> RunPlain(const http::Request& request,
                         http::ResponseWriter& writer);
   http::Response Report() const;
-  int TakeOrder(const boost::json::object& order);
-  http::Response NotRun(int status) const;
-  http::ResponseHead Mark(const std::string& id) const;
+  int AcceptOrder(const boost::json::object& order);
+  http::Response NotRunResponse(int status) const;
+  http::ResponseHead MakeResponseHead(const std::string& id) const;
   void Begin(const http::Request& request);
-  core::Task<> Pause(milliseconds time, std::int64_t start) const;
+  core::Task<> SleepUnlessCrashed(milliseconds time,
+                                  std::int64_t crash_count) const;
 
   const SoakEngineOptions options_;
   boost::asio::io_context& io_;
   SoakRecord& record_;
-  const std::function<void()> crashed_;
+  const std::function<void()> on_crash_;
   const core::Clock& clock_;
   const core::Logger& log_;
   std::string instance_;
-  /** Counts crashes: what an earlier start had in progress is over. */
-  std::int64_t start_ = 0;
-  std::set<std::string> held_;
+  /** Counts crashes; work that began under an earlier value is aborted. */
+  std::int64_t crash_count_ = 0;
+  std::set<std::string> loaded_models_;
   std::map<std::string, int> running_;
   bool order_in_progress_ = false;
   std::int64_t orders_ = 0;
--- a/deploy/soak/soak_world.cc
+++ b/deploy/soak/soak_runner.cc
@@ -1,4 +1,5 @@
-/** @file soak_world.cc Plays a soak with real programs on this machine. */
+/** @file soak_runner.cc Runs a soak with the real programs on this
+ * machine. */
 #include <fmt/format.h>
 #include <unistd.h>
 
@@ -8,7 +9,7 @@
 #include <utility>
 
 #include "core/task_func.h"
-#include "soak_world_base.h"
+#include "soak_runner_base.h"
 
 namespace sapphire::deploy::soak {
 
@@ -18,21 +19,22 @@
 
 constexpr int kPort = 8000;
 constexpr int kLinkPort = 7380;
-/** Parts of the addresses: 127.SUBNET.PART.NUMBER. */
+/** Third octets of the addresses 127.SUBNET.PART.NUMBER. */
 constexpr int kEnginePart = 1;
 constexpr int kBehindRelayPart = 2;
 constexpr int kEntryPart = 3;
 constexpr int kStoreRelayPart = 4;
 constexpr int kStorePart = 5;
-constexpr std::size_t kHistory = 100;
+constexpr std::size_t kStoreHistory = 100;
 constexpr int kModels = 8;
-constexpr std::size_t kRoom = 3;
+constexpr std::size_t kMaxModels = 3;
 constexpr int kModelMegabytes = 10'000;
-/** Traffic begins once programs know each other. */
+/** Time before traffic starts, for the programs to discover each other. */
 constexpr milliseconds kWarmUp{2500};
-/** Traffic without faults at the end; judged after it has settled. */
-constexpr milliseconds kQuiet{9000};
-/** Callers and engines end what they are at. */
+/** Duration of the traffic without faults at the end. The share of served
+ * attempts is checked once it has settled. */
+constexpr milliseconds kFaultFreeTime{9000};
+/** Time for callers and engines to finish their last requests. */
 constexpr milliseconds kWindDown{6500};
 
 const char* const kDrafts = "drafts";
@@ -57,14 +59,14 @@
 
 }  // namespace
 
-SoakWorld::SoakWorld(SoakOptions options, SoakPlan plan)
+SoakRunner::SoakRunner(SoakOptions options, SoakPlan plan)
     : options_(std::move(options)),
       subnet_(::getpid()),
       plan_(std::move(plan)),
       log_({"soak", core::VmId("soak"), core::ZoneId("z")},
            core::LogLevel::kError, clock_),
       store_(io_, clock_, log_, fmt::format("{}:{}", Ip(kStorePart, 1), kPort),
-             kHistory) {
+             kStoreHistory) {
   store_.watches_wait = true;
   for (int i = 0; i < kModels; ++i) models_.push_back(fmt::format("m{}", i));
   WriteConfiguration();
@@ -72,11 +74,11 @@
   for (int i = 0; i < plan_.entries; ++i) AddEntry(i);
 }
 
-std::string SoakWorld::Ip(int part, int number) const {
+std::string SoakRunner::Ip(int part, int number) const {
   return subnet_.Ip(part, number);
 }
 
-void SoakWorld::AddEngine(int number) {
+void SoakRunner::AddEngine(int number) {
   auto vm = std::make_unique<EngineVm>();
   const bool plain = number >= plan_.engines;
   vm->vm = fmt::format("engine-{}", number);
@@ -85,7 +87,7 @@
   SoakEngineOptions engine;
   engine.listen = fmt::format("{}:{}", Ip(kBehindRelayPart, number + 1), kPort);
   engine.instance = NextInstance();
-  engine.room = kRoom;
+  engine.max_models = kMaxModels;
   if (!plain) {
     engine.disk.insert(models_.begin(), models_.end());
     for (int i = 0; i < 2; ++i) {
@@ -103,12 +105,12 @@
       },
       clock_, log_);
   vm->relay = std::make_unique<tests::Relay>(io_, engine.listen, vm->address);
-  if (!plain && number >= plan_.unattended) StartEndpoint(*vm);
+  if (!plain && number >= plan_.engines_without_endpoint) StartEndpoint(*vm);
   Register(*vm, false);
   engines_.push_back(std::move(vm));
 }
 
-void SoakWorld::AddEntry(int number) {
+void SoakRunner::AddEntry(int number) {
   auto entry = std::make_unique<EntryVm>();
   entry->vm = fmt::format("entry-{}", number);
   entry->address = fmt::format("{}:{}", Ip(kEntryPart, number + 1), kPort);
@@ -119,7 +121,7 @@
   entries_.push_back(std::move(entry));
 }
 
-void SoakWorld::StartEntry(EntryVm& entry) {
+void SoakRunner::StartEntry(EntryVm& entry) {
   const std::string ip = entry.address.substr(0, entry.address.rfind(':'));
   const std::string path =
       fmt::format("{}/{}.toml", options_.directory, entry.vm);
@@ -140,7 +142,7 @@
       options_.directory);
 }
 
-void SoakWorld::StartEndpoint(EngineVm& vm) {
+void SoakRunner::StartEndpoint(EngineVm& vm) {
   const std::string ip = vm.address.substr(0, vm.address.rfind(':'));
   const int host = std::stoi(ip.substr(ip.rfind('.') + 1));
   const std::string behind = Ip(kBehindRelayPart, host);
@@ -158,11 +160,11 @@
       options_.directory);
 }
 
-void SoakWorld::WriteConfiguration() {
+void SoakRunner::WriteConfiguration() {
   json::array routes = {Route(kStreamPath, "stream", kDrafts),
                         Route(kOncePath, "unsafe", kPlain),
                         Route(kSafePath, "safe", kPlain)};
-  for (int i = 0; i < routes_; ++i) {
+  for (int i = 0; i < added_routes_; ++i) {
     routes.push_back(Route(fmt::format("/added{}/", i), "safe", kPlain));
   }
   json::array models;
@@ -175,7 +177,7 @@
   }
   const json::object engine{{"slots", 64},
                             {"kvCapacity", 100'000},
-                            {"mb", kModelMegabytes * kRoom},
+                            {"mb", kModelMegabytes * kMaxModels},
                             {"adapterSlots", 8},
                             {"loadsPerS", 4.0},
                             {"models", models}};
@@ -195,9 +197,9 @@
   Put("op/config", json::serialize(document));
 }
 
-void SoakWorld::Register(EngineVm& vm, bool draining) {
+void SoakRunner::Register(EngineVm& vm, bool draining) {
   json::array models;
-  for (const std::string& it : vm.engine->held()) {
+  for (const std::string& it : vm.engine->loaded_models()) {
     models.push_back(json::object{{"name", it}, {"version", 1}});
   }
   Put("servers/" + vm.engine->instance(),
@@ -208,43 +210,43 @@
                                    {"slots", vm.service == kPlain ? 6 : 64},
                                    {"state", draining ? "draining" : "ready"},
                                    {"coldLeftMs", 0},
-                                   {"seq", ++entries_written_},
+                                   {"seq", ++registration_seq_},
                                    {"models", models}}));
 }
 
-void SoakWorld::Put(const std::string& key, const std::string& value) {
+void SoakRunner::Put(const std::string& key, const std::string& value) {
   const auto current = store_.state.Get(key);
   store_.state.CompareAndSwap(key, current ? current->revision : 0, value, "");
 }
 
-void SoakWorld::Remove(const std::string& key) {
+void SoakRunner::Remove(const std::string& key) {
   const auto current = store_.state.Get(key);
   if (current) store_.state.DeleteIf(key, current->revision);
 }
 
-std::string SoakWorld::NextInstance() {
-  return fmt::format("i-{}", ++instances_);
+std::string SoakRunner::NextInstance() {
+  return fmt::format("i-{}", ++instance_count_);
 }
 
-SoakRecord SoakWorld::Play() {
-  core::Spawn(io_.get_executor(), log_, "direct", [this] { return Direct(); });
-  while (!over_) io_.run_one();
+SoakRecord SoakRunner::Run() {
+  core::Spawn(io_.get_executor(), log_, "direct", [this] { return RunPlan(); });
+  while (!finished_) io_.run_one();
   return record_;
 }
 
-core::Task<> SoakWorld::Direct() {
+core::Task<> SoakRunner::RunPlan() {
   co_await core::SleepFor(kWarmUp);
   const core::SteadyTime began = clock_.Now();
-  const core::SteadyTime end = began + plan_.length + kQuiet;
-  record_.quiet_from = began + plan_.length;
+  const core::SteadyTime end = began + plan_.duration + kFaultFreeTime;
+  record_.fault_free_from = began + plan_.duration;
   for (int i = 0; i < plan_.callers; ++i) {
     SoakCallerOptions caller;
     for (const auto& it : entries_) caller.entries.push_back(it->address);
     caller.models = models_;
     caller.seed = plan_.seed;
     caller.number = i;
-    // A crash by it is a fault: none in the quiet time.
-    if (i == 0) caller.deadly_until = record_.quiet_from;
+    // A deadly request is a fault, so none is sent in the fault-free time.
+    if (i == 0) caller.deadly_until = record_.fault_free_from;
     if (plan_.organisations) caller.keys = &keys_;
     callers_.push_back(std::make_unique<SoakCaller>(caller, record_, clock_));
     SoakCaller* raw = callers_.back().get();
@@ -261,19 +263,19 @@
   const auto rest =
       std::chrono::duration_cast<milliseconds>(end + kWindDown - clock_.Now());
   co_await core::SleepFor(rest);
-  NoteEnds();
-  over_ = true;
+  RecordUnexpectedExits();
+  finished_ = true;
 }
 
-void SoakWorld::NoteEnds() {
+void SoakRunner::RecordUnexpectedExits() {
   for (const auto& it : entries_) {
     const bool ended = it->process->WaitForExit(milliseconds(0)).has_value();
-    if (ended) record_.ended_alone.push_back(it->vm);
+    if (ended) record_.unexpected_exits.push_back(it->vm);
   }
   for (const auto& it : engines_) {
-    if (!it->process || it->endpoint_lost) continue;
+    if (!it->process || it->endpoint_down) continue;
     const bool ended = it->process->WaitForExit(milliseconds(0)).has_value();
-    if (ended) record_.ended_alone.push_back(it->vm);
+    if (ended) record_.unexpected_exits.push_back(it->vm);
   }
 }
 
--- a/deploy/soak/soak_world_base.h
+++ b/deploy/soak/soak_runner_base.h
@@ -1,6 +1,7 @@
-/** @file soak_world_base.h Plays a soak with real programs on this machine. */
-#ifndef SAPPHIRE_DEPLOY_SOAK_SOAK_WORLD_BASE_H_
-#define SAPPHIRE_DEPLOY_SOAK_SOAK_WORLD_BASE_H_
+/** @file soak_runner_base.h Runs a soak with the real programs on this
+ * machine. */
+#ifndef SAPPHIRE_DEPLOY_SOAK_SOAK_RUNNER_BASE_H_
+#define SAPPHIRE_DEPLOY_SOAK_SOAK_RUNNER_BASE_H_
 
 #include <boost/asio/io_context.hpp>
 #include <memory>
@@ -21,46 +22,48 @@
 namespace sapphire::deploy::soak {
 
 struct SoakOptions {
-  /** Where the programs are. */
+  /** Directory of the programs. */
   std::string bin_dir;
-  /** Exists; gets settings and logs. */
+  /** Existing directory for settings and logs. */
   std::string directory;
-  /** What entries are told of how fresh their beliefs have to be. */
+  /** The entries' fresh_within_ms setting: how recent their view of the store
+   * has to be. */
   milliseconds fresh_within{3000};
 };
 
 /**
- * Starts entries and endpoint processes, plays the store, the engines and the
- * callers itself, and injects the plan's faults from outside: signals, and
- * relays before engines and before each entry's store. One thread. Ends only
- * what it has started, by id.
+ * Starts entries and endpoint processes, simulates the store, the engines and
+ * the callers in this process, and injects the plan's faults from outside:
+ * signals to the processes, and relays in front of the engines and of the store
+ * of each entry. Single-threaded. Signals only processes that it has started,
+ * by id.
  */
-class SoakWorld {
+class SoakRunner {
  public:
-  SoakWorld(SoakOptions options, SoakPlan plan);
+  SoakRunner(SoakOptions options, SoakPlan plan);
 
-  /** Plays the plan to its end. */
-  SoakRecord Play();
+  /** Runs the plan to its end. */
+  SoakRecord Run();
 
  private:
-  /** An engine, the relay before it, and the process beside it. */
+  /** An engine, the relay in front of it, and its endpoint process. */
   struct EngineVm {
     std::string vm;
     std::string service;
     std::string address;
     std::unique_ptr<SoakEngine> engine;
     std::unique_ptr<tests::Relay> relay;
-    /** Null: it has none. */
+    /** The endpoint process; null if the engine has none. */
     std::unique_ptr<tests::Process> process;
     bool down = false;
-    bool endpoint_lost = false;
+    bool endpoint_down = false;
   };
   struct EntryVm {
     std::string vm;
     std::string address;
     std::unique_ptr<tests::Relay> store;
     std::unique_ptr<tests::Process> process;
-    bool leaving = false;
+    bool stopping = false;
   };
 
   [[nodiscard]] std::string Ip(int part, int number) const;
@@ -74,23 +77,23 @@
   void Remove(const std::string& key);
   std::string NextInstance();
 
-  core::Task<> Direct();
+  core::Task<> RunPlan();
   core::Task<> Inject(Fault fault);
   core::Task<> InjectEntry(Fault fault);
   core::Task<> InjectEngine(Fault fault);
   core::Task<> InjectEndpoint(Fault fault);
   core::Task<> InjectStore(Fault fault);
   core::Task<> CrashEngine(EngineVm& vm, milliseconds down);
-  core::Task<> DrainEngine(EngineVm& vm, milliseconds serves_on);
-  core::Task<> LeaveEngine(EngineVm& vm, milliseconds serves_on);
+  core::Task<> DrainEngine(EngineVm& vm, milliseconds serving_time);
+  core::Task<> DeregisterEngine(EngineVm& vm, milliseconds serving_time);
   core::Task<> ReplaceEngine(EngineVm& vm);
   core::Task<> CutStore(Fault fault);
   void RevokeKey(int organisation);
   core::Task<> StopEntry(int number);
-  core::Task<> ForgetSilent(std::string instance);
-  void DisturbEntry(int number, milliseconds length);
-  void DisturbAllEntries(milliseconds length);
-  void NoteEnds();
+  core::Task<> DeregisterAfterSilence(std::string instance);
+  void DisturbEntry(int number, milliseconds duration);
+  void DisturbAllEntries(milliseconds duration);
+  void RecordUnexpectedExits();
 
   const SoakOptions options_;
   const SoakSubnet subnet_;
@@ -105,13 +108,13 @@
   std::vector<std::unique_ptr<EntryVm>> entries_;
   std::vector<std::unique_ptr<SoakCaller>> callers_;
   std::int64_t version_ = 0;
-  int routes_ = 0;
+  int added_routes_ = 0;
   KeyGenerations keys_{};
-  int instances_ = 0;
-  int entries_written_ = 0;
-  bool over_ = false;
+  int instance_count_ = 0;
+  int registration_seq_ = 0;
+  bool finished_ = false;
 };
 
 }  // namespace sapphire::deploy::soak
 
-#endif  // SAPPHIRE_DEPLOY_SOAK_SOAK_WORLD_BASE_H_
+#endif  // SAPPHIRE_DEPLOY_SOAK_SOAK_RUNNER_BASE_H_
--- a/deploy/soak/soak_unattended_test.cc
+++ b/deploy/soak/soak_unattended_test.cc
@@ -1,22 +1,22 @@
-/** @file soak_unattended_test.cc Engines without a process beside them. */
+/** @file soak_unattended_test.cc Tests engines without an endpoint. */
 #define BOOST_TEST_MODULE soak_unattended
 #include <algorithm>
 #include <boost/test/unit_test.hpp>
 
-#include "soak_player_test.h"
+#include "soak_runner_test.h"
 
 namespace sapphire::deploy::soak {
 
-/** Guards against models that are refused at engines which no process orders,
- * and against orders of two entries. */
-BOOST_AUTO_TEST_CASE(EntriesOrderEnginesWithoutAProcessBesideThem) {
+/** Guards against refusals for models at engines without an endpoint process,
+ * and against orders of two entries to one engine. */
+BOOST_AUTO_TEST_CASE(EntriesSendOrdersToEnginesWithoutAnEndpoint) {
   SoakPlan plan;
   plan.seed = 801;
-  plan.unattended = 3;
-  const SoakRecord record = testing::PlayPlan(plan);
+  plan.engines_without_endpoint = 3;
+  const SoakRecord record = testing::RunPlan(plan);
   const bool ordered = std::ranges::any_of(
       record.orders,
-      [](const SeenOrder& it) { return it.holder.starts_with("entry-"); });
+      [](const ReceivedOrder& it) { return it.holder.starts_with("entry-"); });
   BOOST_TEST(ordered);
 }
 
