--- a/standin/engine_stand_in.cc
+++ b/standin/engine_stand_in.cc
@@ -24,7 +24,7 @@
 constexpr int kConflict = 409;
 constexpr int kBadGateway = 502;
 constexpr int kInsufficientStorage = 507;
-/** Longer than any transfer, also from a slow store. */
+/** Exceeds the time of any transfer, even from a slow store. */
 constexpr milliseconds kTransferTimeout{600'000};
 
 constexpr std::array kFaults = {
@@ -46,13 +46,13 @@
       static_cast<double>(time.count()) * factor));
 }
 
-/** @return The name a checkpoint is cached by. */
+/** @return The cache key of the order's checkpoint. */
 std::string CheckpointOf(const EngineOrder& order) {
   if (order.kind == OrderKind::kLoadModel) return order.model.value();
   return order.model.value() + ":" + order.adapter.value();
 }
 
-/** How far a transfer that runs beside its order has come. */
+/** State of a transfer that runs in its own coroutine, beside its order. */
 enum class TransferState { kRunning, kDone, kFailed };
 
 using SharedTransferState = std::shared_ptr<std::atomic<TransferState>>;
@@ -80,7 +80,7 @@
 
 }  // namespace
 
-/** One admitted request; unless told otherwise it ends as cancelled. */
+/** One admitted request; it ends as cancelled unless Finish was called. */
 class EngineStandIn::RunningRequest {
  public:
   RunningRequest(EngineStandIn& engine, std::int64_t ticket)
@@ -92,9 +92,9 @@
   RunningRequest(const RunningRequest&) = delete;
   RunningRequest& operator=(const RunningRequest&) = delete;
 
-  /** Works for `duration` after the last piece of work.
+  /** Waits until `duration` after the end of the previous piece of work.
    * @throws http::ConnectionCut if the engine crashes, is down or unloads the
-   *   model, or the caller has gone. */
+   *   model, or the caller has disconnected. */
   core::Task<> Work(nanoseconds duration, http::ResponseWriter& writer) {
     due_ += duration;
     while (true) {
@@ -211,7 +211,8 @@
   }
   const std::string target = "/weights/" + http::UrlEncode(checkpoint) +
                              "?bytes=" + std::to_string(bytes);
-  // Beside the order, so that a crash cuts the order's connection at once.
+  // Runs in its own coroutine, so that a crash cuts the order's connection at
+  // once.
   const auto state =
       std::make_shared<std::atomic<TransferState>>(TransferState::kRunning);
   core::Spawn(context_.executor, context_.log, "weights",
@@ -267,8 +268,7 @@
   run.Finish();
 }
 
-/** A request whose KV cache doesn't fit the model's budget waits for others to
- * end. */
+/** Waits until the request's KV cache fits the model's budget. */
 core::Task<Admission> EngineStandIn::WaitForRoom(const GenerateCall& call,
                                                  http::ResponseWriter& writer) {
   while (true) {
--- a/standin/engine_stand_in_base.h
+++ b/standin/engine_stand_in_base.h
@@ -14,10 +14,11 @@
 namespace sapphire::standin {
 
 /**
- * Faults: `crash_on` (a request whose body contains this crashes the engine),
- * `crash_now`, `slow_factor` (local loads, prefill and steps take so many times
- * as long), `load_fail` (so many loads fail at their end), `lose_order_answers`
- * (so many orders are carried out, unanswered).
+ * Simulates a model engine. Faults: `crash_on` (a request whose body contains
+ * this text crashes the engine), `crash_now`, `slow_factor` (multiplies the
+ * time of local loads, prefill and steps), `load_fail` (this many loads fail at
+ * their end), `lose_order_answers` (this many orders are carried out, but not
+ * answered).
  */
 class EngineStandIn final : public StandIn {
  public:
@@ -56,7 +57,8 @@
 
   const EngineOptions options_;
   EngineState state_;
-  /** Crashes, unloads and switches: whoever waits looks whether it is meant. */
+  /** Wakes waiting coroutines after a crash, an unload or a fault change; each
+   * checks whether it is affected. */
   core::Signal disrupted_;
   std::unique_ptr<http::Client> weights_;
 };
--- a/standin/engine_stand_in_test.cc
+++ b/standin/engine_stand_in_test.cc
@@ -1,5 +1,5 @@
-/** @file engine_stand_in_test.cc The engine's orders, requests and faults, seen
- * through our client. */
+/** @file engine_stand_in_test.cc Tests orders, requests and faults of the
+ * engine stand-in through the engine client. */
 #define BOOST_TEST_MODULE engine_stand_in
 #include <boost/json.hpp>
 #include <boost/test/unit_test.hpp>
@@ -81,7 +81,7 @@
     return json::parse(response.body).as_object();
   }
 
-  /** @return The outcome in the record of the first request. */
+  /** @return The recorded outcome of the first request. */
   std::string FirstOutcome() {
     const json::object record = Record();
     const auto& run = record.at("requests").as_array().at(0).as_object();
@@ -104,7 +104,7 @@
   co_return whole;
 }
 
-/** @return The text of all events of a stream. */
+/** @return The concatenated text of all events of a stream. */
 std::string TextOfEvents(std::string_view events) {
   constexpr std::string_view kMark = "data: ";
   std::string text;
@@ -155,9 +155,9 @@
       "p w#0 w#1");
 }
 
-// A process is paused with an order in hand, another takes over and gives newer
-// orders; then the first wakes and sends its old one. An engine that checks the
-// fence turns it down, one that doesn't loads a replica too many.
+// A process is paused before it sends an order, and another takes over and
+// sends newer ones; then the first resumes and sends the old order. An engine
+// that checks the fence refuses it; one that doesn't loads a replica too many.
 BOOST_AUTO_TEST_CASE(OldFenceIsRefusedOnlyIfFencingIsHonoured) {
   Engine strict;
   BOOST_TEST(!strict.Give(OrderKind::kLoadModel, "m", 5).has_value());
@@ -192,9 +192,8 @@
   BOOST_TEST(refusing.Record().at("overcommits").as_array().empty());
 }
 
-// A marked request reaches an engine that also runs others. The engine dies:
-// all of them see their answers cut, and it comes back empty under a new
-// incarnation.
+// A request that matches `crash_on` crashes an engine that also runs others:
+// all connections are cut, and the engine is empty under a new incarnation.
 BOOST_FIXTURE_TEST_CASE(MarkedRequestCrashesTheEngine, Engine) {
   Give(OrderKind::kLoadModel, "m", 1);
   const auto before = runner.Run(engine->Status()).incarnation;
@@ -241,9 +240,8 @@
              runs.at(0).at("ended").as_int64());
 }
 
-// An unload is given while a request runs. The engine obeys and the caller's
-// answer is cut: the record shows it, so that a stop that isn't graceful can be
-// found.
+// An unload during a running request cuts the caller's answer. The record shows
+// it, so that tests can detect a stop that isn't graceful.
 BOOST_FIXTURE_TEST_CASE(UnloadCutsRunningRequests, Engine) {
   Give(OrderKind::kLoadModel, "m", 1);
   const auto stream =
@@ -277,7 +275,7 @@
   weights.stand_in().faults().SetJson(R"({"down":true})");
   BOOST_TEST((engine.Give(OrderKind::kLoadModel, "farther", 1) ==
               ErrorCode::kLoadFailed));
-  // By now it is cached here, and the weight store isn't needed.
+  // The checkpoint is cached locally now; the weight store isn't needed.
   BOOST_TEST(!engine.Give(OrderKind::kUnloadModel, "far", 1).has_value());
   BOOST_TEST(!engine.Give(OrderKind::kLoadModel, "far", 1).has_value());
 }
--- a/standin/engine_state.cc
+++ b/standin/engine_state.cc
@@ -1,4 +1,4 @@
-/** @file engine_state.cc What the model engine's stand-in holds. */
+/** @file engine_state.cc State of the model engine's stand-in. */
 #include <algorithm>
 #include <utility>
 
@@ -16,7 +16,7 @@
 
 namespace {
 
-/** A generated token takes the cache of so many characters. */
+/** A generated token takes as much KV cache as this many characters. */
 constexpr std::int64_t kCharsPerToken = 4;
 
 bool IsLoad(OrderKind kind) {
@@ -30,7 +30,7 @@
   return ids;
 }
 
-/** @return What an order adds to the memory in use. */
+/** @return How many bytes an order adds to the memory in use. */
 std::int64_t AddedBytes(const EngineOrder& order) {
   return IsLoad(order.kind) ? order.bytes + order.kv_budget_bytes : 0;
 }
@@ -144,8 +144,8 @@
   const std::int64_t kv_bytes = KvBytesOf(call);
   const std::int64_t budget = held->model.kv_budget_bytes;
   const bool fits = held->running_kv_bytes + kv_bytes <= budget;
-  // A model without a budget has no limit of its own; a request that is larger
-  // than the whole budget runs alone.
+  // A model without a budget has no limit; a request that is larger than the
+  // whole budget runs alone.
   if (budget > 0 && !fits && held->model.running > 0) {
     return {.verdict = AdmissionVerdict::kNoRoom};
   }
@@ -243,7 +243,7 @@
   return verdict;
 }
 
-/** A model that is held in another version has to be unloaded first. */
+/** Another version of a loaded model must be unloaded first. */
 OrderVerdict EngineState::JudgeLoad(const EngineOrder& order) const {
   const auto it = held_.find(order.model.value());
   if (it == held_.end()) return OrderVerdict::kCarryOut;
@@ -270,7 +270,7 @@
   return has == is_load ? OrderVerdict::kNothingToDo : OrderVerdict::kCarryOut;
 }
 
-/** Memory is taken from the start of a load to the end of an unload. */
+/** Memory counts as used from the start of a load to the end of an unload. */
 void EngineState::Apply(const EngineOrder& order) {
   switch (order.kind) {
     case OrderKind::kLoadModel:
@@ -314,7 +314,7 @@
   NoteMemory("load of adapter " + order.adapter.value());
 }
 
-/** An engine that is told to unload doesn't wait for running requests. */
+/** The engine doesn't wait for running requests before it unloads. */
 void EngineState::BeginUnload(const std::string& model) {
   held_.at(model).model.state = EngineModelState::kUnloading;
   StopAll(model, RunOutcome::kUnloaded);
@@ -389,7 +389,8 @@
   record_.overcommits.push_back({WallMillis(clock_), used, cause});
 }
 
-/** A model's cache counts as its whole budget, or as what it has beyond. */
+/** A model's KV cache counts as its whole budget, or as its size if that is
+ * larger. */
 std::int64_t EngineState::UsedBytes() const {
   std::int64_t used = 0;
   for (const auto& [name, held] : held_) {
--- a/standin/engine_state_base.h
+++ b/standin/engine_state_base.h
@@ -1,4 +1,4 @@
-/** @file engine_state_base.h What the model engine's stand-in holds. */
+/** @file engine_state_base.h State of the model engine's stand-in. */
 #ifndef SAPPHIRE_STANDIN_ENGINE_STATE_BASE_H_
 #define SAPPHIRE_STANDIN_ENGINE_STATE_BASE_H_
 
@@ -16,20 +16,20 @@
 
 namespace sapphire::standin {
 
-/** Whether an order is carried out. */
+/** Whether an order is carried out, and why not. */
 enum class OrderVerdict {
   kCarryOut,
-  kNothingToDo,  ///< What it asks for is so already.
+  kNothingToDo,  ///< The state it asks for is already reached.
   kStaleFence,
   kBusy,
-  kNotReady,  ///< An adapter's model isn't ready.
+  kNotReady,  ///< The adapter's model isn't ready.
   kNoMemory,
 };
 
-/** How an order began. */
+/** Result of EngineState::BeginOrder. */
 struct OrderStart {
   OrderVerdict verdict = OrderVerdict::kCarryOut;
-  /** Of the engine that judged it. */
+  /** Incarnation of the engine that decided. */
   std::int64_t incarnation = 0;
 };
 
@@ -38,19 +38,19 @@
 
 enum class AdmissionVerdict { kAdmitted, kNotReady, kNoRoom };
 
-/** What a request is told when it asks to run. */
+/** Result of EngineState::Admit. */
 struct Admission {
   AdmissionVerdict verdict = AdmissionVerdict::kNotReady;
-  /** Names the running request. */
+  /** Identifies the running request. */
   std::int64_t ticket = 0;
-  /** Leading characters of its prompt that needn't be prefilled. */
+  /** Leading characters of the prompt that needn't be prefilled. */
   std::size_t cached_chars = 0;
 };
 
 /**
  * The models, adapters, KV cache and running requests of one engine, and the
- * record of them. Memory is counted here, not by who gives orders: an order
- * that takes too much is recorded as an overcommit. Safe on many threads.
+ * record of them. Counts the memory in use independently of the sender of the
+ * orders: an order that exceeds it is recorded as an overcommit. Thread-safe.
  */
 class EngineState {
  public:
@@ -61,11 +61,12 @@
   [[nodiscard]] external::EngineStatus Status() const;
   [[nodiscard]] EngineRecord Record() const;
 
-  /** Judges an order; one to be carried out is in progress until EndOrder. */
+  /** Decides on an order; an accepted one is in progress until EndOrder. */
   OrderStart BeginOrder(const external::EngineOrder& order);
 
   /** Ends an order in progress.
-   * @param incarnation Of its beginning: a crash in between voids it. */
+   * @param incarnation From BeginOrder; does nothing if the engine has crashed
+   *   since. */
   void EndOrder(const external::EngineOrder& order, std::int64_t incarnation,
                 bool carried_out);
 
@@ -73,34 +74,34 @@
   /** Caches a checkpoint in memory and on disk. */
   void CacheCheckpoint(const std::string& checkpoint);
 
-  /** Begins to run a request if its model is ready and has room for it. */
+  /** Starts a request if its model is ready and its KV budget has room. */
   Admission Admit(const GenerateCall& call);
   /** @return False once a crash or an unload has ended the request. */
   [[nodiscard]] bool IsRunning(std::int64_t ticket) const;
-  /** Ends a request; nothing if it has ended. */
+  /** Ends a request; does nothing if it has already ended. */
   void EndRequest(std::int64_t ticket, RunOutcome outcome);
   [[nodiscard]] int running() const;
 
-  /** Loses everything but the checkpoints on disk: also the largest fence. */
+  /** Drops everything but the checkpoints on disk; the largest fence too. */
   void Crash();
 
  private:
   struct Held {
     external::EngineModel model;
-    std::size_t stay = 0;  ///< Its place among the record's replicas.
+    std::size_t stay = 0;  ///< Index in the record's replicas.
     std::int64_t running_kv_bytes = 0;
     PrefixCache prefixes;
-    /** Those of its adapters that can't be used yet. */
+    /** Adapters that are still loading and can't be used yet. */
     std::set<std::string> loading_adapters;
   };
   struct Running {
     std::string model;
     std::string prompt;
     std::int64_t kv_bytes = 0;
-    std::size_t run = 0;  ///< Its place among the record's requests.
+    std::size_t run = 0;  ///< Index in the record's requests.
   };
 
-  // All of these are called with the lock held.
+  // The functions below are called with the lock held.
   OrderVerdict Judge(const external::EngineOrder& order) const;
   OrderVerdict JudgeLoad(const external::EngineOrder& order) const;
   OrderVerdict JudgeUnload(const external::EngineOrder& order) const;
--- a/standin/engine_type.h
+++ b/standin/engine_type.h
@@ -11,10 +11,11 @@
 
 struct EngineOptions {
   std::int64_t memory_bytes = 0;
-  /** Refuse an order with a smaller fence than one seen, and a second order
-   * while one is in progress. */
+  /** Refuses orders with a smaller fence than the largest seen, and a second
+   * order while one is in progress. */
   bool honours_fencing = true;
-  /** Refuse an order that doesn't fit, in place of recording an overcommit. */
+  /** Refuses an order that exceeds the memory, instead of recording an
+   * overcommit. */
   bool refuses_overcommit = false;
   /** "ip:port" of the weight store; empty: remote loads have a fixed speed. */
   std::string weights_address;
@@ -25,15 +26,15 @@
   std::vector<std::string> memory_tier;
   std::vector<std::string> disk_tier;
   std::chrono::milliseconds unload_time{20};
-  /** One step of all running requests. */
+  /** Duration of one decoding step of all running requests. */
   std::chrono::milliseconds token_time{5};
-  /** How much longer a step gets with each further running request. */
+  /** Relative increase of a step's duration per further running request. */
   double batch_slowdown = 0.01;
   std::chrono::microseconds prefill_time_per_char{20};
   std::int64_t kv_bytes_per_char = 1024;
 };
 
-/** One generating request as a caller asked for it. */
+/** One completion or chat completion request. */
 struct GenerateCall {
   std::string request_id;
   std::string model;
@@ -50,10 +51,10 @@
   kDone,
   kCancelled,  ///< Its connection was closed.
   kCrashed,
-  kUnloaded,  ///< Its model was unloaded under it.
+  kUnloaded,  ///< Its model was unloaded while it ran.
 };
 
-/** The record of one request that began to run. */
+/** Record of one request that started. */
 struct RequestRun {
   std::string request_id;
   std::string model;
@@ -62,10 +63,10 @@
   RunOutcome outcome = RunOutcome::kRunning;
 };
 
-/** How a replica's stay in memory ended. */
+/** How a replica left the memory; kHeld while it is loaded. */
 enum class ReplicaEnd { kHeld, kUnloaded, kLoadFailed, kCrashed };
 
-/** The record of one replica, from the start of its load. */
+/** Record of one replica, from the start of its load. */
 struct ReplicaStay {
   std::string model;
   std::string version;
@@ -76,14 +77,14 @@
   ReplicaEnd end = ReplicaEnd::kHeld;
 };
 
-/** The record of an order or request that took more than the memory. */
+/** Record of an order or request that exceeded the memory. */
 struct Overcommit {
   std::int64_t at_ms = 0;
   std::int64_t used_bytes = 0;
   std::string cause;
 };
 
-/** The record of an order that was turned down. */
+/** Record of an order that was refused. */
 struct RefusedOrder {
   std::int64_t at_ms = 0;
   std::string model;
@@ -91,7 +92,7 @@
   std::string error;
 };
 
-/** Everything the engine saw itself. */
+/** Everything that the engine recorded. */
 struct EngineRecord {
   std::vector<RequestRun> requests;
   std::vector<ReplicaStay> replicas;
--- a/standin/engine_wire.cc
+++ b/standin/engine_wire.cc
@@ -1,4 +1,4 @@
-/** @file engine_wire.cc The model engine's wire and records as JSON. */
+/** @file engine_wire.cc JSON encoding of the model engine's API and records. */
 #include <algorithm>
 #include <array>
 #include <boost/json.hpp>
@@ -25,7 +25,7 @@
 constexpr int kMostTokens = 100'000;
 constexpr std::string_view kChatPath = "/v1/chat/completions";
 
-/** Wire names, in the order of their enumerations. */
+/** Wire names, in the order of the enumerators. */
 constexpr std::array<std::string_view, 3> kStateNames = {"loading", "ready",
                                                          "unloading"};
 constexpr std::array<std::string_view, 5> kOutcomeNames = {
@@ -46,7 +46,7 @@
   FailField("kind", "unknown value " + name);
 }
 
-/** @return The messages' contents, one a line. */
+/** @return The messages' contents, joined by newlines. */
 std::string PromptOfChat(const json::object& body) {
   std::string prompt;
   for (const json::value& it : external::ArrayAt(body, "messages")) {
@@ -133,13 +133,13 @@
   return array;
 }
 
-/** How many replicas of a model are held, and were held at once. */
+/** Number of replicas of a model that are loaded now, and its peak. */
 struct ReplicaCount {
   int current = 0;
   int peak = 0;
 };
 
-/** @return True if `held` was there when `began` came. */
+/** @return True if `held` was in memory when the load of `began` started. */
 bool HeldWhenBegan(const ReplicaStay& held, const ReplicaStay& began) {
   const bool came_before = held.load_began_ms <= began.load_began_ms;
   const bool went_after =
@@ -184,7 +184,7 @@
   return answer;
 }
 
-/** @return An answer whose one choice is filled by the caller. */
+/** @return The answer with this single choice added. */
 json::object WithChoice(json::object answer, json::object choice,
                         json::value finish_reason) {
   choice["index"] = 0;
--- a/standin/engine_wire_func.h
+++ b/standin/engine_wire_func.h
@@ -1,4 +1,5 @@
-/** @file engine_wire_func.h The model engine's wire and records as JSON. */
+/** @file engine_wire_func.h JSON encoding of the model engine's API and
+ * records. */
 #ifndef SAPPHIRE_STANDIN_ENGINE_WIRE_FUNC_H_
 #define SAPPHIRE_STANDIN_ENGINE_WIRE_FUNC_H_
 
@@ -14,7 +15,7 @@
 /** @throws core::Error kMalformedRequest naming the field. */
 external::EngineOrder ParseOrder(std::string_view body);
 
-/** Reads a completion's or a chat completion's request.
+/** Parses a completion or chat completion request.
  * @throws core::Error kMalformedRequest naming the field. */
 GenerateCall ParseCall(const http::Request& request);
 
@@ -25,14 +26,14 @@
 /** @return `{"error": name}`. */
 std::string ErrorJson(std::string_view name);
 
-/** @return One token, as it stands in the answer: the first one carries the
- * prompt, all carry the request's id, so that answers can't be mixed up. */
+/** @return One token of the answer: the first contains the prompt, and all
+ * contain the request's id, so that tests detect mixed-up answers. */
 std::string TokenText(const GenerateCall& call, int index);
 
-/** @return What a request that runs to its end is answered. */
+/** @return The whole text that a completed request generates. */
 std::string WholeText(const GenerateCall& call);
 
-/** @return A whole answer in the shape of the call. */
+/** @return A non-streamed answer in the format of the call's endpoint. */
 std::string AnswerJson(const GenerateCall& call);
 
 /** @return One server-sent event with one token. */
--- a/standin/fault.cc
+++ b/standin/fault.cc
@@ -1,4 +1,4 @@
-/** @file fault.cc The fault switches of a stand-in. */
+/** @file fault.cc Fault switches of a stand-in. */
 #include <array>
 #include <boost/json.hpp>
 #include <utility>
@@ -13,7 +13,7 @@
 
 namespace {
 
-/** Switches of every stand-in. */
+/** Switches that every stand-in has. */
 constexpr std::array kCommonFaults = {
     FaultDef{.name = "down", .kind = FaultKind::kFlag},
     FaultDef{.name = "delay_ms", .kind = FaultKind::kNumber},
@@ -35,7 +35,7 @@
   return std::string(value.get_string());
 }
 
-/** @return An integer where the number is one, so that it reads well. */
+/** @return The number as a JSON integer if it is whole, for readability. */
 json::value ToJson(double number) {
   const auto whole = static_cast<std::int64_t>(number);
   if (static_cast<double>(whole) == number) return whole;
--- a/standin/fault_base.h
+++ b/standin/fault_base.h
@@ -1,4 +1,4 @@
-/** @file fault_base.h The fault switches of a stand-in. */
+/** @file fault_base.h Fault switches of a stand-in. */
 #ifndef SAPPHIRE_STANDIN_FAULT_BASE_H_
 #define SAPPHIRE_STANDIN_FAULT_BASE_H_
 
@@ -13,9 +13,9 @@
 
 enum class FaultKind {
   kFlag,    ///< On or off.
-  kCount,   ///< Happens so many times more.
+  kCount,   ///< Number of times that the fault still occurs.
   kNumber,  ///< A factor or a time in milliseconds.
-  kText,    ///< A key or a substring; empty is off.
+  kText,    ///< A key or a substring; empty if off.
 };
 
 /** One row of a stand-in's table of switches. */
@@ -25,10 +25,10 @@
   double initial = 0;
 };
 
-/** The switches' values. Safe on many threads. */
+/** Values of the fault switches. Thread-safe. */
 class Faults {
  public:
-  /** @param table The switches of this stand-in, besides those of all. */
+  /** @param table The stand-in's own switches, added to the common ones. */
   explicit Faults(std::span<const FaultDef> table);
 
   /**
@@ -38,7 +38,7 @@
    */
   void SetJson(std::string_view text);
 
-  /** @return Every switch and its value, as a JSON object. */
+  /** @return All switches and their values, as a JSON object. */
   [[nodiscard]] std::string ShowJson() const;
 
   /** @pre The table has a switch of this name and kind. */
@@ -47,7 +47,7 @@
   [[nodiscard]] std::chrono::milliseconds Duration(std::string_view name) const;
   [[nodiscard]] std::string Text(std::string_view name) const;
 
-  /** Uses up one of a count, or a flag. @return True if it was set. */
+  /** Decrements a count or clears a flag. @return True if it was set. */
   bool TakeOne(std::string_view name);
 
  private:
--- a/standin/host.cc
+++ b/standin/host.cc
@@ -1,4 +1,4 @@
-/** @file host.cc Runs one stand-in behind a server of its own. */
+/** @file host.cc Runs one stand-in behind its own HTTP server. */
 #include <array>
 #include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/io_context.hpp>
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** Values of a megabyte grow when they are quoted. */
+/** JSON escaping makes a value of one megabyte larger. */
 constexpr std::size_t kMaxBodyBytes = std::size_t{8} * 1024 * 1024;
 constexpr std::size_t kThreads = 2;
 
@@ -22,8 +22,8 @@
 
 }  // namespace
 
-/** The order of the members is the order of their ends: coroutines end with
- * the I/O context, and the stand-in outlives them. */
+/** Members are destroyed in reverse order: the I/O context destroys the
+ * coroutines, and the stand-in must outlive them. */
 struct Host::State {
   State(const std::string& name, const std::string& listen_address,
         const Factory& factory)
--- a/standin/host_base.h
+++ b/standin/host_base.h
@@ -1,4 +1,4 @@
-/** @file host_base.h Runs one stand-in behind a server of its own. */
+/** @file host_base.h Runs one stand-in behind its own HTTP server. */
 #ifndef SAPPHIRE_STANDIN_HOST_BASE_H_
 #define SAPPHIRE_STANDIN_HOST_BASE_H_
 
@@ -10,22 +10,22 @@
 
 namespace sapphire::standin {
 
-/** A listening stand-in and its threads, for a program or inside a test. */
+/** A listening stand-in and its threads, for a program or a test. */
 class Host {
  public:
   using Factory =
       std::function<std::unique_ptr<StandIn>(const StandInContext& context)>;
 
   /**
-   * Listens and serves from now on.
-   * @param name For log lines.
-   * @param listen_address "ip:port"; port 0 takes a free one.
+   * Starts listening and serving.
+   * @param name Used in log lines.
+   * @param listen_address "ip:port"; port 0 selects a free port.
    * @throws core::Error kBadSettings if the address can't be listened on.
    */
   Host(const std::string& name, const std::string& listen_address,
        const Factory& factory);
 
-  /** Stops at once; requests in progress are cut. */
+  /** Stops at once and cuts the connections of requests in progress. */
   ~Host();
 
   Host(const Host&) = delete;
--- a/standin/kv_stand_in.cc
+++ b/standin/kv_stand_in.cc
@@ -103,7 +103,7 @@
   meter.peak = std::max(meter.peak, meter.calls_in_second);
 }
 
-/** Carries out a write; the answer as JSON. */
+/** Carries out a write. @return The answer. */
 json::object ApplyTo(KvStore& store, const http::Request& request) {
   const std::string_view path = http::PathOf(request.target);
   const json::object body = external::ParseObject(request.body);
@@ -234,7 +234,8 @@
   return json::serialize(answer);
 }
 
-/** @return How long a watch may sleep: to its end or the next lease's. */
+/** @return The time until the watch or the next lease ends, whichever is
+ * earlier. */
 std::chrono::milliseconds KvStandIn::WaitUntil(
     core::SteadyTime deadline) const {
   const std::lock_guard lock(mutex_);
--- a/standin/kv_stand_in_base.h
+++ b/standin/kv_stand_in_base.h
@@ -16,14 +16,14 @@
 namespace sapphire::standin {
 
 struct KvOptions {
-  /** How many changes a watch can look back on. */
+  /** How many past changes are kept for watches. */
   std::size_t history_limit = 1000;
-  /** Calls beyond these rates wait their turn; 0: no limit. */
+  /** Calls beyond these rates are delayed; 0: no limit. */
   double reads_per_second = 0;
   double writes_per_second = 0;
 };
 
-/** Counts calls by the second of the wall clock. */
+/** Counts calls per second of the wall clock. */
 struct RateMeter {
   std::int64_t second = 0;
   std::int64_t calls_in_second = 0;
@@ -31,12 +31,13 @@
 };
 
 /**
- * Faults: `lose_answers` (so many writes take effect, unanswered),
- * `late_writes` (so many are unanswered and take effect `late_writes_ms`
- * later, if their expected revision still stands), `write_prefix` (these two
- * only hit swaps and deletes of keys that start so), `lapse_leases`,
- * `watch_gap` (so many watches report a gap), `show_old_key` (reads of this
- * key give the value before the newest).
+ * Simulates the key-value service. Faults: `lose_answers` (this many writes
+ * take effect, but aren't answered), `late_writes` (this many writes aren't
+ * answered and take effect `late_writes_ms` later, if their expected revision
+ * is still current), `write_prefix` (limits these two to swaps and deletes of
+ * keys with this prefix), `lapse_leases` (ends all leases), `watch_gap` (this
+ * many watches report a gap), `show_old_key` (reads of this key return the
+ * value before the newest).
  */
 class KvStandIn final : public StandIn {
  public:
--- a/standin/kv_stand_in_test.cc
+++ b/standin/kv_stand_in_test.cc
@@ -1,5 +1,5 @@
-/** @file kv_stand_in_test.cc The key-value service's faults, seen through our
- * client. */
+/** @file kv_stand_in_test.cc Tests the key-value stand-in and its faults
+ * through the key-value client. */
 #define BOOST_TEST_MODULE kv_stand_in
 #include <boost/test/unit_test.hpp>
 
@@ -25,7 +25,7 @@
         store(external::MakeHttpKeyValueStore(host.address(), Millis(5000))) {}
 
   void SetFaults(const std::string& json) {
-    // Through the wire, as a bench does it.
+    // Uses HTTP, as the benchmarks do.
     http::Client client(host.address());
     http::Request request{"POST", "/standin/faults", {}, json};
     BOOST_TEST(runner.Run(client.Fetch(request, Millis(5000))).head.status ==
@@ -78,8 +78,8 @@
   BOOST_TEST(Value() == "absent");
 }
 
-// A process swaps a key, the write stands, and the answer is lost on its way
-// back. To the process it looks like a failure; the next reader sees it done.
+// A swap takes effect, but its answer is lost: the writer sees an unknown
+// outcome, and the next reader sees the new value.
 BOOST_FIXTURE_TEST_CASE(LostAnswerTookEffect, Fixture) {
   SetFaults(R"({"lose_answers":1,"write_prefix":"other"})");
   BOOST_TEST(Swap(0, "first").swapped);
@@ -88,9 +88,8 @@
   BOOST_TEST(Value() == "second");
 }
 
-// A process swaps a key and loses the connection; the service carries the write
-// out much later. A reader in between sees the old value, and still the late
-// write lands, unless someone has written first.
+// The connection closes before a swap is applied. Readers see the old value
+// until the late write takes effect; another write in between prevents it.
 BOOST_FIXTURE_TEST_CASE(LateWriteLandsIfNothingCameBetween, Fixture) {
   SetFaults(R"({"late_writes":2,"late_writes_ms":150})");
   BOOST_TEST((SwapFailure(0, "late") == ErrorCode::kPlatformUnknownOutcome));
--- a/standin/kv_store.cc
+++ b/standin/kv_store.cc
@@ -1,4 +1,4 @@
-/** @file kv_store.cc The data of the key-value service's stand-in. */
+/** @file kv_store.cc Data of the key-value service's stand-in. */
 #include <algorithm>
 #include <utility>
 
@@ -97,7 +97,8 @@
   ExpireLeases();
   WatchBatch batch;
   batch.revision = revision_;
-  // A revision from before this store's start is as lost as a forgotten one.
+  // A revision above the current one comes from before this store's restart;
+  // its changes are lost, as those dropped from the history are.
   batch.gap = after < forgotten_ || after > revision_;
   if (batch.gap) return batch;
   for (const KvEvent& event : history_) {
--- a/standin/kv_store_base.h
+++ b/standin/kv_store_base.h
@@ -1,4 +1,4 @@
-/** @file kv_store_base.h The data of the key-value service's stand-in. */
+/** @file kv_store_base.h Data of the key-value service's stand-in. */
 #ifndef SAPPHIRE_STANDIN_KV_STORE_BASE_H_
 #define SAPPHIRE_STANDIN_KV_STORE_BASE_H_
 
@@ -19,12 +19,12 @@
 
 /**
  * Keys with store-wide revisions, compare-and-swap, leases and a limited
- * history of changes. Leases end by the clock at the next call. Not safe on
- * several threads.
+ * history of changes. Expired leases are ended at the next call. Not
+ * thread-safe.
  */
 class KvStore {
  public:
-  /** @param history_limit How many changes a watch can look back on.
+  /** @param history_limit How many past changes are kept for watches.
    * @pre `clock` outlives the store. */
   KvStore(std::size_t history_limit, const core::Clock& clock);
 
@@ -33,10 +33,10 @@
   std::optional<external::KvEntry> Get(const std::string& key);
   std::vector<external::KvEntry> List(const std::string& prefix);
 
-  /** @return The value that stood at the key before its newest. */
+  /** @return The key's value before the newest one. */
   std::optional<external::KvEntry> Previous(const std::string& key);
 
-  /** @throws core::Error kMalformedRequest if the lease doesn't live. */
+  /** @throws core::Error kMalformedRequest if the lease doesn't exist. */
   external::CasResult CompareAndSwap(const std::string& key,
                                      std::int64_t expected,
                                      const std::string& value,
@@ -49,10 +49,11 @@
   /** Ends all leases. */
   void LapseLeases();
 
-  /** @return When the next lease ends, if there is one. */
+  /** @return The earliest end of a lease; nothing if there is no lease. */
   [[nodiscard]] std::optional<core::SteadyTime> NextExpiry() const;
 
-  /** @return The changes after `after`; with a gap if some are forgotten. */
+  /** @return The changes after revision `after`; with `gap` set if the history
+   * no longer has all of them. */
   external::WatchBatch ChangesAfter(std::string_view prefix,
                                     std::int64_t after);
 
@@ -76,7 +77,7 @@
   const std::size_t history_limit_;
   const core::Clock& clock_;
   std::int64_t revision_ = 0;
-  /** The newest change that the history has lost. */
+  /** Revision of the newest change that was dropped from the history. */
   std::int64_t forgotten_ = 0;
   std::map<std::string, Item> items_;
   std::map<std::string, external::KvEntry> previous_;
--- a/standin/kv_store_test.cc
+++ b/standin/kv_store_test.cc
@@ -1,4 +1,4 @@
-/** @file kv_store_test.cc Swaps, leases and watches of the stand-in's data. */
+/** @file kv_store_test.cc Tests swaps, leases and watches of KvStore. */
 #define BOOST_TEST_MODULE kv_store
 #include <boost/test/unit_test.hpp>
 
@@ -24,7 +24,7 @@
   BOOST_TEST(store.CompareAndSwap("a", 1, "2", "").swapped);
   BOOST_TEST(!store.DeleteIf("a", 1));
   BOOST_TEST(store.DeleteIf("a", 2));
-  // A deleted key counts as absent, and its old revision never comes back.
+  // A deleted key counts as absent, and its old revision is never reused.
   BOOST_TEST(!store.CompareAndSwap("a", 2, "3", "").swapped);
   BOOST_TEST(store.CompareAndSwap("a", 0, "3", "").revision == 4);
 }
@@ -51,7 +51,7 @@
   store.CompareAndSwap("c", 0, "3", "");
   BOOST_TEST(store.ChangesAfter("", 0).gap);
   BOOST_TEST(!store.ChangesAfter("", 1).gap);
-  // From a revision that this store has not reached.
+  // A revision that this store has not reached.
   BOOST_TEST(store.ChangesAfter("", 9).gap);
 }
 
--- a/standin/pacer.cc
+++ b/standin/pacer.cc
@@ -1,4 +1,4 @@
-/** @file pacer.cc A rate limit that makes callers wait their turn. */
+/** @file pacer.cc A rate limiter that delays callers. */
 #include <algorithm>
 
 #include "core/task_func.h"
--- a/standin/pacer_base.h
+++ b/standin/pacer_base.h
@@ -1,4 +1,4 @@
-/** @file pacer_base.h A rate limit that makes callers wait their turn. */
+/** @file pacer_base.h A rate limiter that delays callers. */
 #ifndef SAPPHIRE_STANDIN_PACER_BASE_H_
 #define SAPPHIRE_STANDIN_PACER_BASE_H_
 
@@ -10,17 +10,17 @@
 
 namespace sapphire::standin {
 
-/** Spaces callers evenly, in the order they ask. Safe on many threads. */
+/** Spaces calls evenly, first come, first served. Thread-safe. */
 class Pacer {
  public:
-  /** @param per_second How many may pass; 0: no limit.
+  /** @param per_second Calls per second; 0: no limit.
    * @pre `clock` outlives the pacer. */
   Pacer(double per_second, const core::Clock& clock);
 
-  /** Takes the next free turn. @return How long until it comes. */
+  /** Reserves the next free slot. @return The time until the slot. */
   std::chrono::milliseconds Reserve();
 
-  /** Takes the next free turn and waits for it. */
+  /** Reserves the next free slot and waits for it. */
   core::Task<> Pass();
 
  private:
--- a/standin/pacer_test.cc
+++ b/standin/pacer_test.cc
@@ -1,5 +1,5 @@
-/** @file pacer_test.cc Turns are one interval apart and unused ones are lost.
- */
+/** @file pacer_test.cc Tests that slots are one interval apart and that unused
+ * ones aren't saved up. */
 #define BOOST_TEST_MODULE pacer
 #include <boost/test/unit_test.hpp>
 
--- a/standin/plain_stand_in_base.h
+++ b/standin/plain_stand_in_base.h
@@ -12,8 +12,9 @@
 namespace sapphire::standin {
 
 /**
- * Runs any request and answers how many it has run. Faults: `lose_answers` (so
- * many run, unanswered), `cut_body` (so many get half an answer).
+ * Accepts any request and answers with the number of requests that it has run.
+ * Faults: `lose_answers` (this many requests run, but aren't answered),
+ * `cut_body` (this many get half an answer).
  */
 class PlainStandIn final : public StandIn {
  public:
--- a/standin/prefix_cache.cc
+++ b/standin/prefix_cache.cc
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kBlockChars = 256;
 
-/** @return The hash of the prompt up to the end of each whole block. */
+/** @return For each whole block, the hash of the prompt up to its end. */
 std::vector<std::uint64_t> BlocksOf(std::string_view prompt) {
   std::vector<std::uint64_t> blocks;
   std::uint64_t hash = 0;
@@ -36,7 +36,7 @@
 }
 
 void PrefixCache::Insert(std::string_view prompt) {
-  // What takes no memory would never be evicted.
+  // Blocks of size 0 would never be evicted.
   if (bytes_per_block_ == 0) return;
   for (std::uint64_t block : BlocksOf(prompt)) {
     if (Touch(block)) continue;
--- a/standin/prefix_cache_base.h
+++ b/standin/prefix_cache_base.h
@@ -12,20 +12,21 @@
 namespace sapphire::standin {
 
 /**
- * Whole blocks of prompts, each known by the hash of the prompt up to its end;
- * the least recently used go first. Not safe on several threads.
+ * LRU cache of whole prompt blocks, each identified by the hash of the prompt
+ * up to its end. Not thread-safe.
  */
 class PrefixCache {
  public:
   explicit PrefixCache(std::int64_t bytes_per_char);
 
-  /** @return How many leading characters are cached; they count as used. */
+  /** Marks the matching blocks as recently used.
+   * @return How many leading characters are cached. */
   std::size_t Match(std::string_view prompt);
 
   /** Caches every whole block of a prompt. */
   void Insert(std::string_view prompt);
 
-  /** Forgets blocks until at most `bytes` are held. */
+  /** Evicts blocks until at most `bytes` are in use. */
   void EvictTo(std::int64_t bytes);
 
   [[nodiscard]] std::int64_t bytes() const;
--- a/standin/prefix_cache_test.cc
+++ b/standin/prefix_cache_test.cc
@@ -1,4 +1,4 @@
-/** @file prefix_cache_test.cc Matches, limits and the order of eviction. */
+/** @file prefix_cache_test.cc Tests matching, limits and eviction order. */
 #define BOOST_TEST_MODULE prefix_cache
 #include <boost/test/unit_test.hpp>
 #include <string>
--- a/standin/sapphire_standin_main.cc
+++ b/standin/sapphire_standin_main.cc
@@ -1,5 +1,5 @@
-/** @file sapphire_standin_main.cc One stand-in of a platform service, as a
- * program. */
+/** @file sapphire_standin_main.cc Program that runs one stand-in of a platform
+ * service. */
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
@@ -20,7 +20,7 @@
 namespace sapphire::standin {
 namespace {
 
-/** What the command line says. */
+/** Command-line arguments. */
 struct Arguments {
   std::string listen = "127.0.0.1:0";
   std::string port_file;
@@ -111,7 +111,7 @@
   return std::make_unique<PlainStandIn>(context, args.service);
 }
 
-/** Waits until the process is asked to end. */
+/** Waits for SIGINT or SIGTERM. */
 void WaitForSignal() {
   boost::asio::io_context io;
   boost::asio::signal_set signals(io, SIGINT, SIGTERM);
--- a/standin/services_stand_in_test.cc
+++ b/standin/services_stand_in_test.cc
@@ -1,5 +1,5 @@
-/** @file services_stand_in_test.cc The VM list, weight store and plain service.
- */
+/** @file services_stand_in_test.cc Tests the stand-ins of the VM list, the
+ * weight store and a plain service. */
 #define BOOST_TEST_MODULE services_stand_in
 #include <boost/json.hpp>
 #include <boost/test/unit_test.hpp>
@@ -53,7 +53,7 @@
           return std::make_unique<WeightsStandIn>(context, options);
         }) {}
 
-  /** Does so many transfers at once. */
+  /** Runs `n` transfers concurrently and checks that all succeed. */
   void Transfer(int n, const std::string& target) {
     std::vector<std::future<http::Response>> answers;
     for (int i = 0; i < n; ++i) {
@@ -105,7 +105,7 @@
     starts.insert(it.at("started_ms").as_int64());
   }
   BOOST_TEST(starts.size() == 3U);
-  // The last could not begin before two intervals had passed.
+  // The last transfer can't start before two intervals have passed.
   BOOST_TEST(*starts.rbegin() - *starts.begin() >= 150);
 }
 
@@ -118,12 +118,12 @@
   const auto began = std::chrono::steady_clock::now();
   store.Transfer(2, "/weights/m?bytes=200000");
   const auto took = std::chrono::steady_clock::now() - began;
-  // Each alone takes 200 ms; a lower limit only, as a test machine may be slow.
+  // Each takes 200 ms alone. Only a lower bound: the test machine may be slow.
   BOOST_TEST((took >= Millis(350)));
 }
 
-// A call to a plain service runs, and its caller sees no answer, or half of
-// one: the record tells that it ran all the same.
+// A request whose answer is lost or cut in half has run all the same, and the
+// record shows it.
 BOOST_FIXTURE_TEST_CASE(PlainServiceRunsWhatItDoesNotAnswer, Plain) {
   BOOST_TEST(Call("PUT", "/a/b?c=d").body ==
              R"({"service":"bookings","request_id":"","runs":1})");
--- a/standin/stand_in.cc
+++ b/standin/stand_in.cc
@@ -1,4 +1,4 @@
-/** @file stand_in.cc What the stand-ins of all platform services share. */
+/** @file stand_in.cc Base class of the platform services' stand-ins. */
 #include <utility>
 
 #include "core/task_func.h"
--- a/standin/stand_in_base.h
+++ b/standin/stand_in_base.h
@@ -1,4 +1,4 @@
-/** @file stand_in_base.h What the stand-ins of all platform services share. */
+/** @file stand_in_base.h Base class of the platform services' stand-ins. */
 #ifndef SAPPHIRE_STANDIN_STAND_IN_BASE_H_
 #define SAPPHIRE_STANDIN_STAND_IN_BASE_H_
 
@@ -15,7 +15,7 @@
 
 namespace sapphire::standin {
 
-/** What every stand-in is given. @pre The references outlive the stand-in. */
+/** Dependencies of a stand-in. @pre The references outlive the stand-in. */
 struct StandInContext {
   core::Executor executor;
   const core::Clock& clock;
@@ -23,8 +23,8 @@
 };
 
 /**
- * A small stand-in of one service of the platform, with fault switches and a
- * record of what it saw itself. Safe on many threads.
+ * A small stand-in of one platform service, with fault switches and a record of
+ * the requests that it received. Thread-safe.
  * @pre Outlives the work of its executor.
  */
 class StandIn {
@@ -35,8 +35,8 @@
   StandIn& operator=(const StandIn&) = delete;
 
   /**
-   * Answers one request: the calls that all stand-ins share, or its own wire,
-   * under the switches `down` and `delay_ms`.
+   * Answers one request: a call that all stand-ins share, or one of the
+   * service's own API, to which the switches `down` and `delay_ms` apply.
    */
   core::Task<> Handle(const http::Request& request,
                       http::ResponseWriter& writer);
@@ -46,31 +46,32 @@
  protected:
   StandIn(StandInContext context, std::span<const FaultDef> table);
 
-  /** Answers a request of the service's own wire. */
+  /** Answers a request of the service's own API. */
   virtual core::Task<> Serve(const http::Request& request,
                              http::ResponseWriter& writer) = 0;
 
-  /** @return What the stand-in saw, as JSON. */
+  /** @return The record, as JSON. */
   [[nodiscard]] virtual std::string RecordJson() const = 0;
 
-  /** Carries out switches that act at once. */
+  /** Called after switches were set; applies those that act at once. */
   virtual void OnFaultsSet() {}
 
-  /** Cuts the connection if the service has gone down meanwhile. */
+  /** Cuts the connection if the `down` switch is set. */
   void CutIfDown() const;
 
   StandInContext context_;
   Faults faults_;
 };
 
-/** Closes the caller's connection without an answer, or in the middle of it. */
+/** Throws http::ConnectionCut, which closes the caller's connection without an
+ * answer or in the middle of one. */
 [[noreturn]] void CutConnection(const std::string& why);
 
-/** Sends a whole answer in JSON. */
+/** Sends a complete JSON answer. */
 core::Task<> SendJson(http::ResponseWriter& writer, int status,
                       std::string body);
 
-/** @return Wall time in milliseconds, as records show it. */
+/** @return Wall time in milliseconds, as used in records. */
 std::int64_t WallMillis(const core::Clock& clock);
 
 }  // namespace sapphire::standin
--- a/standin/vms_stand_in_base.h
+++ b/standin/vms_stand_in_base.h
@@ -12,8 +12,8 @@
 namespace sapphire::standin {
 
 /**
- * `POST /vms` sets the whole list. Fault: `lag_ms` (readers see what the list
- * was that long ago).
+ * Simulates the VM list. `POST /vms` sets the whole list. Fault: `lag_ms`
+ * (readers see the list as it was that long ago).
  */
 class VmsStandIn final : public StandIn {
  public:
--- a/standin/weights_stand_in.cc
+++ b/standin/weights_stand_in.cc
@@ -18,7 +18,7 @@
 
 constexpr int kOk = 200;
 constexpr std::string_view kPathPrefix = "/weights/";
-/** How often a transfer looks at how many share the store. */
+/** How often a transfer recomputes its share of the store's speed. */
 constexpr core::Millis kStep{10};
 
 constexpr std::array kFaults = {
--- a/standin/weights_stand_in_base.h
+++ b/standin/weights_stand_in_base.h
@@ -13,15 +13,16 @@
 namespace sapphire::standin {
 
 struct WeightsOptions {
-  /** How many transfers may begin in a second. */
+  /** How many transfers may start per second. */
   double loads_per_second = 3;
-  /** How many transfers run at full speed; more share it. */
+  /** How many transfers run at full speed; more than that share it. */
   int at_once = 4;
   /** Full speed of one transfer. */
   double bytes_per_second = 1e9;
 };
 
-/** Fault: `slow_factor` (transfers take so many times as long). */
+/** Simulates the weight store. Fault: `slow_factor` (multiplies the time of
+ * transfers). */
 class WeightsStandIn final : public StandIn {
  public:
   WeightsStandIn(StandInContext context, WeightsOptions options);
