--- a/tests/config_force_test.cc
+++ b/tests/config_force_test.cc
@@ -1,5 +1,5 @@
-/** @file config_force_test.cc A confirmed configuration is in force on every VM
- * within seconds, and never goes back. */
+/** @file config_force_test.cc Tests that a confirmed configuration takes effect
+ * on every VM within seconds and is never replaced by an older one. */
 #define BOOST_TEST_MODULE config_force
 #include <fmt/format.h>
 
@@ -19,13 +19,14 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** A confirmed configuration is in force everywhere after this long. */
+/** Time limit for a confirmed configuration to be in force on every VM. */
 constexpr seconds kInForceWithin{10};
 constexpr milliseconds kWatchPause{50};
 constexpr int kTokens = 4;
 constexpr int kLongAnswer = 150;
 
-/** @param max_replicas Of "itinerary". @param more Further models. */
+/** @param max_replicas Limit of "itinerary".
+ * @param more Names of further models, with one replica each. */
 std::string Intent(int max_replicas, const std::vector<std::string>& more) {
   constexpr std::string_view kModel =
       "[[model]]\nname = \"{}\"\nservice = \"cabin\"\n"
@@ -83,7 +84,7 @@
         .to_number<std::int64_t>();
   }
 
-  /** @return The version of each VM as an entry sees it; 0 if not linked. */
+  /** @return Each VM's version as the entry reports it; 0 if not linked. */
   std::map<std::string, std::int64_t> VersionsSeenBy(const std::string& entry) {
     std::map<std::string, std::int64_t> versions;
     const Reply reply = fleet.Send(fleet.EntryAddress(entry),
@@ -98,7 +99,8 @@
     return versions;
   }
 
-  /** @return True once every VM is at this version, in every entry's view. */
+  /** Waits until every entry reports this version for every VM.
+   * @return False if that takes longer than kInForceWithin. */
   bool InForce(std::int64_t version) {
     return Eventually(
         [&] {
@@ -114,9 +116,9 @@
         kInForceWithin);
   }
 
-  /** Confirms an intent; the key-value service then shows the head, and keeps
-   * the parts, from before, as a replica of it that lags would.
-   * @return The version confirmed. */
+  /** Confirms an intent, then makes the key-value service return the previous
+   * head and restores the previous parts, as on a lagging replica.
+   * @return The confirmed version. */
   std::int64_t ConfirmAndShowOlder(const std::string& intent) {
     const std::string kv = fleet.StandInAddress("kv");
     const Reply before =
@@ -136,7 +138,8 @@
     return VersionAt("entry-1");
   }
 
-  /** @return The version under which the ledger was last written. */
+  /** @return The configuration version with which the ledger was last
+   * written. */
   std::int64_t LedgerVersion() {
     const Reply reply = fleet.Send(fleet.StandInAddress("kv"),
                                    {"GET", "/kv?key=ledger/cabin", {}, ""});
@@ -146,8 +149,8 @@
     return ledger.at("config").to_number<std::int64_t>();
   }
 
-  /** Has each entry's watch end, and the next one report a gap: the entries
-   * read the head anew. */
+  /** Ends each entry's watch and reports a gap, so that the entries read the
+   * head again. */
   void EndWatchesWithAGap() {
     fleet.Fault("kv", fmt::format(R"({{"watch_gap":{}}})", entries.size()));
     const boost::json::object write{
@@ -173,14 +176,15 @@
   int sent = 0;
 };
 
-/** Looks again and again at the version of each VM, as each entry shows it. */
+/** Polls the version of each VM as reported by each entry. */
 class VersionWatch {
  public:
   explicit VersionWatch(Deployment& deployment)
       : deployment_(deployment), thread_([this] { Run(); }) {}
   ~VersionWatch() { Stop(); }
 
-  /** @return How often a version was lower than one seen before. */
+  /** Stops polling.
+   * @return How often a version was lower than an earlier one. */
   int Stop() {
     stopped_ = true;
     if (thread_.joinable()) thread_.join();
@@ -200,8 +204,8 @@
     }
   }
 
-  /** A VM that isn't linked, or has just started, shows none: that isn't a
-   * version to act by. */
+  /** Version 0 is ignored: a VM that isn't linked or has just started has no
+   * version yet. */
   void Note(const std::pair<std::string, std::string>& view,
             std::int64_t version) {
     if (version == 0) return;
@@ -213,16 +217,16 @@
 
   Deployment& deployment_;
   std::atomic<bool> stopped_ = false;
-  /** By the entry that shows it, and the VM. */
+  /** Keyed by the reporting entry and the VM. */
   std::map<std::pair<std::string, std::string>, std::int64_t> newest_;
   int looks_ = 0;
   int went_back_ = 0;
   std::thread thread_;
 };
 
-// Two operators, at two entries, have made plans on the same base and confirm
-// them in the same moment. If both came into force one would undo the other
-// without a word; exactly one may win, and the other is told.
+// Two operators confirm plans with the same base version at two entries at the
+// same time. If both took effect, one would silently undo the other: exactly
+// one must succeed, and the other must get `plan_conflict`.
 BOOST_AUTO_TEST_CASE(OfTwoConflictingPlansOneWins) {
   Deployment deployment;
   const VersionWatch watch(deployment);
@@ -248,9 +252,10 @@
   }
 }
 
-// The operator confirms, the swap takes effect and its answer is lost; or the
-// service closes the connection and lands the swap late. The operator must not
-// be told of a failure that was none, and the plan is in force once.
+// The swap of a confirmation takes effect but its answer is lost, or the
+// service closes the connection and applies the swap late. The operator must
+// not see an error for a plan that took effect, and the plan must be applied
+// only once.
 BOOST_AUTO_TEST_CASE(LostOrLateSwapConfirmsOnce) {
   Deployment deployment;
   VersionWatch watch(deployment);
@@ -266,17 +271,17 @@
     const Reply reply = deployment.ConfirmLater("entry-2", plan).get();
     BOOST_TEST(reply.ok(), reply.body << reply.failure);
     BOOST_TEST(deployment.InForce(base + 1));
-    // Past the time at which the late swap lands.
+    // Longer than the delay of the late swap.
     std::this_thread::sleep_for(seconds(1));
     BOOST_TEST(deployment.InForce(base + 1));
   }
   BOOST_TEST(watch.Stop() == 0);
 }
 
-// After a confirmation the key-value service shows the head from before, as a
-// replica of it that lags would, and its watches have gaps, so that entries
-// read the head anew. None may go back: limits that operators lowered would be
-// high again.
+// After a confirmation the key-value service returns the previous head, as a
+// lagging replica would, and its watches report gaps, so that entries read the
+// head again. None may return to the older version: limits that operators
+// lowered would be raised again.
 BOOST_AUTO_TEST_CASE(OlderHeadIsNotTakenUp) {
   Deployment deployment;
   const std::int64_t version =
@@ -288,15 +293,15 @@
     std::this_thread::sleep_for(milliseconds(200));
     BOOST_TEST(deployment.Serves(i % 2 == 0 ? "entry-1" : "entry-2", "lunch"));
   }
-  // An endpoint that starts now learns what is in force from the entries.
+  // An endpoint that starts now gets the current version from the entries.
   deployment.fleet.RestartEndpoint("engine-1");
   deployment.fleet.PublishVms();
   BOOST_TEST(deployment.InForce(version));
   BOOST_TEST(watch.Stop() == 0);
 }
 
-// An entry starts while the service shows the head from before. It must come
-// to the version that its fellows have, not keep the older one.
+// An entry starts while the service returns the previous head. It must reach
+// the version of the other entries, not keep the older one.
 BOOST_AUTO_TEST_CASE(EntryThatStartsOnAnOlderHeadCatchesUp) {
   Deployment deployment;
   const std::int64_t version =
@@ -307,9 +312,9 @@
   BOOST_TEST(deployment.Serves("entry-2", "lunch"));
 }
 
-// One entry and one endpoint are away while the operator confirms; then the
-// key-value service goes down for long, and they come back. They learn the
-// newest configuration from the others, and the operator was told of them.
+// One entry and one endpoint are frozen during a confirmation, and resume after
+// the key-value service has gone down. They must get the new configuration over
+// the links, and the confirmation must have listed them in `not_yet`.
 BOOST_AUTO_TEST_CASE(SpreadsOverLinksWhileTheServiceIsDown) {
   Deployment deployment;
   const std::int64_t base = deployment.VersionAt("entry-1");
@@ -330,15 +335,15 @@
   deployment.fleet.entry("entry-2").process->Signal(SIGCONT);
   deployment.fleet.endpoint("engine-3").process->Signal(SIGCONT);
   BOOST_TEST(deployment.InForce(base + 1));
-  // Processes that start from nothing, with the service still down.
+  // Processes that start without state while the service is still down.
   deployment.fleet.RestartEntry("entry-2");
   deployment.fleet.RestartEndpoint("engine-1");
   deployment.fleet.PublishVms();
   BOOST_TEST(deployment.InForce(base + 1));
 }
 
-// Guests stream from two replicas when the operator allows only one. The one
-// too many goes, but not before its guests have their whole answers.
+// Callers stream from two replicas when the operator lowers the limit to one.
+// The surplus replica is unloaded, but only after its streams have ended.
 BOOST_AUTO_TEST_CASE(LoweredLimitUnloadsTheSurplusGracefully) {
   Deployment deployment;
   std::vector<std::pair<std::string, std::future<Reply>>> streams;
@@ -350,7 +355,7 @@
     return n;
   };
   BOOST_REQUIRE(Eventually([&] {
-    // Callers come until there is work for a second replica.
+    // Adds callers until a second replica is loaded.
     if (streams.size() < 60) {
       const std::string id = fmt::format("stream-{}", streams.size());
       streams.emplace_back(
@@ -373,7 +378,7 @@
   BOOST_TEST(Eventually([&] { return held() == 1; }));
   BOOST_TEST(deployment.Serves("entry-1", "itinerary"));
   BOOST_TEST(held() == 1);
-  // What was loaded after the confirmation came within the new limit.
+  // Loads after the confirmation must respect the new limit.
   std::vector<ReplicaStay> later;
   for (const ReplicaStay& it : StaysOf(deployment.fleet, deployment.vms)) {
     if (it.began > confirmed) later.push_back(it);
@@ -382,8 +387,8 @@
 }
 
 // An endpoint is frozen while the operator lowers a limit, and another restarts
-// just after. Both may only load by what was confirmed: one that still went by
-// the old limit would load the replica that operators took away.
+// just after. Both must load by the confirmed limit: one that still used the
+// old limit would load a replica too many.
 BOOST_AUTO_TEST_CASE(NobodyLoadsByTheLimitFromBefore) {
   Deployment deployment;
   BOOST_REQUIRE(deployment.Serves("entry-1", "itinerary"));
@@ -412,10 +417,10 @@
                           {"itinerary"}) == 1);
 }
 
-// An endpoint is frozen while the operator lowers a limit. When it goes on,
-// all who know of that are frozen in their turn, and an entry that starts anew
-// is shown the older head: the two agree on the limit from before. The ledger
-// itself must keep them from loading the replica that operators took away.
+// An endpoint is frozen while the operator lowers a limit. When it resumes, all
+// processes that have the new version are frozen, and a restarted entry reads
+// the older head: both use the old limit. The ledger alone must keep them from
+// loading a replica too many.
 BOOST_AUTO_TEST_CASE(LedgerKeepsTheLoweredLimit) {
   Deployment deployment;
   BOOST_REQUIRE(deployment.Serves("entry-1", "itinerary"));
@@ -431,13 +436,13 @@
   deployment.fleet.endpoint(frozen).process->Signal(SIGSTOP);
   const std::int64_t version = deployment.ConfirmAndShowOlder(Intent(1, {}));
   BOOST_TEST(Eventually([&] { return deployment.LedgerVersion() == version; }));
-  // Watches show nothing newer either.
+  // Watches must not deliver the newer head either.
   deployment.fleet.Fault("kv", R"({"watch_gap":100000})");
   signal_others(SIGSTOP);
   deployment.fleet.RestartEntry("entry-2");
   deployment.fleet.PublishVms();
-  // Until it has read the older head it refuses everything, and the burst would
-  // be over before it has shown anything.
+  // Until the entry has read the older head it refuses every request, and the
+  // burst would end without testing anything.
   BOOST_REQUIRE(Eventually(
       [&] { return deployment.VersionAt("entry-2") == version - 1; }));
   deployment.fleet.endpoint(frozen).process->Signal(SIGCONT);
--- a/tests/fleet.cc
+++ b/tests/fleet.cc
@@ -1,4 +1,4 @@
-/** @file fleet.cc A small deployment of real processes, for tests. */
+/** @file fleet.cc Runs a small deployment of real processes for tests. */
 #include <fmt/format.h>
 #include <stdlib.h>
 
@@ -266,7 +266,7 @@
     if (vms.size() != entries_.size() + endpoints_.size()) return false;
     for (const auto& vm : vms) {
       const auto& shown = vm.as_object().at("version");
-      // Null: no link to it is up.
+      // Null if the entry has no link to the VM.
       if (shown.is_null() || shown.to_number<std::int64_t>() != version) {
         return false;
       }
--- a/tests/fleet_base.h
+++ b/tests/fleet_base.h
@@ -1,4 +1,4 @@
-/** @file fleet_base.h A small deployment of real processes, for tests. */
+/** @file fleet_base.h Runs a small deployment of real processes for tests. */
 #ifndef SAPPHIRE_TESTS_FLEET_BASE_H_
 #define SAPPHIRE_TESTS_FLEET_BASE_H_
 
@@ -20,7 +20,7 @@
 
 namespace sapphire::tests {
 
-/** What a caller got: an answer, or the reason why there is none. */
+/** The answer that a caller received, or why the request failed. */
 struct Reply {
   int status = 0;
   std::vector<http::Header> headers;
@@ -30,13 +30,13 @@
   std::chrono::milliseconds took{};
 
   [[nodiscard]] bool ok() const { return status == 200 && failure.empty(); }
-  /** @return "not_run", "unknown" or "" from a problem's body. */
+  /** @return The problem's outcome: "not_run", "unknown" or "". */
   [[nodiscard]] std::string outcome() const;
-  /** @return The name at the end of a problem's type. */
+  /** @return The name at the end of the problem's type. */
   [[nodiscard]] std::string problem() const;
 };
 
-/** One endpoint VM: the engine or plain service, and our process beside it. */
+/** One endpoint VM: an engine or plain service, and its sapphire-endpoint. */
 struct EndpointVm {
   std::string vm;
   std::string zone;
@@ -44,7 +44,7 @@
   std::string service;
   std::unique_ptr<Process> engine;
   std::unique_ptr<Process> process;
-  /** If set, stands before the process's link address. */
+  /** If set, entries connect to the process's link through this relay. */
   std::unique_ptr<Relay> relay;
   bool leaving = false;
 };
@@ -56,20 +56,22 @@
   bool leaving = false;
 };
 
-/** Starts and ends processes in a directory of its own; talks to them. */
+/** Starts and stops the processes of a deployment, with settings and logs in a
+ * temporary directory, and sends requests to them. */
 class Fleet {
  public:
-  /** @param bin_dir Where the programs are. @param name Of the directory. */
+  /** @param bin_dir Directory of the programs.
+   * @param name Prefix of the temporary directory's name. */
   Fleet(std::string bin_dir, const std::string& name);
   ~Fleet();
 
   Fleet(const Fleet&) = delete;
   Fleet& operator=(const Fleet&) = delete;
 
-  /** Puts a relay before an endpoint's link: call before PublishVms. */
+  /** Puts a relay in front of an endpoint's link; call before PublishVms. */
   Relay& AddRelay(const std::string& vm);
 
-  /** Settings lines added to each entry's / endpoint's file. */
+  /** Lines added to the settings file of each entry or endpoint. */
   std::string entry_settings;
   std::string endpoint_settings;
 
@@ -78,15 +80,15 @@
   void AddPlain(const std::string& vm, const std::string& zone,
                 const std::string& service);
   void AddEntry(const std::string& vm, const std::string& zone);
-  /** Starts our process beside an endpoint anew, as after a crash. */
+  /** Kills and restarts the sapphire-endpoint process of a VM. */
   void RestartEndpoint(const std::string& vm);
   void RestartEntry(const std::string& vm);
 
-  /** Tells the VM list what there is. */
+  /** Writes the running VMs to the VM list. */
   void PublishVms();
 
-  /** Plans and confirms an intent (TOML); waits until all entries are ready
-   * and all endpoints are linked. */
+  /** Plans and confirms an intent (TOML), then waits until every entry reports
+   * the new version for all VMs. */
   void Confirm(const std::string& intent_toml);
 
   EndpointVm& endpoint(const std::string& vm);
@@ -98,17 +100,18 @@
   boost::json::object Record(const std::string& stand_in);
   std::string StandInAddress(const std::string& stand_in);
 
-  /** Sends a request; failures are in the reply. */
+  /** Sends a request; a failure is reported in the reply. */
   Reply Send(const std::string& address, http::Request request);
   std::future<Reply> SendLater(const std::string& address,
                                http::Request request);
   /** Sends a request and closes the connection after `patience`. */
   Reply SendAndLeave(const std::string& address, http::Request request,
                      std::chrono::milliseconds patience);
-  /** Calls an admin path and parses its answer. */
+  /** Calls an admin path and parses the answer.
+   * @throws std::runtime_error if the call fails. */
   boost::json::object Admin(const std::string& entry, http::Request request);
 
-  /** @return All log files. */
+  /** @return Paths of all log files. */
   [[nodiscard]] std::vector<std::string> LogPaths() const;
   [[nodiscard]] const std::string& directory() const { return directory_; }
   [[nodiscard]] const std::string& bin_dir() const { return bin_dir_; }
@@ -132,7 +135,7 @@
   std::vector<std::unique_ptr<EntryVm>> entries_;
 };
 
-/** Waits until `condition` holds. @return False if it never did. */
+/** Polls until `condition` holds. @return False if `limit` passes first. */
 bool Eventually(const std::function<bool()>& condition,
                 std::chrono::milliseconds limit = std::chrono::seconds(20));
 
--- a/tests/judge.cc
+++ b/tests/judge.cc
@@ -1,4 +1,4 @@
-/** @file judge.cc Judges a deployment by what the engines recorded. */
+/** @file judge.cc Checks of replies and of the engines' records. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -55,8 +55,8 @@
 
 int PeakReplicas(const std::vector<ReplicaStay>& stays,
                  const std::set<std::string>& models) {
-  // Changes of the number by time; of those in one millisecond the sum counts,
-  // for the records can't tell their order.
+  // Changes of the replica count by time, summed per millisecond because the
+  // records don't show the order within one.
   std::map<std::int64_t, int> changes;
   for (const ReplicaStay& it : stays) {
     if (!models.contains(it.model)) continue;
--- a/tests/judge_func.h
+++ b/tests/judge_func.h
@@ -1,4 +1,4 @@
-/** @file judge_func.h Judges a deployment by what the engines recorded. */
+/** @file judge_func.h Checks of replies and of the engines' records. */
 #ifndef SAPPHIRE_TESTS_JUDGE_FUNC_H_
 #define SAPPHIRE_TESTS_JUDGE_FUNC_H_
 
@@ -13,14 +13,14 @@
 
 namespace sapphire::tests {
 
-/** One stay of a model in an engine's memory, wall time in milliseconds. */
+/** One replica in an engine's memory; wall times in milliseconds. */
 struct ReplicaStay {
   std::string vm;
   std::string model;
   std::int64_t began = 0;
-  /** 0 while it loads. */
+  /** 0 while the replica is loading. */
   std::int64_t ready = 0;
-  /** The largest number while it is held. */
+  /** The largest value while the replica is held. */
   std::int64_t ended = 0;
   /** "held", "unloaded", "load_failed" or "crashed". */
   std::string end;
@@ -29,30 +29,30 @@
 /** @return Wall time in milliseconds, as in the stand-ins' records. */
 std::int64_t WallMillis();
 
-/** @return The stays in an engine's record. */
+/** @return The replicas in an engine's record. */
 std::vector<ReplicaStay> StaysOf(const std::string& vm,
                                  const boost::json::object& record);
 
-/** @return The stays in the records of all of these engines. */
+/** @return The replicas in the records of these VMs' engines. */
 std::vector<ReplicaStay> StaysOf(Fleet& fleet,
                                  const std::vector<std::string>& vms);
 
-/** @return The most replicas of these models, together, that all engines
- * together held at one time, a load counted from its beginning. */
+/** @return The largest number of replicas of these models that all engines
+ * together held at one time, counted from the start of each load. */
 int PeakReplicas(const std::vector<ReplicaStay>& stays,
                  const std::set<std::string>& models);
 
-/** @return True if the reply is this request's own, whole answer. */
+/** @return True if the reply is the complete answer to this request. */
 bool IsOwnWholeAnswer(const Reply& reply, const std::string& id, int tokens);
 
-/** @return True if the reply is a refusal that names its type. */
+/** @return True if the reply is an error with a problem type. */
 bool IsTypedRefusal(const Reply& reply);
 
-/** @return Requests that an engine started, or that ran in the plain service,
- * after this wall time. */
+/** @return How many requests the engine or plain service started after this
+ * wall time. */
 int StartedAfter(const boost::json::object& record, std::int64_t wall_ms);
 
-/** @return Requests in an engine's record that are running now. */
+/** @return How many requests in an engine's record are running. */
 int RunningIn(const boost::json::object& record);
 
 }  // namespace sapphire::tests
--- a/tests/leaving_test.cc
+++ b/tests/leaving_test.cc
@@ -1,5 +1,5 @@
-/** @file leaving_test.cc A leaving endpoint gets no new work, and every planned
- * stop is graceful. */
+/** @file leaving_test.cc Tests that a leaving endpoint gets no new requests and
+ * that every planned stop is graceful. */
 #define BOOST_TEST_MODULE leaving
 #include <fmt/format.h>
 
@@ -17,9 +17,9 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** An endpoint that is leaving gets no new work after this long. */
+/** Time after which a leaving endpoint must get no new requests. */
 constexpr seconds kNoNewWorkAfter{4};
-/** How long traffic goes on after that. */
+/** How long traffic continues after that. */
 constexpr seconds kWatchOn{2};
 constexpr milliseconds kListInterval{500};
 constexpr milliseconds kListLag{1500};
@@ -84,7 +84,7 @@
     return n;
   }
 
-  /** @return Grants in the ledger that name the VM. */
+  /** @return How many grants in the ledger belong to the VM. */
   int GrantsOf(const std::string& vm) {
     const Reply reply = fleet.Send(fleet.StandInAddress("kv"),
                                    {"GET", "/kv?key=ledger/cabin", {}, ""});
@@ -101,14 +101,15 @@
   Fleet fleet;
 };
 
-/** Callers who go on asking, at both entries in turn. */
+/** Sends requests continuously, alternating between the two entries. */
 class Traffic {
  public:
   explicit Traffic(Deployment& deployment)
       : deployment_(deployment), thread_([this] { Send(); }) {}
   ~Traffic() { Stop(); }
 
-  /** Waits for all answers. @return How many weren't whole. */
+  /** Stops sending and waits for all answers.
+   * @return How many weren't complete. */
   int Stop() {
     stopped_ = true;
     if (thread_.joinable()) thread_.join();
@@ -142,7 +143,7 @@
 };
 
 /** Sends traffic while `leave` makes the model's holder leave.
- * @param told_after How long the platform itself takes to tell. */
+ * @param told_after Delay until the platform reports it. */
 void CheckNoNewWork(const std::function<void(Deployment&, EndpointVm&)>& leave,
                     milliseconds told_after) {
   Deployment deployment;
@@ -169,9 +170,9 @@
   BOOST_TEST(RunningIn(record) == 0);
 }
 
-// An operator drains a VM while guests go on asking for the model it holds.
-// They must be served elsewhere: work that still reaches it delays its stop,
-// or is lost with it.
+// An operator drains a VM while callers keep requesting the model it holds.
+// They must be served elsewhere: requests that still reach the VM delay its
+// stop or are lost with it.
 BOOST_AUTO_TEST_CASE(DrainedEndpointGetsNoNewWork) {
   CheckNoNewWork(
       [](Deployment& deployment, EndpointVm& vm) {
@@ -182,15 +183,15 @@
       milliseconds(0));
 }
 
-// The platform stops a VM with SIGTERM while guests go on asking.
+// The platform stops a VM with SIGTERM while requests continue.
 BOOST_AUTO_TEST_CASE(TerminatedEndpointGetsNoNewWork) {
   CheckNoNewWork(
       [](Deployment&, EndpointVm& vm) { vm.process->Signal(SIGTERM); },
       milliseconds(0));
 }
 
-// The platform's list shows a VM as leaving, late, and nothing else tells the
-// endpoint or the entries. Guests go on asking.
+// A VM is only marked as leaving in the platform's list, which lags, while
+// requests continue. Neither the endpoint nor the entries get another notice.
 BOOST_AUTO_TEST_CASE(EndpointListedAsLeavingGetsNoNewWork) {
   CheckNoNewWork(
       [](Deployment& deployment, EndpointVm& vm) {
@@ -202,7 +203,7 @@
       kListLag + kListInterval);
 }
 
-/** Long streams through both entries that have begun to run. */
+/** Starts long streams through both entries and waits until all run. */
 std::vector<std::pair<std::string, std::future<Reply>>> StartStreams(
     Deployment& deployment, int n) {
   std::vector<std::pair<std::string, std::future<Reply>>> streams;
@@ -232,8 +233,8 @@
   return whole;
 }
 
-// Answers are being streamed to guests when the platform stops the process
-// beside the engine. A guest would see half an itinerary.
+// The platform stops the endpoint process while answers are being streamed. A
+// process that doesn't wait for them would cut the streams.
 BOOST_AUTO_TEST_CASE(TerminatedEndpointCutsNoStream) {
   Deployment deployment;
   auto streams = StartStreams(deployment, 8);
@@ -248,8 +249,9 @@
   BOOST_TEST(deployment.GrantsOf(vm) == 0);
 }
 
-// The same, and it is an entry that is stopped: the one that streams to its own
-// callers, and the home of the model at which the others' requests were placed.
+// An entry is stopped while answers are being streamed: it streams to its own
+// callers, and one of the two is the model's home, where the requests of the
+// other entry were placed.
 BOOST_AUTO_TEST_CASE(TerminatedEntryCutsNoStream) {
   for (const char* entry : {"entry-1", "entry-2"}) {
     Deployment deployment;
@@ -261,8 +263,8 @@
   }
 }
 
-// Guests wait for a model that is being loaded when the entry that they wait
-// at, or the home that ordered the load, is stopped.
+// An entry is stopped while callers wait for a model to load: the entry at
+// which they wait, or the model's home, which ordered the load.
 BOOST_AUTO_TEST_CASE(TerminatedEntryServesThoseWhoWait) {
   for (const char* entry : {"entry-1", "entry-2"}) {
     Deployment deployment;
@@ -282,8 +284,8 @@
   }
 }
 
-/** Stops the process beside the engine that loads the model for waiters.
- * @return What became of them. */
+/** Stops the endpoint process whose engine loads the model for waiting callers.
+ * @return The callers' replies by request id. */
 std::vector<std::pair<std::string, Reply>> TerminateWhileItLoads(
     Deployment& deployment, const std::string& model) {
   std::vector<std::pair<std::string, std::future<Reply>>> waiting;
@@ -310,9 +312,9 @@
   return ended;
 }
 
-// The process beside an engine is stopped while it loads a model for guests
-// who wait. Another replica may be loaded: they are served there, for a planned
-// stop ends nobody's request.
+// An endpoint is stopped while its engine loads a model for waiting callers.
+// The limit allows another replica, which must serve them: a planned stop must
+// not fail a request.
 BOOST_AUTO_TEST_CASE(EndpointTerminatedWhileItLoadsLosesNoWaiter) {
   Deployment deployment;
   for (const auto& [id, reply] :
@@ -322,9 +324,9 @@
   }
 }
 
-// The same, and no other replica may be loaded until this one is gone. A guest
-// who isn't served is told so at once, with the time to come back; nobody loads
-// a second replica for them.
+// The same with a limit of one replica, so that no other may be loaded until
+// this one is unloaded. A caller that isn't served must be refused at once with
+// Retry-After, and no second replica may be loaded.
 BOOST_AUTO_TEST_CASE(EndpointTerminatedWhileItLoadsTheOnlyReplica) {
   Deployment deployment;
   for (const auto& [id, reply] : TerminateWhileItLoads(deployment, "claims")) {
--- a/tests/memory_limit_test.cc
+++ b/tests/memory_limit_test.cc
@@ -1,4 +1,5 @@
-/** @file memory_limit_test.cc No engine's memory is ever overcommitted. */
+/** @file memory_limit_test.cc Tests that no engine's memory is overcommitted.
+ */
 #define BOOST_TEST_MODULE memory_limit
 #include <fmt/format.h>
 
@@ -22,9 +23,9 @@
 constexpr int kBursts = 4;
 constexpr int kTokens = 3;
 
-/** Each replica takes 300 MB and each adapter 60 MB: an engine of 1 GB holds
- * three replicas, but not with all their adapters, and two engines hold six of
- * the ten models. */
+/** @return An intent in which each replica takes 300 MB and each adapter 60 MB:
+ * an engine of 1 GB holds three replicas, but not with all their adapters, and
+ * two engines hold six of the ten models. */
 std::string Intent() {
   std::string text =
       "deployment = \"meander\"\n[[service]]\nname = \"cabin\"\n"
@@ -80,8 +81,8 @@
     replies_.clear();
   }
 
-  /** Callers who come again until they are served, for each model in turn: as
-   * not all fit, idle ones have to go. @return True if each was served. */
+  /** Requests each model in turn until it is served. Not all models fit, so
+   * idle ones must be evicted. @return True if each was served. */
   bool ServesEach() {
     for (int i = 0; i < kModels; ++i) {
       const std::string model = fmt::format("model-{}:a{}", i, i % kAdapters);
@@ -98,7 +99,7 @@
     return true;
   }
 
-  /** Kills an endpoint's process and starts another beside the engine. */
+  /** Kills an endpoint process and restarts it beside the same engine. */
   void KillOneEndpoint() {
     const std::string vm = Pick(2) == 0 ? "engine-1" : "engine-2";
     std::this_thread::sleep_for(milliseconds(Pick(400)));
@@ -113,7 +114,7 @@
     }
   }
 
-  /** Checks what the engines counted. */
+  /** Checks the engines' records. */
   void Check() {
     int unloads = 0;
     for (const char* vm : {"engine-1", "engine-2"}) {
@@ -133,7 +134,7 @@
       BOOST_TEST_MESSAGE("  refused " << n << " as " << problem);
     }
     BOOST_TEST(served_ > 0);
-    // Without evictions the engines were never asked for too much.
+    // Without evictions the memory limit was never reached.
     BOOST_TEST(unloads > 0);
   }
 
@@ -159,9 +160,9 @@
   std::map<std::string, int> refusals_;
 };
 
-// Guests ask for more models than fit, with adapters. Loads, adapters
-// and evictions overlap at each engine; an engine given more than it holds
-// would fail for all of its guests at once.
+// Callers request more models and adapters than fit, so that loads and
+// evictions overlap at each engine. An engine that is ordered to load more than
+// fits would fail for all of its callers.
 BOOST_DATA_TEST_CASE(BurstsForMoreThanFits,
                      boost::unit_test::data::make(std::vector<std::uint64_t>{
                          21, 22}),
@@ -175,9 +176,10 @@
   deployment.Check();
 }
 
-// The same, and in the middle the process that keeps an engine's books is
-// killed, or the answers to its orders are lost. Its successor knows nothing of
-// the load under way; what it doesn't count it would give away again.
+// The same, but the endpoint process that accounts for an engine's memory is
+// killed during the bursts, or the answers to its orders are lost. Its
+// successor must count the load in progress, or it would assign that memory
+// twice.
 BOOST_DATA_TEST_CASE(BooksAreLostInABurst,
                      boost::unit_test::data::make(std::vector<std::uint64_t>{
                          31, 32}),
--- a/tests/once_test.cc
+++ b/tests/once_test.cc
@@ -1,6 +1,6 @@
-/** @file once_test.cc A non-idempotent request runs at most once, and "not run"
- * is said only where it is certain. Judged by the plain service's own record.
- */
+/** @file once_test.cc Tests, with the plain service's record, that a
+ * non-idempotent request runs at most once and that `not_run` is reported only
+ * if it is certain. */
 #define BOOST_TEST_MODULE once
 #include <fmt/format.h>
 
@@ -26,7 +26,8 @@
 )";
 
 constexpr milliseconds kTimeout{8000};
-/** An answer may come this much after the request's time, on a busy machine. */
+/** Allowed delay of an answer after the request's timeout, for a busy machine.
+ */
 constexpr milliseconds kSlack{4000};
 
 struct Desk {
@@ -59,7 +60,7 @@
     return reply;
   }
 
-  /** Sends each key through every entry but one, at once. */
+  /** Sends each key through every entry but `victim`, concurrently. */
   void SendAllElsewhere(const std::string& victim,
                         const std::map<std::string, std::future<Reply>>& keys) {
     std::vector<std::pair<std::string, std::future<Reply>>> pending;
@@ -84,7 +85,7 @@
     return Eventually([&] { return Runs(key) > 0; });
   }
 
-  /** Holds every reply against what the service itself says it ran. */
+  /** Checks every reply against the service's record. */
   void Judge() {
     for (const auto& [key, list] : replies) {
       const int runs = Runs(key);
@@ -103,7 +104,8 @@
   static void JudgeReply(const Reply& reply, int runs) {
     BOOST_TEST_CONTEXT(reply.status << " " << reply.body << reply.failure) {
       if (reply.ok()) BOOST_TEST(runs == 1);
-      // The entry itself may have been killed: the caller sees a cut.
+      // If the entry itself was killed, the connection is cut and there is no
+      // outcome.
       if (reply.failure.empty() && !reply.ok()) {
         BOOST_TEST(!reply.outcome().empty());
       }
@@ -116,9 +118,8 @@
   std::map<std::string, std::vector<Reply>> replies;
 };
 
-// A guest's phone sends one booking through every entry at the same moment.
-// Without a claim that the entries agree on, each would run it and three
-// stewards would go to one cabin.
+// One booking arrives at every entry at the same time. Without a claim that all
+// entries agree on, each would run it, three times in all.
 BOOST_FIXTURE_TEST_CASE(SameCallThroughEveryEntryAtOnce, Desk) {
   constexpr int kKeys = 12;
   std::map<std::string, std::vector<std::future<Reply>>> pending;
@@ -141,8 +142,8 @@
   Judge();
 }
 
-// The service files the booking, and its answer is lost on the way. The caller
-// must not be told "not run", and sending it again must not file it twice.
+// The service runs the request, but its answer is lost. The outcome must not be
+// reported as `not_run`, and a retry must not run the request again.
 BOOST_FIXTURE_TEST_CASE(AnswerLostAfterTheRun, Desk) {
   fleet.Fault("desk-1", R"({"lose_answers": 1})");
   const Reply first = Send("entry-1", "lost");
@@ -154,8 +155,8 @@
   Judge();
 }
 
-// Half of the answer arrives, then the connection breaks. The caller must see
-// an error, not the half.
+// The connection breaks after half of the answer. The caller must get an error,
+// not the half answer.
 BOOST_FIXTURE_TEST_CASE(AnswerCutInTheMiddle, Desk) {
   fleet.Fault("desk-1", R"({"cut_body": 1})");
   const Reply first = Send("entry-1", "cut");
@@ -166,8 +167,8 @@
   Judge();
 }
 
-// The same key comes with another booking. The stored answer of the first is
-// not an answer to the second.
+// A key is reused for a different request. The stored answer of the first must
+// not be returned for the second.
 BOOST_FIXTURE_TEST_CASE(SameKeyForOtherWork, Desk) {
   BOOST_TEST(Send("entry-1", "reused").ok());
   http::Request other = Booking("reused");
@@ -177,8 +178,8 @@
   BOOST_TEST(Runs("reused") == 1);
 }
 
-// The key-value service is down. Nothing can be claimed, so nothing is run; the
-// caller is told so at once, with when to come back, and then it works.
+// The key-value service is down, so that requests can't be claimed and must not
+// run. They are refused at once with Retry-After, and run after recovery.
 BOOST_FIXTURE_TEST_CASE(ServiceDownRefusesHonestly, Desk) {
   fleet.Fault("kv", R"({"down": true})");
   const Reply refused = Send("entry-1", "down");
@@ -191,8 +192,8 @@
   BOOST_TEST(Runs("down") == 1);
 }
 
-// The claim is written, but the answer to the write is lost. Taking that for a
-// failure would refuse for good; taking it for another's claim would too.
+// The claim is written, but the answer to the write is lost. Treating that as a
+// failure, or the claim as another entry's, would refuse the request forever.
 BOOST_FIXTURE_TEST_CASE(ClaimAnswerLost, Desk) {
   fleet.Fault("kv", R"({"write_prefix": "claims/", "lose_answers": 1})");
   BOOST_TEST(Send("entry-1", "claim-lost").ok());
@@ -200,9 +201,9 @@
   Judge();
 }
 
-// The claim's write times out and lands a second later, when the caller has
-// been refused or has sent it again. The late claim must not let it run twice,
-// nor block for good a booking that never ran.
+// The claim's write times out and takes effect a second later, after the
+// request was refused or retried. The late claim must neither let it run twice
+// nor block a request that never ran.
 BOOST_FIXTURE_TEST_CASE(ClaimLandsLate, Desk) {
   fleet.Fault("kv", R"({"write_prefix": "claims/", "late_writes_ms": 1000,
                         "late_writes": 8})");
@@ -211,11 +212,11 @@
   BOOST_TEST(Runs("late") == 1);
 }
 
-/** Enough keys that each entry is the home of some. */
+/** Enough keys that each entry is the home of some of them. */
 constexpr int kKeysPerVictim = 5;
 
-// The entry that runs the bookings dies with them in progress. The caller sends
-// them again through the others.
+// An entry is killed while its requests run, and the caller retries them
+// through the other entries.
 BOOST_FIXTURE_TEST_CASE(EntryKilledWhileItRuns, Desk) {
   fleet.Fault("desk-1", R"({"delay_ms": 700})");
   for (const char* victim : kEntries) {
@@ -235,9 +236,8 @@
   Judge();
 }
 
-// An entry freezes with bookings in its hands, past every timeout, while the
-// caller sends them again elsewhere; then it wakes up and goes on where it
-// stood.
+// An entry freezes with requests in progress, past every timeout, while the
+// caller retries them elsewhere; then it resumes where it stopped.
 BOOST_FIXTURE_TEST_CASE(EntryFrozenWhileItRuns, Desk) {
   fleet.Fault("desk-1", R"({"delay_ms": 100})");
   for (const char* victim : kEntries) {
@@ -252,15 +252,15 @@
     fleet.entry(victim).process->Signal(SIGCONT);
     for (auto& [key, future] : first) {
       replies[key].push_back(future.get());
-      // Its time passed while the entry was frozen: only the outcome counts.
+      // The timeout passed while the entry was frozen: only the outcome counts.
       replies[key].back().took = milliseconds(0);
     }
   }
   Judge();
 }
 
-// The process beside the desk freezes before it has read the request, and the
-// entries give up on its link. It then wakes up and reads what was sent.
+// The endpoint process freezes before it has read the request, and the entries
+// close its link as dead. It then resumes and reads the request.
 BOOST_FIXTURE_TEST_CASE(EndpointFrozenBeforeItStarts, Desk) {
   fleet.endpoint("desk-1").process->Signal(SIGSTOP);
   const Reply first = Send("entry-1", "stuck");
@@ -270,8 +270,8 @@
   Judge();
 }
 
-// The process beside the desk is killed while the desk files the booking: what
-// it knew of started requests is gone with it.
+// The endpoint process is killed while the service runs a request, and loses
+// its record of started requests.
 BOOST_FIXTURE_TEST_CASE(EndpointKilledWhileItRuns, Desk) {
   fleet.Fault("desk-1", R"({"delay_ms": 800})");
   auto first = SendLater("entry-1", "orphan");
@@ -285,7 +285,7 @@
   Judge();
 }
 
-/** One fault that comes and goes while bookings are sent. */
+/** A fault that is switched on and off while requests are sent. */
 struct FaultKind {
   const char* name;
   std::function<void(Desk&)> begin;
@@ -328,8 +328,8 @@
   };
 }
 
-// Two faults at a time, drawn by seed, come and go while each booking is sent
-// through all entries, one after the other and at once.
+// Two faults, chosen by seed, overlap while each request is sent several times
+// through all entries.
 BOOST_FIXTURE_TEST_CASE(TwoFaultsAtATime, Desk) {
   const std::vector<FaultKind> kinds = FaultKinds();
   for (const unsigned seed : {1U, 2U, 3U, 4U, 5U, 6U, 7U, 8U}) {
--- a/tests/process.cc
+++ b/tests/process.cc
@@ -1,4 +1,4 @@
-/** @file process.cc Processes that a test starts, signals and ends. */
+/** @file process.cc Child processes of tests. */
 #include <fcntl.h>
 #include <spawn.h>
 #include <sys/wait.h>
@@ -26,8 +26,8 @@
   posix_spawn_file_actions_addopen(&actions, STDOUT_FILENO, log_path.c_str(),
                                    O_WRONLY | O_CREAT | O_APPEND, 0644);
   posix_spawn_file_actions_adddup2(&actions, STDOUT_FILENO, STDERR_FILENO);
-  // Sockets of the test itself would stay open in the child: a port that the
-  // test closes would still be taken, a connection that it resets still alive.
+  // Otherwise the child would inherit the test's sockets: a port that the test
+  // closes would stay in use, and a connection that it resets would stay open.
   posix_spawn_file_actions_addclosefrom_np(&actions, STDERR_FILENO + 1);
   std::vector<char*> argv;
   argv.reserve(args.size() + 1);
@@ -43,7 +43,7 @@
   return pid;
 }
 
-/** Reads "kind=address" lines, or one bare address (kind ""). */
+/** Reads "kind=address" lines; a line without "=" is of kind "". */
 std::map<std::string, std::string> ReadPorts(const std::string& path) {
   std::map<std::string, std::string> addresses;
   std::ifstream file(path);
--- a/tests/process_base.h
+++ b/tests/process_base.h
@@ -1,4 +1,4 @@
-/** @file process_base.h Processes that a test starts, signals and ends. */
+/** @file process_base.h Child processes of tests. */
 #ifndef SAPPHIRE_TESTS_PROCESS_BASE_H_
 #define SAPPHIRE_TESTS_PROCESS_BASE_H_
 
@@ -12,13 +12,13 @@
 
 namespace sapphire::tests {
 
-/** One child process; ended by its id when this goes out of scope. */
+/** One child process; the destructor kills it by its id. */
 class Process {
  public:
   /**
-   * @param name For messages and the log file.
+   * @param name Used in messages and for the log file.
    * @param args Program and arguments.
-   * @param directory Where `NAME.log` and `NAME.ports` go.
+   * @param directory Directory of `NAME.log` and `NAME.ports`.
    */
   Process(std::string name, std::vector<std::string> args,
           const std::string& directory);
@@ -32,14 +32,14 @@
 
   [[nodiscard]] pid_t pid() const { return pid_; }
 
-  /** Waits for the port file that the program was told to write.
+  /** Waits for the port file that the program writes.
    * @return The address of this kind ("http", "link"; "" for stand-ins). */
   std::string Address(const std::string& kind);
 
   void Signal(int signal) const;
 
-  /** @return The exit code, -1 if a signal ended it; nothing if it still runs
-   * after `limit`. */
+  /** @return The exit code, -1 if a signal ended the process; nothing if it
+   * still runs after `limit`. */
   std::optional<int> WaitForExit(std::chrono::milliseconds limit);
 
  private:
--- a/tests/refusal_test.cc
+++ b/tests/refusal_test.cc
@@ -1,5 +1,7 @@
-/** @file refusal_test.cc Every request is answered whole or refused honestly,
- * in its time. Judged by the engines' own records. */
+/** @file refusal_test.cc Tests, with the engines' records, that every request
+ * is answered completely or refused with the correct outcome, within its
+ * timeout.
+ */
 #define BOOST_TEST_MODULE refusal
 #include <fmt/format.h>
 
@@ -42,7 +44,8 @@
 
 constexpr std::array kEntries = {"entry-1", "entry-2"};
 constexpr std::array kEngines = {"engine-1", "engine-2", "engine-3"};
-/** An answer may come this much after the request's time, on a busy machine. */
+/** Allowed delay of an answer after the request's timeout, for a busy machine.
+ */
 constexpr milliseconds kSlack{5000};
 constexpr int kTokens = 12;
 
@@ -80,7 +83,7 @@
     return fleet.SendLater(fleet.EntryAddress(entry), std::move(request));
   }
 
-  /** @return True if any engine says that it began this request. */
+  /** @return True if an engine's record shows that it started this request. */
   bool Began(const std::string& id) {
     for (const char* vm : kEngines) {
       const auto record = fleet.Record(vm);
@@ -91,7 +94,7 @@
     return false;
   }
 
-  /** @return How an engine says that this request ended. */
+  /** @return The request's outcome in an engine's record; empty if none. */
   std::string OutcomeAtEngine(const std::string& id) {
     for (const char* vm : kEngines) {
       const auto record = fleet.Record(vm);
@@ -103,7 +106,7 @@
     return "";
   }
 
-  /** Holds one reply against what must always be so. */
+  /** Checks the invariants that every reply must satisfy. */
   void Judge(const std::string& id, const Reply& reply, milliseconds timeout,
              bool stream) {
     BOOST_TEST_CONTEXT(id << " " << reply.status << " " << reply.body
@@ -116,7 +119,7 @@
         BOOST_TEST(!reply.outcome().empty());
         if (reply.outcome() == "not_run") BOOST_TEST(!Began(id));
       } else {
-        // Cut: never the mark of a whole stream.
+        // A cut stream must not contain the end marker.
         BOOST_TEST(reply.body.find("[DONE]") == std::string::npos);
       }
     }
@@ -143,8 +146,8 @@
     return true;
   }
 
-  /** Sends many, streamed and not, through both entries, and judges all.
-   * @return How many were answered. */
+  /** Sends streamed and other requests through both entries and checks every
+   * reply. @return How many were answered. */
   int SendAndJudge(const std::string& name, int count, milliseconds timeout,
                    const std::function<void()>& meanwhile) {
     std::vector<std::future<Reply>> pending;
@@ -179,16 +182,16 @@
   Fleet fleet;
 };
 
-// A crowd on the quay asks at once. Answers arrive crossed and interleaved on
-// the same links: everybody must get their own, whole.
+// Many concurrent requests have their answers interleaved on the same links.
+// Each caller must get its own complete answer.
 BOOST_FIXTURE_TEST_CASE(CrossedAnswersReachTheirOwnCallers, Cabins) {
   Begin();
   BOOST_TEST(SendAndJudge("crowd", 120, milliseconds(30'000), [] {}) == 120);
 }
 
-// More ask than can be served in their time. Those who can't be are told so
-// while they can still do something else, with when to come back; they are not
-// held until their time is over.
+// More requests arrive than can be served within their timeouts. Those that
+// can't be served must be refused early with Retry-After, not held until their
+// timeouts.
 BOOST_FIXTURE_TEST_CASE(OverloadIsRefusedAtOnce, Cabins) {
   Begin();
   constexpr int kCount = 80;
@@ -205,7 +208,7 @@
     const Reply reply = pending[i].get();
     if (reply.ok()) continue;
     ++refused;
-    // Far from its deadline: not held back.
+    // Refused well before the deadline.
     BOOST_TEST((reply.took < kTimeout / 2));
     BOOST_TEST(reply.outcome() == "not_run");
     BOOST_TEST(http::FindHeader(reply.headers, "Retry-After").has_value());
@@ -215,8 +218,8 @@
   BOOST_TEST(refused < kCount);
 }
 
-// A caller allows less time than any load takes. The answer "can't be done" is
-// known at once.
+// A request whose timeout is shorter than any load must be refused without
+// being started.
 BOOST_FIXTURE_TEST_CASE(ImpossibleDeadlineStartsNothing, Cabins) {
   Begin();
   const Reply reply =
@@ -227,8 +230,8 @@
   BOOST_TEST(!Began("hasty"));
 }
 
-// An engine dies under a crowd. Callers it was answering get a whole answer
-// from elsewhere or an explicit error; nobody gets half an answer as a whole.
+// An engine crashes under load. Its callers get a complete answer from another
+// engine or an explicit error, never half an answer marked as complete.
 BOOST_FIXTURE_TEST_CASE(EngineCrashUnderACrowd, Cabins) {
   Begin();
   const int answered = SendAndJudge("crash", 60, milliseconds(20'000), [this] {
@@ -241,9 +244,9 @@
   BOOST_TEST(answered > 0);
 }
 
-// A guest's question kills every engine that runs it, and the guest asks again,
-// through another entry. Two engines is too many already; a third must not
-// follow, and the others' questions go on being answered.
+// A request crashes every engine that runs it, and its caller retries it
+// through both entries. It must be quarantined before it crashes a third
+// engine, and other requests must still be answered.
 BOOST_FIXTURE_TEST_CASE(PoisonIsNotRunAThirdTime, Cabins) {
   Begin();
   for (const char* vm : kEngines) {
@@ -263,8 +266,8 @@
   BOOST_TEST(SendAndJudge("good", 10, milliseconds(30'000), [] {}) == 10);
 }
 
-// A guest closes the phone before the answer is there. Nobody reads it any
-// more, so the engine must stop making it, and a place in a queue is given up.
+// A caller disconnects before the answer is complete. The engine must cancel
+// the request, and a queued request must leave the queue.
 BOOST_FIXTURE_TEST_CASE(CallerWhoLeavesFreesTheEngine, Cabins) {
   Begin();
   BOOST_TEST(SendAndJudge("warm", 1, milliseconds(20'000), [] {}) == 1);
@@ -280,8 +283,8 @@
   }
 }
 
-// The entry that is a model's home freezes. Callers of the other entry are not
-// left waiting for it until their time is over.
+// The entry that is the model's home freezes. Callers of the other entry must
+// not wait for it until their timeouts.
 BOOST_FIXTURE_TEST_CASE(FrozenHomeIsPassedOver, Cabins) {
   Begin();
   for (const char* victim : kEntries) {
@@ -295,8 +298,8 @@
     Judge(id, reply, milliseconds(20'000), false);
     BOOST_TEST(reply.ok());
     fleet.entry(victim).process->Signal(SIGCONT);
-    // A thawed entry finds its links lost; the balancer sends it nothing until
-    // it is ready again. The pause lets it find out.
+    // After it resumes, the entry finds its links lost, and load balancers send
+    // it nothing until it is ready again. The pause lets it detect this.
     std::this_thread::sleep_for(milliseconds(300));
     BOOST_TEST(Eventually([&] {
       return fleet.Send(fleet.EntryAddress(victim), {"GET", "/readyz", {}, ""})
@@ -305,9 +308,10 @@
   }
 }
 
-// The network between the entries and one endpoint breaks, in one direction or
-// in both, with answers under way. Callers get a whole answer from elsewhere,
-// or an explicit error; and the endpoint is used again once the cut is mended.
+// The links to two of the three endpoints drop traffic in one or both
+// directions while answers are in progress. Callers get a complete answer from
+// another endpoint or an explicit error, and requests are served after the
+// repair.
 BOOST_FIXTURE_TEST_CASE(CutLinks, Cabins) {
   std::map<std::string, Relay*> relays;
   for (const char* vm : kEngines) relays[vm] = &fleet.AddRelay(vm);
@@ -336,8 +340,8 @@
   }
 }
 
-// The key-value service is down for long. Models that are loaded go on being
-// served; a sleeping one is refused honestly, and served once it is back.
+// The key-value service is down for long. Loaded models must still be served;
+// an unloaded one is refused with `not_run` and served after recovery.
 BOOST_FIXTURE_TEST_CASE(ServiceDown, Cabins) {
   Begin();
   BOOST_TEST(SendAndJudge("warm", 4, milliseconds(20'000), [] {}) == 4);
@@ -357,8 +361,8 @@
   }));
 }
 
-// Bad input of every kind gets a typed error that names what is wrong, and the
-// entry goes on.
+// Each kind of bad input gets a typed error that names the bad field, and the
+// entry keeps serving.
 BOOST_FIXTURE_TEST_CASE(BadInputIsNamed, Cabins) {
   Begin();
   struct Row {
--- a/tests/relay.cc
+++ b/tests/relay.cc
@@ -1,4 +1,4 @@
-/** @file relay.cc A TCP relay that cuts, delays and resets connections. */
+/** @file relay.cc A TCP relay that drops, delays and resets connections. */
 #include <array>
 #include <atomic>
 #include <boost/asio/as_tuple.hpp>
@@ -28,7 +28,7 @@
 
 using Socket = std::shared_ptr<tcp::socket>;
 
-/** What happens to the bytes of one direction. */
+/** Fault settings of one direction. */
 struct Treatment {
   std::atomic<bool> cut{false};
   std::atomic<std::int64_t> delay_ms{0};
@@ -82,7 +82,7 @@
   Task<> AcceptLoop() {
     const auto self = shared_from_this();
     while (true) {
-      // Both sockets live on the relay's strand, as either pump closes both.
+      // Both sockets use the relay's strand, because either pump closes both.
       const auto near = std::make_shared<tcp::socket>(strand);
       const auto [ec] = co_await acceptor.async_accept(*near, kTuple);
       if (ec) break;
--- a/tests/relay_base.h
+++ b/tests/relay_base.h
@@ -1,4 +1,4 @@
-/** @file relay_base.h A TCP relay that cuts, delays and resets connections. */
+/** @file relay_base.h A TCP relay that drops, delays and resets connections. */
 #ifndef SAPPHIRE_TESTS_RELAY_BASE_H_
 #define SAPPHIRE_TESTS_RELAY_BASE_H_
 
@@ -10,8 +10,8 @@
 
 namespace sapphire::tests {
 
-/** Passes bytes between whoever connects and one target, until told to swallow
- * them: connections then stay open, and nothing arrives. */
+/** Forwards bytes between its clients and one target. With Cut it drops them
+ * instead, while the connections stay open. */
 class Relay {
  public:
   Relay(boost::asio::io_context& io, const std::string& target,
@@ -23,10 +23,10 @@
 
   [[nodiscard]] std::string address() const;
 
-  /** Swallows what goes to the target, and what comes from it. */
+  /** Sets whether bytes to the target, and from it, are dropped. */
   void Cut(bool to_target, bool from_target);
 
-  /** Each part is passed on this much later. */
+  /** Delays each read by this much before it is forwarded. */
   void Delay(std::chrono::milliseconds delay);
 
   /** Resets every open connection. */
--- a/tests/replica_limit_test.cc
+++ b/tests/replica_limit_test.cc
@@ -1,4 +1,5 @@
-/** @file replica_limit_test.cc Never more replicas loaded than decided. */
+/** @file replica_limit_test.cc Tests that no more replicas are loaded than the
+ * limits allow. */
 #define BOOST_TEST_MODULE replica_limit
 #include <fmt/format.h>
 
@@ -20,10 +21,10 @@
 constexpr int kBurst = 18;
 constexpr int kTokens = 4;
 constexpr int kServiceLimit = 3;
-/** Longer than a link lives without a frame in these tests. */
+/** Longer than the `dead_after_ms` of links in these tests. */
 constexpr milliseconds kFrozenFor{1500};
 
-/** "tender" 1, "quay" and "gangway" 2 each, but 3 in all. */
+/** Limits: "tender" 1, "quay" and "gangway" 2 each, and 3 in total. */
 constexpr std::string_view kIntent = R"(deployment = "meander"
 [[service]]
 name = "cabin"
@@ -72,7 +73,7 @@
                    "VM gone",
                    "order answers lost"};
 
-/** Two entries, three engines, one of which ignores fencing. */
+/** Two entries and three engines, one of which ignores fencing. */
 class Deployment {
  public:
   explicit Deployment(std::uint64_t seed)
@@ -92,7 +93,7 @@
     fleet_.Confirm(std::string(kIntent));
   }
 
-  /** Callers at both entries ask for all models at once. */
+  /** Sends requests for random models through both entries concurrently. */
   void StartBurst() {
     for (int i = 0; i < kBurst; ++i) {
       const std::string id = fmt::format("guest-{}", sent_++);
@@ -142,7 +143,7 @@
     }
   }
 
-  /** Two causes that differ, by the seed. */
+  /** @return Two different causes, chosen by the seed. */
   std::vector<Cause> PickTwo() {
     const int n = static_cast<int>(Cause::kNumber);
     const int first = Pick(n);
@@ -155,7 +156,7 @@
     fleet_.Fault("vms", R"({"lag_ms":0})");
   }
 
-  /** @return Replies that are neither whole nor a typed refusal. */
+  /** @return How many replies are neither complete nor a typed refusal. */
   int CollectBadReplies() {
     int bad = 0;
     for (auto& [id, future] : replies_) {
@@ -172,7 +173,7 @@
     return bad;
   }
 
-  /** @return True once each model is served again. */
+  /** @return True if each model is served again before a time limit. */
   bool ServesAgain() {
     return std::ranges::all_of(kModels, [this](const std::string& model) {
       return Eventually([&] {
@@ -209,7 +210,7 @@
     vms_.push_back(vm);
   }
 
-  /** @return A VM whose engine carries a load out now; else any. */
+  /** @return A VM whose engine is loading a model; any VM if none is found. */
   std::string LoadingVm() {
     std::string found;
     Eventually(
@@ -240,7 +241,7 @@
     fleet_.endpoint(vm).process->Signal(SIGCONT);
   }
 
-  /** The platform takes a VM back and gives another in its place. */
+  /** Removes a VM, as the platform may, and adds another. */
   void LoseVm() {
     const std::string vm = LoadingVm();
     EndpointVm& it = fleet_.endpoint(vm);
@@ -274,9 +275,9 @@
              kServiceLimit);
 }
 
-// A ship docks and guests at every entry ask for sleeping models. Each entry
-// and each endpoint alone sees a reason to load, and together they would load
-// more than operators decided: another service's models get no memory.
+// Bursts at all entries request unloaded models. Each entry and endpoint on its
+// own has a reason to load, and without coordination they would together exceed
+// the limits and take the memory of another service's models.
 BOOST_AUTO_TEST_CASE(BurstsAtAllEntriesStayWithinLimits) {
   Deployment deployment(1);
   for (int i = 0; i < 3; ++i) {
@@ -301,9 +302,9 @@
   CheckLimits(deployment);
 }
 
-// A burst, and in the middle of it one failure: a ledger write whose answer is
-// lost or that lands late, a process killed or frozen while its engine loads, a
-// VM taken away, a list that lags. A book that is wrong afterwards would let
+// One failure occurs during a burst: a ledger write whose answer is lost or
+// that takes effect late, a process killed or frozen while its engine loads, a
+// VM removed, a VM list that lags. A ledger that is wrong afterwards would let
 // one replica too many be loaded.
 BOOST_DATA_TEST_CASE(
     NoFailureLoadsOneTooMany,
@@ -312,7 +313,7 @@
   BurstWith(deployment, {static_cast<Cause>(cause)});
 }
 
-// The same with two failures in one burst, as the seed picks them.
+// The same with two failures in one burst, chosen by the seed.
 BOOST_DATA_TEST_CASE(NoTwoFailuresLoadOneTooMany,
                      boost::unit_test::data::make(std::vector<std::uint64_t>{
                          11, 12, 13, 14, 15, 16, 17, 18}),
