--- a/bench/fleet.cc
+++ b/bench/fleet.cc
@@ -1,4 +1,4 @@
-/** @file fleet.cc Loads, unloads and idle time at one engine. */
+/** @file fleet.cc Loads, unloads and idle time of one simulated engine. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -10,13 +10,14 @@
 
 namespace {
 
-/** Checkpoints that a machine keeps beside its accelerator. */
+/** How many checkpoints a machine caches in memory and on disk. */
 constexpr std::size_t kMemoryCache = 3;
 constexpr std::size_t kDiskCache = 8;
 
 using ModelSet = std::set<core::ModelId>;
 
-/** Moves `model` to the front and drops what no longer fits. */
+/** Moves `model` to the front of the LRU cache and evicts the last if it is
+ * over the limit; `tier` becomes the set of cached models. */
 void Remember(std::deque<core::ModelId>& cache, ModelSet& tier,
               const core::ModelId& model, std::size_t limit) {
   std::erase(cache, model);
@@ -61,7 +62,7 @@
   bool in_use = false;
   for (std::size_t i = 0; i < engine.times.size(); ++i) {
     const policy::ReplicaView& replica = engine.view.replicas[i];
-    // A load that nobody waits for holds the accelerator as idly as a replica.
+    // A staging load that no caller waits for counts as an idle replica.
     const bool loading = replica.state == policy::ReplicaState::kLoading &&
                          !engine.times[i].staging;
     in_use = in_use || loading || replica.running > 0;
--- a/bench/fleet_func.h
+++ b/bench/fleet_func.h
@@ -1,4 +1,4 @@
-/** @file fleet_func.h Loads, unloads and idle time at one engine. */
+/** @file fleet_func.h Loads, unloads and idle time of one simulated engine. */
 #ifndef SAPPHIRE_BENCH_FLEET_FUNC_H_
 #define SAPPHIRE_BENCH_FLEET_FUNC_H_
 
@@ -9,25 +9,26 @@
 
 namespace sapphire::bench {
 
-/** @return The engines as the day begins. */
+/** @return The engines in their state at the start of the day. */
 std::vector<EngineState> MakeFleet(const Workload& workload);
 
-/** @return The index of the model's replica; -1 if it holds none. */
+/** @return The index of the model's replica; -1 if the engine has none. */
 int ReplicaAt(const EngineState& engine, int model);
 
-/** Adds idle time up to `now`; comes before every change at the engine. */
+/** Adds idle time up to `now` to the result; must be called before every change
+ * to the engine. */
 void Settle(EngineState& engine, Millis now, Result& result);
 
 /** Reserves memory for a replica that starts to load. */
 void AddReplica(EngineState& engine, const Workload& workload, int model);
 
-/** Unloads a replica; its checkpoint stays in the machine's memory. */
+/** Unloads a replica; its checkpoint stays cached in the machine's memory. */
 void RemoveReplica(EngineState& engine, int model);
 
-/** Notes that a checkpoint has come to the machine's disk. */
+/** Adds a checkpoint to the machine's disk cache. */
 void CacheOnDisk(EngineState& engine, const core::ModelId& model);
 
-/** Brings the relative times of the view up to `now`. */
+/** Updates the relative times in the view to `now`. */
 void RefreshView(EngineState& engine, Millis now);
 
 }  // namespace sapphire::bench
--- a/bench/fleet_type.h
+++ b/bench/fleet_type.h
@@ -1,4 +1,4 @@
-/** @file fleet_type.h The engines of the bench and what they hold. */
+/** @file fleet_type.h State of the simulated engines. */
 #ifndef SAPPHIRE_BENCH_FLEET_TYPE_H_
 #define SAPPHIRE_BENCH_FLEET_TYPE_H_
 
@@ -10,15 +10,16 @@
 
 namespace sapphire::bench {
 
-/** Times of one replica; stands beside its ReplicaView. */
+/** Times and flags of one replica, in addition to its ReplicaView. */
 struct ReplicaTimes {
   int model = 0;
   Millis idle_since{0};
   Millis ready_at{0};
   Millis keep_alive{0};
-  /** Loads from the weight store and has a lane. */
+  /** Whether it is loaded from the weight store and so takes a lane. */
   bool holds_lane = false;
-  /** Loads to have the checkpoint near; no caller asked for it. */
+  /** Whether it is loaded only to cache the checkpoint locally; no caller
+   * requested it. */
   bool staging = false;
 };
 
@@ -29,9 +30,9 @@
   /** Checkpoints in the machine's memory and on its disk, newest first. */
   std::deque<core::ModelId> memory_cache;
   std::deque<core::ModelId> disk_cache;
-  /** When the engine has carried out its last order. */
+  /** When the engine finishes its last order. */
   Millis orders_done{0};
-  /** Up to when idle time has been added up. */
+  /** Time up to which idle time has been added to the result. */
   Millis settled{0};
 };
 
--- a/bench/load.cc
+++ b/bench/load.cc
@@ -1,4 +1,4 @@
-/** @file load.cc Sends many requests and measures their answers. */
+/** @file load.cc Load generator that measures latencies and failures. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -43,7 +43,7 @@
           boost::json::serialize(body)};
 }
 
-/** Shared by all workers of a run, on one thread. */
+/** State that all workers of a run share, on one thread. */
 struct Run {
   const LoadPlan& plan;
   http::Client client;
--- a/bench/load_func.h
+++ b/bench/load_func.h
@@ -1,4 +1,4 @@
-/** @file load_func.h Sends many requests and measures their answers. */
+/** @file load_func.h Load generator that measures latencies and failures. */
 #ifndef SAPPHIRE_BENCH_LOAD_FUNC_H_
 #define SAPPHIRE_BENCH_LOAD_FUNC_H_
 
@@ -9,15 +9,15 @@
 
 namespace sapphire::bench {
 
-/** Runs a plan to its end on the calling thread. */
+/** Runs a plan to completion on the calling thread. */
 LoadResult RunLoad(const LoadPlan& plan);
 
-/** @return The time that `share` of the sorted times don't exceed; 0 of none.
- */
+/** @return The nearest-rank quantile `share` (0 to 1) of sorted times; 0 if
+ * empty. */
 std::chrono::microseconds Quantile(
     const std::vector<std::chrono::microseconds>& sorted, double share);
 
-/** @return The result in a few lines, or as one JSON object. */
+/** @return The result as a few lines of text or as one JSON object. */
 std::string ShowLoad(std::string_view name, const LoadResult& result,
                      bool as_json);
 
--- a/bench/load_type.h
+++ b/bench/load_type.h
@@ -1,4 +1,4 @@
-/** @file load_type.h What a load run is told and what it saw. */
+/** @file load_type.h Parameters and results of a load run. */
 #ifndef SAPPHIRE_BENCH_LOAD_TYPE_H_
 #define SAPPHIRE_BENCH_LOAD_TYPE_H_
 
@@ -10,7 +10,7 @@
 
 namespace sapphire::bench {
 
-/** Bounded in count and time. */
+/** Parameters of a load run, which is limited in requests and time. */
 struct LoadPlan {
   /** Address of an entry or of an engine, "ip:port". */
   std::string target;
@@ -19,18 +19,18 @@
   int concurrency = 1;
   int max_tokens = 8;
   bool stream = false;
-  /** Of one request. */
+  /** Timeout of one request. */
   std::chrono::milliseconds timeout{30'000};
   /** No request starts after this time. */
   std::chrono::milliseconds limit{60'000};
 };
 
 struct LoadResult {
-  /** Of whole answers, sorted. */
+  /** Times to the end of complete answers, sorted. */
   std::vector<std::chrono::microseconds> total;
-  /** Until the first part of the body, sorted. */
+  /** Times to the first part of the body, sorted. */
   std::vector<std::chrono::microseconds> first;
-  /** By status or by what went wrong below HTTP. */
+  /** Count by HTTP status or by kind of transport failure. */
   std::map<std::string, int> failures;
   std::int64_t tokens = 0;
   std::chrono::microseconds took{};
--- a/bench/paired_days.py
+++ b/bench/paired_days.py
@@ -1,15 +1,15 @@
 #!/usr/bin/env python3
 """Plays the same days and seeds on two or more checkouts and compares them.
 
-Policies are compared on paired seeds without processor time: a play then
-repeats to the digit, so a difference is the policy's, and its standard error
-says how far it may be luck of the seeds drawn.
+Policies are compared on paired seeds without processor time: a play is then
+deterministic, so that a difference comes from the policy, and its standard
+error shows how much may be due to the choice of seeds.
 
   bench/paired_days.py --bench PROGRAM --site SITE --days trouble-1,scale-1 \
       --seeds 1,2,3,4,5,6,7,8 CHECKOUT [CHECKOUT...]
 
-The first checkout is what the others are compared with. Every checkout must
-have been built with `PROGRAM build` before.
+The other checkouts are compared with the first. Every checkout must have been
+built with `PROGRAM build` before.
 """
 import argparse
 import concurrent.futures
@@ -22,7 +22,7 @@
 import sys
 import tempfile
 
-# Longest single play, seconds: a day of 66 machines takes 70 to 130 s.
+# Timeout of one play in seconds; a day of 66 machines takes 70 to 130 s.
 PLAY_LIMIT_S = 570
 
 
@@ -44,7 +44,7 @@
 
 
 def play(options, it):
-    """Plays one day. Returns nothing where the play gave no report."""
+    """Plays one day. Returns None if the play wrote no report."""
     with tempfile.TemporaryDirectory() as folder:
         report = pathlib.Path(folder) / "report.json"
         command = [options.bench, "run", options.site, it.day, "--seed",
--- a/bench/report.cc
+++ b/bench/report.cc
@@ -1,4 +1,4 @@
-/** @file report.cc The table of policies, and whether the goal is met. */
+/** @file report.cc Table that compares policies, and whether goals are met. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -18,10 +18,10 @@
 constexpr unsigned kThreads = 4;
 constexpr double kGoalCostRatio = 0.8;
 
-/** Ours, and ours without a part; the rest are baselines. */
+/** The first rows are our policy and its variants; the rest are baselines. */
 constexpr std::size_t kOwnRows = 4;
 
-/** The policies of the table; ours comes first. */
+/** @return The policies of the table; ours is the first. */
 std::vector<PolicyChoice> Choices() {
   using std::chrono::seconds;
   return {
@@ -60,7 +60,7 @@
   };
 }
 
-/** One line of the table, as means over the days. */
+/** One line of the table; means over the days. */
 struct Row {
   std::string name;
   double cold_starts = 0;
@@ -75,7 +75,7 @@
   double replica_hours = 0;
   double loads = 0;
   double cost = 0;
-  /** The cost if idle replica time is priced in place of accelerator time. */
+  /** The cost with idle replica time instead of idle accelerator time. */
   double replica_cost = 0;
 };
 
@@ -114,7 +114,7 @@
   return row;
 }
 
-/** Runs all policies on all days, a few at a time. */
+/** Runs all policies on all days, kThreads at a time. */
 std::vector<Row> RunAll(std::span<const Workload> days) {
   const auto choices = Choices();
   std::vector<Result> results(choices.size() * days.size());
--- a/bench/report_func.h
+++ b/bench/report_func.h
@@ -1,4 +1,5 @@
-/** @file report_func.h The table of policies, and whether the goal is met. */
+/** @file report_func.h Table that compares policies, and whether goals are met.
+ */
 #ifndef SAPPHIRE_BENCH_REPORT_FUNC_H_
 #define SAPPHIRE_BENCH_REPORT_FUNC_H_
 
@@ -11,9 +12,9 @@
 namespace sapphire::bench {
 
 /**
- * Runs every policy over the seeds and writes the table of one deployment.
- * @param title Says which seeds these are.
- * @return The table, as Markdown, and one line for each part of the goal.
+ * Runs every policy with each seed for one deployment.
+ * @param title Names the set of seeds.
+ * @return The Markdown table, followed by the results of both goals.
  */
 std::string ReportDeployment(Deployment deployment, Pressure pressure,
                              const std::string& title,
--- a/bench/sapphire_config_bench_main.cc
+++ b/bench/sapphire_config_bench_main.cc
@@ -1,4 +1,5 @@
-/** @file sapphire_config_bench_main.cc What a configuration costs by size. */
+/** @file sapphire_config_bench_main.cc Measures encoded size, and encoding,
+ * decoding and parsing time, of configurations by size. */
 #include <fmt/format.h>
 
 #include <array>
@@ -23,7 +24,7 @@
   int adapters;
 };
 
-/** From today's deployments to beyond the target of letter 1. */
+/** From the size of the present deployments to beyond the capacity target. */
 constexpr std::array kSizes = {
     Size{50, 40},     Size{65, 75},        Size{250, 2'000},
     Size{750, 7'000}, Size{1'500, 14'000}, Size{2'000, 20'000},
@@ -52,7 +53,9 @@
   return intent;
 }
 
-/** @return The shortest of a few runs: the least disturbed one. */
+/** @return The shortest of kRounds runs, which was disturbed least by other
+ * load.
+ */
 template <typename Work>
 double BestMillis(Work work) {
   double best = 0;
@@ -71,7 +74,7 @@
   return bytes;
 }
 
-/** @return The bytes of the parts that changing one model makes new. */
+/** @return The bytes of the new parts after one model is changed. */
 std::size_t ChangeBytes(contract::Intent intent,
                         const contract::EncodedConfig& before) {
   std::set<std::string> known;
--- a/bench/sapphire_home_bench_main.cc
+++ b/bench/sapphire_home_bench_main.cc
@@ -1,5 +1,5 @@
-/** @file sapphire_home_bench_main.cc What the home's decisions cost, by the
- * size of the fleet: processor time and memory, for docs/CAPACITY.md. */
+/** @file sapphire_home_bench_main.cc Measures processor time and memory of the
+ * home's decisions by fleet size, for docs/CAPACITY.md. */
 #include <fmt/format.h>
 
 #include <chrono>
@@ -23,7 +23,7 @@
 using entry::LoadOrder;
 using entry::Slot;
 
-/** The target of letter 1: 6,000 engines, 1,500 models. */
+/** Up to the capacity target of 6,000 engines and 1,500 models. */
 constexpr int kSizes[] = {12, 100, 1000, 3000, 6000};
 constexpr int kEnginesPerModel = 4;
 constexpr int kModelsPerEngine = 3;
@@ -40,7 +40,7 @@
   return core::EndpointId(fmt::format("endpoint-{:05}", i));
 }
 
-/** The last model sleeps: no engine holds it. */
+/** The last model isn't loaded on any engine. */
 KnownEndpoint MakeEndpoint(int i, int models) {
   KnownEndpoint known;
   known.id = EndpointNamed(i);
@@ -96,7 +96,7 @@
   return 0;
 }
 
-/** One row of the table. */
+/** Measures and prints one row of the table. */
 void Measure(int engines) {
   const int models = std::max(engines / kEnginesPerModel, 8);
   const core::SystemClock clock;
@@ -137,7 +137,8 @@
   const double burst = NanosEach(kRounds, [&](int) {
     fleet.Decide(MakeRequest(models - 1, 1), service, loads);
   });
-  // Replicas full, limit not reached: a queue that might be worth a replica.
+  // Model 0's replicas are full and its replica limit isn't reached, so that
+  // decisions consider whether its queue justifies another replica.
   for (int i = 0; i < engines; ++i) {
     const Slot slot{.endpoint = EndpointNamed(i), .model = ModelNamed(0)};
     const bool holds = fleet.HasReplica(slot.endpoint, slot.model);
--- a/bench/sapphire_load_main.cc
+++ b/bench/sapphire_load_main.cc
@@ -1,4 +1,5 @@
-/** @file sapphire_load_main.cc Loads an entry, and an engine beside it. */
+/** @file sapphire_load_main.cc Load generator for an entry and, for comparison,
+ * an engine. */
 #include <fmt/format.h>
 
 #include <CLI/CLI.hpp>
--- a/bench/sapphire_policy_bench_main.cc
+++ b/bench/sapphire_policy_bench_main.cc
@@ -1,4 +1,4 @@
-/** @file sapphire_policy_bench_main.cc The policies' table in virtual time. */
+/** @file sapphire_policy_bench_main.cc Compares policies in virtual time. */
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <span>
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::uint64_t kTuningSeeds[] = {11, 12, 13, 14, 15, 16, 17, 18};
-/** Heavy days take long: fewer of them. */
+/** Heavy days take longer to simulate, so fewer seeds are used. */
 constexpr std::size_t kHeavySeeds = 4;
 constexpr std::uint64_t kHeldOutSeeds[] = {91, 92, 93, 94};
 
--- a/bench/sapphire_quota_bench_main.cc
+++ b/bench/sapphire_quota_bench_main.cc
@@ -1,5 +1,5 @@
-/** @file sapphire_quota_bench_main.cc What identifying a request and charging
- * it to its quota costs, by the number of entries. */
+/** @file sapphire_quota_bench_main.cc Measures the time to identify a request's
+ * organisation and charge its quota, by the number of entries. */
 #include <fmt/format.h>
 
 #include <chrono>
--- a/bench/simulation.cc
+++ b/bench/simulation.cc
@@ -1,4 +1,4 @@
-/** @file simulation.cc Callers: arrival, queue, run and end. */
+/** @file simulation.cc Simulated requests: arrival, queue, run and end. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -15,9 +15,9 @@
 using policy::PlacementAction;
 using policy::ReplicaState;
 
-/** How far ahead the cost of an eviction is looked at. */
+/** Horizon over which the cost of an eviction is estimated. */
 constexpr Millis kReloadHorizon = std::chrono::minutes(10);
-/** A request slows down by this part for each one beside it. */
+/** Relative slowdown of a request per concurrent request on its engine. */
 constexpr double kSlowdownPerRequest = 1.0 / 32;
 
 double SecondsOf(Millis duration) {
@@ -126,7 +126,8 @@
   --owners_[Spec(event.model).owner].running;
   const Arrival& caller = Caller(event.request);
   if (now_ > caller.at + caller.limit) ++result_.late;
-  // The engine's own limit may have held back other models' requests too.
+  // The engine's concurrency limit may also have delayed requests of the other
+  // models that it holds.
   std::vector<int> models;
   for (const ReplicaTimes& times : engine.times) models.push_back(times.model);
   for (const int model : models) ServeQueue(model);
@@ -147,7 +148,7 @@
     }
     views_.push_back(engine.view);
     if (choice_.rest != RestPolicy::kNeverUnload) continue;
-    // Evictions that would free nothing are never chosen.
+    // With size 0 an eviction would free nothing and is never chosen.
     for (auto& replica : views_.back().replicas) replica.bytes = 0;
   }
 }
@@ -163,7 +164,7 @@
   }
   ask.replica_bytes = spec.bytes;
   ask.max_replicas = spec.max_replicas;
-  // Without a service named, no eviction is made for its limit.
+  // Without a service name, no replica is evicted for the service's limit.
   if (choice_.rest != RestPolicy::kNeverUnload) {
     ask.service = core::ServiceId(workload_.name);
   }
@@ -172,7 +173,7 @@
     ask.service_replicas += static_cast<int>(engine.times.size());
   }
   ask.remaining = caller.at + caller.limit - now_;
-  // The deployment's own figure until the first request has ended.
+  // Uses the model's specified time until the first request has ended.
   const auto& times = service_times_[static_cast<std::size_t>(caller.model)];
   const Millis learnt = policy::ConservativeServiceTime(times);
   ask.service_time = learnt.count() > 0 ? learnt : spec.service_time;
--- a/bench/simulation_base.h
+++ b/bench/simulation_base.h
@@ -1,4 +1,4 @@
-/** @file simulation_base.h One virtual day: an event queue around decisions. */
+/** @file simulation_base.h Discrete-event simulation of one day. */
 #ifndef SAPPHIRE_BENCH_SIMULATION_BASE_H_
 #define SAPPHIRE_BENCH_SIMULATION_BASE_H_
 
@@ -17,10 +17,10 @@
 
 namespace sapphire::bench {
 
-/** How often a model to stage is looked for. */
+/** Interval between searches for a model to stage. */
 inline constexpr Millis kStagingInterval = std::chrono::seconds(20);
 
-/** What happens next. */
+/** Kind of a simulated event. */
 enum class EventKind {
   kArrival,
   kEnd,
@@ -31,10 +31,10 @@
   kGiveUp
 };
 
-/** One entry of the event queue; the numbers are indexes. */
+/** One entry of the event queue; engine, model and request are indexes. */
 struct Event {
   Millis at{0};
-  /** Keeps events of one moment in the order they were made. */
+  /** Orders events of the same time by creation. */
   std::int64_t order = 0;
   EventKind kind = EventKind::kArrival;
   int engine = 0;
@@ -42,7 +42,7 @@
   int request = 0;
 };
 
-/** Order of the event queue: earliest first. */
+/** Orders the event queue by time, earliest first. */
 struct Later {
   bool operator()(const Event& a, const Event& b) const {
     return std::tie(a.at, a.order) > std::tie(b.at, b.order);
@@ -56,16 +56,16 @@
   int model = 0;
 };
 
-/** @return The moment as the decisions take it. */
+/** @return The simulated time as the type that the policy functions take. */
 inline core::SteadyTime TimeOf(Millis at) { return core::SteadyTime(at); }
 
-/** Plays one workload with one policy, once. No clock is read. */
+/** Simulates one workload with one policy, once. Reads no clock. */
 class Simulation {
  public:
   /** @pre Both outlive the simulation. */
   Simulation(const Workload& workload, const PolicyChoice& choice);
 
-  /** Plays the day. */
+  /** Simulates the whole day; call it once. */
   Result Run();
 
  private:
@@ -80,17 +80,18 @@
   void OnStaging();
   void OnGiveUp(int request);
 
-  /** Queues a request until it starts or its time gets too short. */
+  /** Queues a request until it starts or can't finish before its limit. */
   void Enqueue(int request);
 
-  /** @return The decision for a request, given how many wait before it. */
+  /** @return The placement of a request with `ahead` requests before it. */
   policy::PlacementDecision Decide(int request, int ahead);
-  /** Takes requests off the model's queue while they can start. */
+  /** Starts or refuses queued requests of the model until one must wait. */
   void ServeQueue(int model);
   void Start(int request, const core::EndpointId& endpoint);
   void StartLoad(int model, const policy::PlacementDecision& decision,
                  Millis deadline);
-  /** Loads from the weight store as soon as a lane is granted. */
+  /** Requests a lane for a load from the weight store, which starts once the
+   * lane is granted. */
   void BidForLane(int engine_index, int model, Millis deadline,
                   bool caller_waits);
   void BeginTransfer(int engine_index, int model, Millis transfer);
@@ -122,7 +123,7 @@
   std::vector<policy::ArrivalHistory> histories_;
   std::vector<std::vector<int>> queues_;
   std::vector<policy::ServiceTimes> service_times_;
-  /** Requests that found no ready replica. */
+  /** Whether each request found no ready replica on arrival. */
   std::vector<bool> cold_;
   std::map<core::OwnerId, policy::OwnerUse> owners_;
   std::vector<PendingLoad> pending_;
--- a/bench/simulation_func.h
+++ b/bench/simulation_func.h
@@ -1,4 +1,4 @@
-/** @file simulation_func.h Drives the decisions through one virtual day. */
+/** @file simulation_func.h Runs the policy functions in a simulated day. */
 #ifndef SAPPHIRE_BENCH_SIMULATION_FUNC_H_
 #define SAPPHIRE_BENCH_SIMULATION_FUNC_H_
 
@@ -7,7 +7,7 @@
 
 namespace sapphire::bench {
 
-/** Plays the workload with this policy. No clock is read. */
+/** Simulates the workload with this policy. Reads no clock. */
 Result Simulate(const Workload& workload, const PolicyChoice& choice);
 
 /** Adds `day` to `sum`. */
--- a/bench/simulation_load.cc
+++ b/bench/simulation_load.cc
@@ -1,4 +1,5 @@
-/** @file simulation_load.cc Replicas: loads, lanes, staging and unloads. */
+/** @file simulation_load.cc Simulated replicas: loads, lanes, staging and
+ * unloads. */
 #include <algorithm>
 
 #include "bench/fleet_func.h"
@@ -28,7 +29,8 @@
   Rest(event.engine, event.model);
 }
 
-/** Starts a replica's idle time if it runs nothing. */
+/** Starts a replica's idle time if it runs no request, and schedules the check
+ * whether to unload it. */
 void Simulation::Rest(int engine_index, int model) {
   EngineState& engine = fleet_[static_cast<std::size_t>(engine_index)];
   const int index = ReplicaAt(engine, model);
--- a/bench/simulation_type.h
+++ b/bench/simulation_type.h
@@ -1,4 +1,4 @@
-/** @file simulation_type.h A policy to try, and what it came to. */
+/** @file simulation_type.h Policy and results of a simulation. */
 #ifndef SAPPHIRE_BENCH_SIMULATION_TYPE_H_
 #define SAPPHIRE_BENCH_SIMULATION_TYPE_H_
 
@@ -13,34 +13,35 @@
 /** When an idle replica is unloaded. */
 enum class RestPolicy {
   kPriced,  ///< Ours: priced keep-alive, shared by an accelerator's replicas.
-  /** The same price, but each replica leaves when its own time is up. */
+  /** The same price, but each replica is unloaded after its own keep-alive. */
   kPricedApart,
-  kPricedAlone,  ///< Priced as if each replica had an accelerator of its own.
+  kPricedAlone,  ///< Priced as if each replica had its own accelerator.
   kNeverUnload,
   kUnloadAtOnce,
   kFixedTimeout,
-  kLeastRecentlyUsed,  ///< Only to make room, the longest idle first.
+  kLeastRecentlyUsed,  ///< Only if memory is needed, the longest idle first.
 };
 
 struct PolicyChoice {
   std::string name;
   RestPolicy rest = RestPolicy::kPriced;
-  /** Of kFixedTimeout. */
+  /** Idle time before an unload; for kFixedTimeout. */
   policy::Millis timeout{0};
-  /** Loads models without a local copy while the weight store is idle. */
+  /** Whether models without a local copy are loaded while the weight store is
+   * idle. */
   bool stages = false;
 };
 
-/** Sums over one or more days. */
+/** Results of a simulation, summed over one or more days. */
 struct Result {
-  /** Callers that found no ready replica and were served. */
+  /** Waits of served callers that found no ready replica. */
   std::vector<policy::Millis> cold_waits;
-  /** All callers; a refused one counts with its whole time limit. */
+  /** Waits of all callers; a refused one counts with its whole time limit. */
   std::vector<policy::Millis> all_waits;
   std::int64_t refused = 0;
-  /** Of them, those refused after a wait in the queue. */
+  /** How many of `refused` had waited in the queue. */
   std::int64_t refused_waiting = 0;
-  /** Ended after the caller's time limit. */
+  /** Requests that ended after the caller's time limit. */
   std::int64_t late = 0;
   std::int64_t loads = 0;
   double idle_accelerator_seconds = 0;
--- a/bench/slopes.cc
+++ b/bench/slopes.cc
@@ -1,4 +1,4 @@
-/** @file slopes.cc What one decision costs as the fleet grows. */
+/** @file slopes.cc Measures the time of policy decisions by fleet size. */
 #include <fmt/format.h>
 
 #include <chrono>
@@ -22,7 +22,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-/** Each figure is taken over at least this long. */
+/** Minimum duration of each measurement. */
 constexpr std::chrono::milliseconds kMeasureFor{200};
 constexpr int kEndpointSizes[] = {12, 100, 1000, 3000, 6000};
 constexpr int kEntrySizes[] = {4, 40, 120, 370};
@@ -72,7 +72,7 @@
   return request;
 }
 
-/** Runs `call` for a while. @return Nanoseconds a call. */
+/** Runs `call` for at least kMeasureFor. @return Nanoseconds per call. */
 double NanosPerCall(const std::function<void()>& call) {
   call();
   std::int64_t calls = 0;
@@ -87,7 +87,7 @@
          static_cast<double>(calls);
 }
 
-/** One decision at each of its sizes. */
+/** Measures one decision at each size. @return A row of the table. */
 std::string Line(const std::string& name, std::span<const int> sizes,
                  const std::function<std::function<void()>(int)>& prepare) {
   std::vector<double> nanos;
--- a/bench/slopes_func.h
+++ b/bench/slopes_func.h
@@ -1,4 +1,4 @@
-/** @file slopes_func.h What one decision costs as the fleet grows. */
+/** @file slopes_func.h Measures the time of policy decisions by fleet size. */
 #ifndef SAPPHIRE_BENCH_SLOPES_FUNC_H_
 #define SAPPHIRE_BENCH_SLOPES_FUNC_H_
 
@@ -6,7 +6,7 @@
 
 namespace sapphire::bench {
 
-/** @return Time per call of each decision at several sizes, as Markdown. */
+/** @return The time per call of each decision by size, as a Markdown table. */
 std::string ReportSlopes();
 
 }  // namespace sapphire::bench
--- a/bench/workload.cc
+++ b/bench/workload.cc
@@ -1,4 +1,4 @@
-/** @file workload.cc Makes a deployment's day from a seed. */
+/** @file workload.cc Generates one day of a deployment's load from a seed. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -17,14 +17,14 @@
 constexpr std::int64_t kGigabyte = 1'000'000'000;
 constexpr std::int64_t kEngineBytes = 80 * kGigabyte;
 constexpr Millis kDay = std::chrono::hours(24);
-/** Transfer speeds of the three tiers, in bytes a millisecond. */
+/** Transfer speeds of the three tiers, in bytes per millisecond. */
 constexpr std::int64_t kMemorySpeed = 16'000'000;
 constexpr std::int64_t kDiskSpeed = 5'000'000;
 constexpr std::int64_t kRemoteSpeed = 2'500'000;
-/** What an engine takes to start a model beside the transfer. */
+/** Time to start a model, in addition to the transfer. */
 constexpr Millis kEngineStart{600};
 
-/** What differs between the two deployments. */
+/** Parameters that differ between the two deployments. */
 struct Profile {
   std::string name;
   int engines;
@@ -34,13 +34,13 @@
   int service_max_replicas;
   policy::StoreLimits store;
   policy::CostWeights weights;
-  /** Sessions an hour over all models, outside of bursts. */
+  /** Sessions per hour over all models, outside of bursts. */
   double sessions_per_hour;
   Millis limit;
-  /** When bursts come, in minutes of the day. */
+  /** Start times of bursts, in minutes of the day. */
   std::vector<double> burst_minutes;
   double burst_jitter_minutes;
-  /** Models that one burst wakes, and sessions for each. */
+  /** Models drawn per burst, and about the mean number of sessions of each. */
   int burst_models;
   int burst_sessions;
   Millis burst_spread;
@@ -109,7 +109,8 @@
   return loads;
 }
 
-/** How callers use a model: conversations, drafts in a few steps, one-offs. */
+/** How callers use a model: conversations, drafts in a few steps, single calls.
+ */
 struct UseKind {
   double calls;
   Millis think_time;
@@ -130,7 +131,7 @@
   model.service_time = Millis(1000 + Below(random, 2500));
   model.max_replicas = index < 6 ? 2 : 1;
   model.owner = core::OwnerId(fmt::format("owner-{}", index % profile.owners));
-  // Popularity by Zipf's law: most models are called a few times a day.
+  // Popularity follows Zipf's law: most models are called a few times a day.
   model.session_rate = rate_scale / (index + 1);
   const UseKind& use = kUseKinds[static_cast<std::size_t>(
       Below(random, static_cast<int>(kUseKinds.size())))];
@@ -160,7 +161,7 @@
   return models;
 }
 
-/** Adds one session's calls, from its first at `start`. */
+/** Adds the calls of one session, the first at `start`. */
 void AddSession(Random& random, const Profile& profile, Workload& workload,
                 int index, Millis start) {
   const ModelSpec& model = workload.models[static_cast<std::size_t>(index)];
@@ -191,7 +192,8 @@
   }
 }
 
-/** One ship docks, or booths open: several models wake at once. */
+/** Adds sessions of several models at about the same time, as when a ship docks
+ * or booths open. */
 void AddBurst(Random& random, const Profile& profile, Workload& workload,
               Millis start) {
   for (int i = 0; i < profile.burst_models; ++i) {
--- a/bench/workload_func.h
+++ b/bench/workload_func.h
@@ -1,4 +1,5 @@
-/** @file workload_func.h Makes a deployment's day from a seed. */
+/** @file workload_func.h Generates one day of a deployment's load from a seed.
+ */
 #ifndef SAPPHIRE_BENCH_WORKLOAD_FUNC_H_
 #define SAPPHIRE_BENCH_WORKLOAD_FUNC_H_
 
@@ -8,7 +9,7 @@
 
 namespace sapphire::bench {
 
-/** @return The same day for the same seed, whatever the policy. */
+/** @return One day's workload; the same for the same arguments. */
 Workload MakeWorkload(Deployment deployment, Pressure pressure,
                       std::uint64_t seed);
 
--- a/bench/workload_type.h
+++ b/bench/workload_type.h
@@ -1,4 +1,4 @@
-/** @file workload_type.h A deployment and one day of its callers. */
+/** @file workload_type.h A deployment and one day of its load. */
 #ifndef SAPPHIRE_BENCH_WORKLOAD_TYPE_H_
 #define SAPPHIRE_BENCH_WORKLOAD_TYPE_H_
 
@@ -17,10 +17,10 @@
 
 enum class Deployment { kMeander, kHanbit };
 
-/** How hard the day is. */
+/** Load level of the day. */
 enum class Pressure {
   kUsual,
-  kHeavy,  ///< Callers wait 6 s at most and bursts bring four times as many.
+  kHeavy,  ///< Time limit 6 s, and four times as many sessions per burst.
 };
 
 struct ModelSpec {
@@ -31,12 +31,12 @@
   int max_replicas = 1;
   std::vector<core::AdapterId> adapters;
   core::OwnerId owner;
-  /** Sessions a second that start outside of bursts. */
+  /** Sessions per second that start outside of bursts. */
   double session_rate = 0;
-  /** Mean calls of one session, and the mean pause between them. */
+  /** Mean calls per session, and the mean pause between them. */
   double session_calls = 1;
   Millis think_time{0};
-  /** Engines whose disk holds the checkpoint when the day begins. */
+  /** Engines whose disk has the checkpoint at the start of the day. */
   std::vector<int> on_disk;
 };
 
@@ -44,7 +44,7 @@
 struct Arrival {
   Millis at{0};
   int model = 0;
-  /** Index into the model's adapters; negative: none. */
+  /** Index into the model's adapters; negative if none. */
   int adapter = -1;
   int zone = 0;
   Millis limit{0};
@@ -61,7 +61,7 @@
   policy::CostWeights weights;
   Millis length{0};
   std::vector<ModelSpec> models;
-  /** In order of time. */
+  /** Ordered by time. */
   std::vector<Arrival> arrivals;
 };
 
--- a/demo/sapphire_demo_main.cc
+++ b/demo/sapphire_demo_main.cc
@@ -1,4 +1,5 @@
-/** @file sapphire_demo_main.cc The main job on this machine, checked. */
+/** @file sapphire_demo_main.cc Demo: runs a small deployment on this machine
+ * and checks its main functions. */
 #include <fmt/format.h>
 
 #include <csignal>
@@ -33,7 +34,7 @@
   return text.str();
 }
 
-/** Counts what was as promised and what was not. */
+/** Prints each check's result and counts the failed ones. */
 class Checks {
  public:
   void Check(bool ok, const std::string& what) {
@@ -90,8 +91,8 @@
   checks.Check(
       before.problem() == "not_configured" && before.outcome() == "not_run",
       "nothing changes before the plan is confirmed");
-  // Planning again makes the same change a plan of its own; this one is
-  // confirmed, and its confirmation waits until it is in force everywhere.
+  // Fleet::Confirm creates a second plan of the same change, confirms it and
+  // waits until it is in force on every VM.
   fleet.Confirm(ReadFile(intent_path));
   code = RunTool(fleet, "sapphirectl", {"--entry", entry, "status"}, &shown);
   fmt::print("{}", shown);
--- a/demo/sapphire_slopes_main.cc
+++ b/demo/sapphire_slopes_main.cc
@@ -1,5 +1,5 @@
-/** @file sapphire_slopes_main.cc What requests, tokens, links, models and
- * changes cost real processes, by size: for docs/CAPACITY.md. */
+/** @file sapphire_slopes_main.cc Measures what requests, tokens, links, models
+ * and changes cost real processes, by size, for docs/CAPACITY.md. */
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -23,7 +23,7 @@
 using std::chrono::milliseconds;
 
 constexpr milliseconds kIdle{4'000};
-/** Time for a change to reach all before the next one is measured. */
+/** Time for a change to reach all processes before the next measurement. */
 constexpr milliseconds kQuiet{500};
 constexpr double kNanosPerMilli = 1e6;
 
@@ -31,7 +31,8 @@
   return {"--memory-bytes", "2000000000", "--token-ms", "1"};
 }
 
-/** Processor time of all threads; sums of nanoseconds, not ticks. */
+/** @return Processor time of all threads, from the kernel's nanosecond counters
+ * rather than clock ticks. */
 double CpuMillis(const Process& process) {
   double nanos = 0;
   const auto tasks = fmt::format("/proc/{}/task", process.pid());
@@ -52,7 +53,7 @@
   return 0;
 }
 
-/** @return The sum of a metric's lines that begin so. */
+/** @return The sum of all metric lines that start with `prefix`. */
 double Metric(Fleet& fleet, const std::string& address,
               const std::string& prefix) {
   const Reply reply = fleet.Send(address, {"GET", "/metrics", {}, ""});
@@ -66,7 +67,7 @@
   return sum;
 }
 
-/** What one entry and one endpoint have spent so far. */
+/** Resources that one entry and one endpoint have used so far. */
 struct Spent {
   double entry_ms = 0;
   double endpoint_ms = 0;
@@ -102,7 +103,7 @@
   return each;
 }
 
-/** One table: costs by size, and the least-squares slope of each. */
+/** Prints a table of costs by size and the least-squares slope of each. */
 class Table {
  public:
   explicit Table(const std::string& what) {
@@ -229,7 +230,8 @@
   table.Slope();
 }
 
-/** Alternates batches, so that other load on the machine meets both. */
+/** Compares the path through the entry with direct calls to the engine.
+ * Alternates the batches, so that other load on the machine affects both. */
 void AddedLatency(Fleet& fleet) {
   fmt::print("\n## Path beside the engine called directly\n\n");
   for (const int concurrency : {1, 8}) {
@@ -264,7 +266,7 @@
   std::fflush(stdout);
 }
 
-/** @return Costs of one second in which nothing happens. */
+/** @return Costs per second without requests. */
 Spent IdleSecond(Fleet& fleet) {
   std::this_thread::sleep_for(kQuiet);
   const Spent before = Look(fleet);
--- a/scripts/demo.sh
+++ b/scripts/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Builds everything and runs the main job on this machine: two zones, two
-# entries, three model engines, a plain service. Exits 0 only if all was as
-# promised. Processes use free ports and are ended by their ids.
+# Builds everything and runs the demo on this machine: two zones, two entries,
+# three model engines, a plain service. Exits 0 only if all checks pass.
+# Processes use free ports and are ended by their ids.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/setup.sh
--- a/scripts/events_check.sh
+++ b/scripts/events_check.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Compares the event names in the code of the road on the platform with docs/OPERATIONS.md.
+# Compares the event names in the code of the platform programs with docs/OPERATIONS.md.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 in_code=$(cat src/{serving,quota,orders,fleet,routing}/*.cc platform/*.cc src/core/{settings_watch,log_sink,stall_watch,task}.cc |
--- a/scripts/format.sh
+++ b/scripts/format.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Formats all C++ sources in place; with --check only reports what would change.
+# Formats all C++ sources in place; with --check only reports differences.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 mode=(-i)
--- a/scripts/lint.sh
+++ b/scripts/lint.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Runs clang-tidy over the sources, or only over the files given.
+# Runs clang-tidy on all sources, or on the given files.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD_DIR:-build}
--- a/scripts/policy_bench.sh
+++ b/scripts/policy_bench.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Prints the table of policies (docs/POLICY.md). Options go to the program.
+# Prints the table that compares policies (docs/POLICY.md). Options are passed to the program.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD_DIR:-build}
--- a/scripts/settings_page.sh
+++ b/scripts/settings_page.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Writes docs/SETTINGS.md from the programs' own tables; --check only compares.
+# Generates docs/SETTINGS.md from the programs' settings tables; --check only compares.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bin=${BUILD_DIR:-build}/bin
--- a/scripts/setup.sh
+++ b/scripts/setup.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what a fresh Debian 12 machine lacks. Safe to run again.
+# Installs the packages that a fresh Debian 12 machine lacks. Safe to run again.
 set -euo pipefail
 packages=(
   g++ cmake ninja-build ccache clang-format clang-tidy python3 curl
--- a/scripts/slopes.sh
+++ b/scripts/slopes.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
 # Starts real processes on this machine (free ports, at most 39 at once, ended by their
 # ids) and prints what requests, tokens, links, models, adapters and changes cost
-# them, for docs/CAPACITY.md. Under 3 minutes once it is built.
+# them, for docs/CAPACITY.md. Takes under 3 minutes after the build.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 build=${BUILD_DIR:-build}
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Builds and runs every test. Tests named in KNOWN-RED.txt are passed over and printed.
+# Builds and runs every test. Tests listed in KNOWN-RED.txt are skipped and printed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 scripts/setup.sh
