--- a/bench/slopes.cc
+++ b/bench/slopes.cc
@@ -183,11 +183,11 @@
                  [](int n) { return PlaceCall(n, ModelNamed(kModels)); });
   report += Line("ChooseStaging (endpoints; 1,500 models)", kEndpointSizes,
                  StageCall);
-  report += Line("RankHomes (entries)", kEntrySizes, RankCall);
+  report += Line("RankByRendezvousHash (entries)", kEntrySizes, RankCall);
   report += Line("PickNext (queued requests)", kQueueSizes, PickCall);
   report += Line("GrantLanes (bids)", kQueueSizes, LaneCall);
   report +=
-      Line("JudgeDispatch (fingerprints tracked)", kQueueSizes, JudgeCall);
+      Line("DecideDispatch (fingerprints tracked)", kQueueSizes, JudgeCall);
   fmt::format_to(std::back_inserter(report),
                  "| KeepAliveTime | {:.0f} ns | - |\n",
                  NanosPerCall(KeepAliveCall()));
--- a/demo/sapphire_demo_main.cc
+++ b/demo/sapphire_demo_main.cc
@@ -107,7 +107,7 @@
         record.at("replica_counts").as_object().if_contains(model);
     if (peak == nullptr) continue;
     const auto n = peak->at("peak").to_number<std::int64_t>();
-    fmt::print("  {} loaded {} {} time(s) at once\n", vm, model, n);
+    fmt::print("  {}: peak replicas of {}: {}\n", vm, model, n);
     loads += n;
   }
   return loads;
@@ -132,11 +132,11 @@
     whole += IsOwnWholeAnswer(reply, id, 8) ? 1 : 0;
   }
   checks.Check(whole == kBurst,
-               fmt::format("{} of {} callers of a burst for a sleeping model "
-                           "got their own whole answer",
+               fmt::format("{} of {} callers in a burst for an unloaded model "
+                           "got their own complete answer",
                            whole, kBurst));
   checks.Check(PeakReplicas(fleet, "itinerary") <= 2,
-               "the burst loaded no more replicas than were decided");
+               "the burst loaded no more replicas than the limit");
 }
 
 void StreamTokens(Fleet& fleet, Checks& checks) {
@@ -160,7 +160,7 @@
   fmt::print("  first: {} {}\n  again: {} {}\n", first.status, first.body,
              again.status, again.body);
   checks.Check(first.ok() && again.ok() && first.body == again.body,
-               "a booking that is sent again gets the same answer");
+               "a retried booking gets the same answer");
   const auto runs = fleet.Record("desk-1").at("runs").as_array().size();
   checks.Check(runs == 1, fmt::format("the booking ran {} time(s)", runs));
 }
@@ -186,9 +186,9 @@
     const Reply reply = running[i].get();
     whole += IsOwnWholeAnswer(reply, fmt::format("drain-{}", i), 150) ? 1 : 0;
   }
-  checks.Check(whole == kStreams, "the drain cuts off no stream in progress");
+  checks.Check(whole == kStreams, "the drain cuts no stream in progress");
   const auto left = fleet.endpoint("engine-1").process->WaitForExit(kExitLimit);
-  checks.Check(left == 0, "the drained endpoint's process ends by itself");
+  checks.Check(left == 0, "the drained endpoint's process exits");
 }
 
 void ShowTimeLine(Fleet& fleet, Checks& checks) {
@@ -213,7 +213,7 @@
   for (const char* entry : {"entry-1", "entry-2"}) {
     fleet.entry(entry).process->Signal(SIGTERM);
     const auto code = fleet.entry(entry).process->WaitForExit(kExitLimit);
-    checks.Check(code == 0, fmt::format("{} stops when it is told to", entry));
+    checks.Check(code == 0, fmt::format("{} stops on SIGTERM", entry));
   }
   ShowTimeLine(fleet, checks);
   fmt::print("{} check(s) failed\n", checks.failed());
--- a/tests/fleet.cc
+++ b/tests/fleet.cc
@@ -26,7 +26,7 @@
   std::string pattern =
       (std::filesystem::temp_directory_path() / (name + "-XXXXXX")).string();
   if (::mkdtemp(pattern.data()) == nullptr) {
-    throw std::runtime_error("no temporary directory");
+    throw std::runtime_error("can't create a temporary directory");
   }
   return pattern;
 }
@@ -192,14 +192,14 @@
   for (const auto& it : endpoints_) {
     if (it->vm == vm) return *it;
   }
-  throw std::runtime_error("no endpoint " + vm);
+  throw std::runtime_error("no endpoint named " + vm);
 }
 
 EntryVm& Fleet::entry(const std::string& vm) {
   for (const auto& it : entries_) {
     if (it->vm == vm) return *it;
   }
-  throw std::runtime_error("no entry " + vm);
+  throw std::runtime_error("no entry named " + vm);
 }
 
 std::string Fleet::EntryAddress(const std::string& vm) {
@@ -243,14 +243,16 @@
             "/vms",
             {},
             boost::json::serialize(boost::json::object{{"vms", vms}})});
-  if (!reply.ok()) throw std::runtime_error("VM list: " + reply.body);
+  if (!reply.ok())
+    throw std::runtime_error("can't set the VM list: " + reply.body);
 }
 
 boost::json::object Fleet::Admin(const std::string& entry,
                                  http::Request request) {
   const Reply reply = Send(EntryAddress(entry), std::move(request));
   if (reply.status >= 300 || !reply.failure.empty()) {
-    throw std::runtime_error("admin: " + reply.body + reply.failure);
+    throw std::runtime_error("admin call failed: " + reply.body +
+                             reply.failure);
   }
   return boost::json::parse(reply.body).as_object();
 }
@@ -286,14 +288,14 @@
       Admin(first, {"POST", "/admin/v1/plans/" + id + "/confirm", {}, ""});
   const auto version = confirmed.at("version").to_number<std::int64_t>();
   if (!Eventually([&] { return AllInForce(version); })) {
-    throw std::runtime_error("the configuration is not in force everywhere");
+    throw std::runtime_error("the configuration is not in force on every VM");
   }
 }
 
 void Fleet::Fault(const std::string& stand_in, const std::string& json) {
   const Reply reply =
       Send(StandInAddress(stand_in), {"POST", "/standin/faults", {}, json});
-  if (!reply.ok()) throw std::runtime_error("fault: " + reply.body);
+  if (!reply.ok()) throw std::runtime_error("can't set faults: " + reply.body);
 }
 
 boost::json::object Fleet::Record(const std::string& stand_in) {
--- a/tests/replica_limit_test.cc
+++ b/tests/replica_limit_test.cc
@@ -64,14 +64,10 @@
 };
 
 constexpr std::array<std::string_view, static_cast<int>(Cause::kNumber)>
-    kCauseNames = {"ledger answers lost",
-                   "ledger writes late",
-                   "key-value down",
-                   "endpoint killed",
-                   "endpoint frozen",
-                   "list lags",
-                   "VM gone",
-                   "order answers lost"};
+    kCauseNames = {
+        "ledger answers lost", "ledger writes late", "key-value service down",
+        "endpoint killed",     "endpoint frozen",    "VM list lags",
+        "VM removed",          "order answers lost"};
 
 /** Two entries and three engines, one of which ignores fencing. */
 class Deployment {
