--- a/standin/engine_stand_in.cc
+++ b/standin/engine_stand_in.cc
@@ -41,13 +41,13 @@
   return std::chrono::ceil<milliseconds>(time);
 }
 
-nanoseconds Stretch(nanoseconds time, double factor) {
+nanoseconds ScaleTime(nanoseconds time, double factor) {
   return nanoseconds(static_cast<nanoseconds::rep>(
       static_cast<double>(time.count()) * factor));
 }
 
 /** @return The cache key of the order's checkpoint. */
-std::string CheckpointOf(const EngineOrder& order) {
+std::string CheckpointKey(const EngineOrder& order) {
   if (order.kind == OrderKind::kLoadModel) return order.model.value();
   return order.model.value() + ":" + order.adapter.value();
 }
@@ -156,11 +156,11 @@
     co_return;
   }
   bool done = true;
-  if (verdict == OrderVerdict::kCarryOut) {
-    done = co_await CarryOut(order, incarnation);
+  if (verdict == OrderVerdict::kAccepted) {
+    done = co_await ExecuteOrder(order, incarnation);
     state_.EndOrder(order, incarnation, done);
   }
-  if (faults_.TakeOne("lose_order_answers")) CutConnection("lost answer");
+  if (faults_.ConsumeOne("lose_order_answers")) CutConnection("lost answer");
   CutIfDown();
   if (done) {
     co_await SendJson(writer, kOk, "{}");
@@ -170,23 +170,23 @@
 }
 
 /** @return False if a load failed. */
-core::Task<bool> EngineStandIn::CarryOut(const EngineOrder& order,
-                                         std::int64_t incarnation) {
+core::Task<bool> EngineStandIn::ExecuteOrder(const EngineOrder& order,
+                                             std::int64_t incarnation) {
   if (order.kind == OrderKind::kUnloadModel ||
       order.kind == OrderKind::kUnloadAdapter) {
     disrupted_.Notify();
-    co_await PauseOrder(options_.unload_time, incarnation);
+    co_await WaitOrderDuration(options_.unload_time, incarnation);
     co_return true;
   }
-  const std::string checkpoint = CheckpointOf(order);
+  const std::string checkpoint = CheckpointKey(order);
   switch (state_.TierOf(checkpoint)) {
     case CheckpointTier::kMemory:
-      co_await PauseOrder(
+      co_await WaitOrderDuration(
           TransferTime(order.bytes, options_.memory_bytes_per_second),
           incarnation);
       break;
     case CheckpointTier::kDisk:
-      co_await PauseOrder(
+      co_await WaitOrderDuration(
           TransferTime(order.bytes, options_.disk_bytes_per_second),
           incarnation);
       break;
@@ -196,7 +196,7 @@
       }
       break;
   }
-  if (faults_.TakeOne("load_fail")) co_return false;
+  if (faults_.ConsumeOne("load_fail")) co_return false;
   state_.CacheCheckpoint(checkpoint);
   co_return true;
 }
@@ -205,8 +205,8 @@
                                            std::int64_t bytes,
                                            std::int64_t incarnation) {
   if (!weights_) {
-    co_await PauseOrder(TransferTime(bytes, options_.remote_bytes_per_second),
-                        incarnation);
+    co_await WaitOrderDuration(
+        TransferTime(bytes, options_.remote_bytes_per_second), incarnation);
     co_return true;
   }
   const std::string target = "/weights/" + http::UrlEncode(checkpoint) +
@@ -228,10 +228,10 @@
   co_return *state == TransferState::kDone;
 }
 
-core::Task<> EngineStandIn::PauseOrder(milliseconds duration,
-                                       std::int64_t incarnation) {
+core::Task<> EngineStandIn::WaitOrderDuration(milliseconds duration,
+                                              std::int64_t incarnation) {
   const core::SteadyTime due =
-      context_.clock.Now() + Stretch(duration, faults_.Number("slow_factor"));
+      context_.clock.Now() + ScaleTime(duration, faults_.Number("slow_factor"));
   while (true) {
     const std::uint64_t seen = disrupted_.epoch();
     CutIfCrashed(incarnation);
@@ -309,14 +309,14 @@
 nanoseconds EngineStandIn::StepTime() const {
   const int others = std::max(state_.running() - 1, 0);
   const double factor = 1 + options_.batch_slowdown * others;
-  return Stretch(options_.token_time, factor * faults_.Number("slow_factor"));
+  return ScaleTime(options_.token_time, factor * faults_.Number("slow_factor"));
 }
 
 nanoseconds EngineStandIn::PrefillTime(const GenerateCall& call,
                                        std::size_t cached_chars) const {
   const std::size_t chars = call.prompt.size() - cached_chars;
-  return Stretch(options_.prefill_time_per_char,
-                 static_cast<double>(chars) * faults_.Number("slow_factor"));
+  return ScaleTime(options_.prefill_time_per_char,
+                   static_cast<double>(chars) * faults_.Number("slow_factor"));
 }
 
 std::string EngineStandIn::RecordJson() const {
@@ -324,7 +324,7 @@
 }
 
 void EngineStandIn::OnFaultsSet() {
-  if (faults_.TakeOne("crash_now")) state_.Crash();
+  if (faults_.ConsumeOne("crash_now")) state_.Crash();
   disrupted_.Notify();
 }
 
--- a/standin/engine_stand_in_base.h
+++ b/standin/engine_stand_in_base.h
@@ -35,12 +35,12 @@
 
   core::Task<> ServeOrder(const http::Request& request,
                           http::ResponseWriter& writer);
-  core::Task<bool> CarryOut(const external::EngineOrder& order,
-                            std::int64_t incarnation);
+  core::Task<bool> ExecuteOrder(const external::EngineOrder& order,
+                                std::int64_t incarnation);
   core::Task<bool> LoadRemote(const std::string& checkpoint, std::int64_t bytes,
                               std::int64_t incarnation);
-  core::Task<> PauseOrder(std::chrono::milliseconds duration,
-                          std::int64_t incarnation);
+  core::Task<> WaitOrderDuration(std::chrono::milliseconds duration,
+                                 std::int64_t incarnation);
   void CutIfCrashed(std::int64_t incarnation) const;
 
   core::Task<> ServeGenerate(const http::Request& request,
--- a/standin/engine_stand_in_test.cc
+++ b/standin/engine_stand_in_test.cc
@@ -22,12 +22,12 @@
 using external::OrderKind;
 
 constexpr Millis kTimeout{20'000};
-constexpr std::int64_t kWeights = 1000;
-constexpr std::int64_t kMemory = 2500;
+constexpr std::int64_t kWeightBytes = 1000;
+constexpr std::int64_t kMemoryBytes = 2500;
 
 EngineOptions SmallEngine() {
   EngineOptions options;
-  options.memory_bytes = kMemory;
+  options.memory_bytes = kMemoryBytes;
   options.disk_tier = {"slow", "m", "n", "o"};
   options.unload_time = Millis(1);
   options.token_time = Millis(1);
@@ -50,14 +50,14 @@
     order.kind = kind;
     order.model = core::ModelId(model);
     order.version = "1";
-    order.bytes = kWeights;
+    order.bytes = kWeightBytes;
     order.kv_budget_bytes = 100;
     order.fence = fence;
     return order;
   }
 
-  std::optional<ErrorCode> Give(OrderKind kind, const std::string& model,
-                                std::int64_t fence) {
+  std::optional<ErrorCode> SendOrder(OrderKind kind, const std::string& model,
+                                     std::int64_t fence) {
     return runner.FailureOf(engine->Order(Order(kind, model, fence), kTimeout));
   }
 
@@ -92,7 +92,7 @@
     host.stand_in().faults().SetJson(text);
   }
 
-  Host host;
+  StandInServer host;
   http::Client client;
   std::unique_ptr<external::Engine> engine;
   external::TestRunner runner;
@@ -120,24 +120,24 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(LoadsServesAndUnloads, Engine) {
-  BOOST_TEST(!Give(OrderKind::kLoadModel, "m", 1).has_value());
+  BOOST_TEST(!SendOrder(OrderKind::kLoadModel, "m", 1).has_value());
   EngineOrder adapter = Order(OrderKind::kLoadAdapter, "m", 1);
   adapter.adapter = core::AdapterId("a");
   BOOST_TEST(!runner.FailureOf(engine->Order(adapter, kTimeout)).has_value());
   const auto status = runner.Run(engine->Status());
-  BOOST_TEST(status.models.at(0).weight_bytes == kWeights);
+  BOOST_TEST(status.models.at(0).weight_bytes == kWeightBytes);
   BOOST_TEST(status.models.at(0).adapters.at(0).adapter.value() == "a");
   BOOST_TEST((status.models.at(0).state == external::EngineModelState::kReady));
   BOOST_TEST(status.memory_tier.at(0).value() == "m");
-  BOOST_TEST(!Give(OrderKind::kUnloadModel, "m", 1).has_value());
+  BOOST_TEST(!SendOrder(OrderKind::kUnloadModel, "m", 1).has_value());
   BOOST_TEST(runner.Run(engine->Status()).models.empty());
   const json::value counts = Record().at("replica_counts");
   BOOST_TEST(counts.at("m").at("peak").as_int64() == 1);
   BOOST_TEST(counts.at("m").at("current").as_int64() == 0);
 }
 
-BOOST_FIXTURE_TEST_CASE(EachCallerGetsItsOwnWholeAnswer, Engine) {
-  Give(OrderKind::kLoadModel, "m", 1);
+BOOST_FIXTURE_TEST_CASE(EachCallerGetsItsOwnCompleteAnswer, Engine) {
+  SendOrder(OrderKind::kLoadModel, "m", 1);
   std::vector<std::unique_ptr<http::ResponseStream>> streams;
   std::vector<std::future<std::string>> answers;
   for (const char* id : {"r1", "r2", "r3"}) {
@@ -160,23 +160,24 @@
 // that checks the fence refuses it; one that doesn't loads a replica too many.
 BOOST_AUTO_TEST_CASE(OldFenceIsRefusedOnlyIfFencingIsHonoured) {
   Engine strict;
-  BOOST_TEST(!strict.Give(OrderKind::kLoadModel, "m", 5).has_value());
-  BOOST_TEST((strict.Give(OrderKind::kLoadModel, "n", 4) ==
+  BOOST_TEST(!strict.SendOrder(OrderKind::kLoadModel, "m", 5).has_value());
+  BOOST_TEST((strict.SendOrder(OrderKind::kLoadModel, "n", 4) ==
               ErrorCode::kEngineRefusedOrder));
   BOOST_TEST(strict.Record().at("refused_orders").as_array().size() == 1U);
 
   EngineOptions options = SmallEngine();
   options.honours_fencing = false;
   Engine lax(options);
-  BOOST_TEST(!lax.Give(OrderKind::kLoadModel, "m", 5).has_value());
-  BOOST_TEST(!lax.Give(OrderKind::kLoadModel, "n", 4).has_value());
+  BOOST_TEST(!lax.SendOrder(OrderKind::kLoadModel, "m", 5).has_value());
+  BOOST_TEST(!lax.SendOrder(OrderKind::kLoadModel, "n", 4).has_value());
   BOOST_TEST(lax.runner.Run(lax.engine->Status()).models.size() == 2U);
 }
 
-BOOST_AUTO_TEST_CASE(OvercommitIsSeenOrRefused) {
+BOOST_AUTO_TEST_CASE(OvercommitIsRecordedOrRefused) {
   Engine trusting;
   for (const char* model : {"m", "n", "o"}) {
-    BOOST_TEST(!trusting.Give(OrderKind::kLoadModel, model, 1).has_value());
+    BOOST_TEST(
+        !trusting.SendOrder(OrderKind::kLoadModel, model, 1).has_value());
   }
   const auto overcommits = trusting.Record().at("overcommits").as_array();
   BOOST_TEST(overcommits.size() == 1U);
@@ -185,17 +186,17 @@
   EngineOptions options = SmallEngine();
   options.refuses_overcommit = true;
   Engine refusing(options);
-  refusing.Give(OrderKind::kLoadModel, "m", 1);
-  refusing.Give(OrderKind::kLoadModel, "n", 1);
-  BOOST_TEST(
-      (refusing.Give(OrderKind::kLoadModel, "o", 1) == ErrorCode::kLoadFailed));
+  refusing.SendOrder(OrderKind::kLoadModel, "m", 1);
+  refusing.SendOrder(OrderKind::kLoadModel, "n", 1);
+  BOOST_TEST((refusing.SendOrder(OrderKind::kLoadModel, "o", 1) ==
+              ErrorCode::kLoadFailed));
   BOOST_TEST(refusing.Record().at("overcommits").as_array().empty());
 }
 
 // A request that matches `crash_on` crashes an engine that also runs others:
 // all connections are cut, and the engine is empty under a new incarnation.
-BOOST_FIXTURE_TEST_CASE(MarkedRequestCrashesTheEngine, Engine) {
-  Give(OrderKind::kLoadModel, "m", 1);
+BOOST_FIXTURE_TEST_CASE(MatchingRequestCrashesTheEngine, Engine) {
+  SendOrder(OrderKind::kLoadModel, "m", 1);
   const auto before = runner.Run(engine->Status()).incarnation;
   const auto stream =
       runner.Run(engine->Run(Completion("r", "p", 50'000, true), kTimeout));
@@ -212,7 +213,7 @@
 }
 
 BOOST_FIXTURE_TEST_CASE(ClosedStreamIsCancelled, Engine) {
-  Give(OrderKind::kLoadModel, "m", 1);
+  SendOrder(OrderKind::kLoadModel, "m", 1);
   auto stream =
       runner.Run(engine->Run(Completion("r", "p", 50'000, true), kTimeout));
   BOOST_TEST(FirstOutcome() == "running");
@@ -227,7 +228,7 @@
   EngineOptions options = SmallEngine();
   options.kv_bytes_per_char = 1;
   Engine engine(options);
-  engine.Give(OrderKind::kLoadModel, "m", 1);
+  engine.SendOrder(OrderKind::kLoadModel, "m", 1);
   // 20 tokens of 4 characters: two of these are over the budget of 100 bytes.
   auto first = engine.runner.Begin(
       engine.client.Fetch(Engine::Completion("r1", "p", 20, false), kTimeout));
@@ -243,41 +244,43 @@
 // An unload during a running request cuts the caller's answer. The record shows
 // it, so that tests can detect a stop that isn't graceful.
 BOOST_FIXTURE_TEST_CASE(UnloadCutsRunningRequests, Engine) {
-  Give(OrderKind::kLoadModel, "m", 1);
+  SendOrder(OrderKind::kLoadModel, "m", 1);
   const auto stream =
       runner.Run(engine->Run(Completion("r", "p", 50'000, true), kTimeout));
-  Give(OrderKind::kUnloadModel, "m", 1);
+  SendOrder(OrderKind::kUnloadModel, "m", 1);
   BOOST_CHECK_THROW(runner.Run(ReadAll(*stream)), http::TransportError);
   BOOST_TEST(FirstOutcome() == "unloaded");
 }
 
-BOOST_FIXTURE_TEST_CASE(LoadsFailAndAnswersAreLostOnDemand, Engine) {
+BOOST_FIXTURE_TEST_CASE(FaultsFailLoadsAndLoseAnswers, Engine) {
   SetFaults(R"({"load_fail":1,"lose_order_answers":1})");
   BOOST_TEST(
-      (Give(OrderKind::kLoadModel, "m", 1) == ErrorCode::kOutcomeUnknown));
+      (SendOrder(OrderKind::kLoadModel, "m", 1) == ErrorCode::kOutcomeUnknown));
   BOOST_TEST(runner.Run(engine->Status()).models.empty());
   SetFaults(R"({"lose_order_answers":1})");
   BOOST_TEST(
-      (Give(OrderKind::kLoadModel, "m", 1) == ErrorCode::kOutcomeUnknown));
+      (SendOrder(OrderKind::kLoadModel, "m", 1) == ErrorCode::kOutcomeUnknown));
   BOOST_TEST(runner.Run(engine->Status()).models.size() == 1U);
   SetFaults(R"({"load_fail":1})");
-  BOOST_TEST((Give(OrderKind::kLoadModel, "n", 1) == ErrorCode::kLoadFailed));
+  BOOST_TEST(
+      (SendOrder(OrderKind::kLoadModel, "n", 1) == ErrorCode::kLoadFailed));
 }
 
-BOOST_AUTO_TEST_CASE(RemoteLoadGoesThroughTheWeightStore) {
-  const Host weights("weights", "127.0.0.1:0", [](const auto& context) {
-    return std::make_unique<WeightsStandIn>(context, WeightsOptions{});
-  });
+BOOST_AUTO_TEST_CASE(RemoteLoadUsesTheWeightStore) {
+  const StandInServer weights(
+      "weights", "127.0.0.1:0", [](const auto& context) {
+        return std::make_unique<WeightsStandIn>(context, WeightsOptions{});
+      });
   EngineOptions options = SmallEngine();
   options.weights_address = weights.address();
   Engine engine(options);
-  BOOST_TEST(!engine.Give(OrderKind::kLoadModel, "far", 1).has_value());
+  BOOST_TEST(!engine.SendOrder(OrderKind::kLoadModel, "far", 1).has_value());
   weights.stand_in().faults().SetJson(R"({"down":true})");
-  BOOST_TEST((engine.Give(OrderKind::kLoadModel, "farther", 1) ==
+  BOOST_TEST((engine.SendOrder(OrderKind::kLoadModel, "farther", 1) ==
               ErrorCode::kLoadFailed));
   // The checkpoint is cached locally now; the weight store isn't needed.
-  BOOST_TEST(!engine.Give(OrderKind::kUnloadModel, "far", 1).has_value());
-  BOOST_TEST(!engine.Give(OrderKind::kLoadModel, "far", 1).has_value());
+  BOOST_TEST(!engine.SendOrder(OrderKind::kUnloadModel, "far", 1).has_value());
+  BOOST_TEST(!engine.SendOrder(OrderKind::kLoadModel, "far", 1).has_value());
 }
 
 BOOST_FIXTURE_TEST_CASE(UnloadedModelIsNotServed, Engine) {
--- a/standin/engine_state.cc
+++ b/standin/engine_state.cc
@@ -47,7 +47,7 @@
       return "not_ready";
     case OrderVerdict::kNoMemory:
       return "no_memory";
-    case OrderVerdict::kCarryOut:
+    case OrderVerdict::kAccepted:
     case OrderVerdict::kNothingToDo:
       break;
   }
@@ -76,7 +76,7 @@
   status.honours_fencing = options_.honours_fencing;
   status.fence = fence_;
   status.order_in_progress = orders_in_progress_ > 0;
-  for (const auto& [name, held] : held_) status.models.push_back(held.model);
+  for (const auto& [name, held] : models_) status.models.push_back(held.model);
   status.memory_tier = ToIds(memory_tier_);
   status.disk_tier = ToIds(disk_tier_);
   return status;
@@ -91,13 +91,13 @@
 
 OrderStart EngineState::BeginOrder(const EngineOrder& order) {
   const std::lock_guard lock(mutex_);
-  const OrderVerdict verdict = Judge(order);
+  const OrderVerdict verdict = DecideOrder(order);
   fence_ = std::max(fence_, order.fence);
-  if (verdict == OrderVerdict::kCarryOut) {
+  if (verdict == OrderVerdict::kAccepted) {
     ++orders_in_progress_;
     Apply(order);
   } else if (verdict != OrderVerdict::kNothingToDo) {
-    NoteRefusal(order, verdict);
+    RecordRefusal(order, verdict);
   }
   return {verdict, incarnation_};
 }
@@ -113,7 +113,7 @@
       EndLoad(order, carried_out);
       break;
     case OrderKind::kUnloadModel:
-      Drop(model, ReplicaEnd::kUnloaded);
+      RemoveModel(model, ReplicaEnd::kUnloaded);
       break;
     case OrderKind::kLoadAdapter:
       EndAdapterLoad(order, carried_out);
@@ -139,7 +139,7 @@
 
 Admission EngineState::Admit(const GenerateCall& call) {
   const std::lock_guard lock(mutex_);
-  Held* held = FindUsable(call);
+  LoadedModel* held = FindUsable(call);
   if (held == nullptr) return {};
   const std::int64_t kv_bytes = KvBytesOf(call);
   const std::int64_t budget = held->model.kv_budget_bytes;
@@ -152,10 +152,10 @@
   return StartRun(call, *held, kv_bytes);
 }
 
-EngineState::Held* EngineState::FindUsable(const GenerateCall& call) {
-  const auto it = held_.find(call.model);
-  if (it == held_.end()) return nullptr;
-  Held& held = it->second;
+EngineState::LoadedModel* EngineState::FindUsable(const GenerateCall& call) {
+  const auto it = models_.find(call.model);
+  if (it == models_.end()) return nullptr;
+  LoadedModel& held = it->second;
   if (held.model.state != EngineModelState::kReady) return nullptr;
   const bool usable = call.adapter.empty() || IsUsable(held, call.adapter);
   return usable ? &held : nullptr;
@@ -167,7 +167,7 @@
   return chars * options_.kv_bytes_per_char;
 }
 
-Admission EngineState::StartRun(const GenerateCall& call, Held& held,
+Admission EngineState::StartRun(const GenerateCall& call, LoadedModel& held,
                                 std::int64_t kv_bytes) {
   const std::int64_t used_before = UsedBytes();
   Admission admission;
@@ -179,12 +179,12 @@
   ++held.model.running;
   running_[admission.ticket] = {call.model, call.prompt, kv_bytes,
                                 record_.requests.size()};
-  RequestRun run;
+  RequestRecord run;
   run.request_id = call.request_id;
   run.model = call.model;
   run.started_ms = WallMillis(clock_);
   record_.requests.push_back(std::move(run));
-  if (UsedBytes() > used_before) NoteMemory("request " + call.request_id);
+  if (UsedBytes() > used_before) RecordMemoryUse("request " + call.request_id);
   return admission;
 }
 
@@ -195,7 +195,7 @@
 
 void EngineState::EndRequest(std::int64_t ticket, RunOutcome outcome) {
   const std::lock_guard lock(mutex_);
-  if (running_.contains(ticket)) Stop(ticket, outcome);
+  if (running_.contains(ticket)) StopRequest(ticket, outcome);
 }
 
 int EngineState::running() const {
@@ -205,10 +205,10 @@
 
 void EngineState::Crash() {
   const std::lock_guard lock(mutex_);
-  while (!held_.empty()) {
-    const std::string model = held_.begin()->first;
-    StopAll(model, RunOutcome::kCrashed);
-    Drop(model, ReplicaEnd::kCrashed);
+  while (!models_.empty()) {
+    const std::string model = models_.begin()->first;
+    StopRequestsOf(model, RunOutcome::kCrashed);
+    RemoveModel(model, ReplicaEnd::kCrashed);
   }
   incarnation_ = core::RandomPositive();
   orders_in_progress_ = 0;
@@ -217,26 +217,26 @@
   record_.crashes_ms.push_back(WallMillis(clock_));
 }
 
-OrderVerdict EngineState::Judge(const EngineOrder& order) const {
+OrderVerdict EngineState::DecideOrder(const EngineOrder& order) const {
   if (options_.honours_fencing) {
     if (order.fence < fence_) return OrderVerdict::kStaleFence;
     if (orders_in_progress_ > 0) return OrderVerdict::kBusy;
   }
-  OrderVerdict verdict = OrderVerdict::kCarryOut;
+  OrderVerdict verdict = OrderVerdict::kAccepted;
   switch (order.kind) {
     case OrderKind::kLoadModel:
-      verdict = JudgeLoad(order);
+      verdict = DecideLoad(order);
       break;
     case OrderKind::kUnloadModel:
-      verdict = JudgeUnload(order);
+      verdict = DecideUnload(order);
       break;
     case OrderKind::kLoadAdapter:
     case OrderKind::kUnloadAdapter:
-      verdict = JudgeAdapter(order);
+      verdict = DecideAdapterOrder(order);
       break;
   }
   const bool fits = UsedBytes() + AddedBytes(order) <= options_.memory_bytes;
-  if (verdict == OrderVerdict::kCarryOut && options_.refuses_overcommit &&
+  if (verdict == OrderVerdict::kAccepted && options_.refuses_overcommit &&
       IsLoad(order.kind) && !fits) {
     return OrderVerdict::kNoMemory;
   }
@@ -244,30 +244,31 @@
 }
 
 /** Another version of a loaded model must be unloaded first. */
-OrderVerdict EngineState::JudgeLoad(const EngineOrder& order) const {
-  const auto it = held_.find(order.model.value());
-  if (it == held_.end()) return OrderVerdict::kCarryOut;
+OrderVerdict EngineState::DecideLoad(const EngineOrder& order) const {
+  const auto it = models_.find(order.model.value());
+  if (it == models_.end()) return OrderVerdict::kAccepted;
   const EngineModel& model = it->second.model;
   const bool same =
       model.state == EngineModelState::kReady && model.version == order.version;
   return same ? OrderVerdict::kNothingToDo : OrderVerdict::kBusy;
 }
 
-OrderVerdict EngineState::JudgeUnload(const EngineOrder& order) const {
-  const auto it = held_.find(order.model.value());
-  if (it == held_.end()) return OrderVerdict::kNothingToDo;
+OrderVerdict EngineState::DecideUnload(const EngineOrder& order) const {
+  const auto it = models_.find(order.model.value());
+  if (it == models_.end()) return OrderVerdict::kNothingToDo;
   const bool ready = it->second.model.state == EngineModelState::kReady;
-  return ready ? OrderVerdict::kCarryOut : OrderVerdict::kBusy;
+  return ready ? OrderVerdict::kAccepted : OrderVerdict::kBusy;
 }
 
-OrderVerdict EngineState::JudgeAdapter(const EngineOrder& order) const {
+OrderVerdict EngineState::DecideAdapterOrder(const EngineOrder& order) const {
   const bool is_load = order.kind == OrderKind::kLoadAdapter;
-  const auto it = held_.find(order.model.value());
-  if (it == held_.end() || it->second.model.state != EngineModelState::kReady) {
+  const auto it = models_.find(order.model.value());
+  if (it == models_.end() ||
+      it->second.model.state != EngineModelState::kReady) {
     return is_load ? OrderVerdict::kNotReady : OrderVerdict::kNothingToDo;
   }
   const bool has = HasAdapter(it->second, order.adapter.value());
-  return has == is_load ? OrderVerdict::kNothingToDo : OrderVerdict::kCarryOut;
+  return has == is_load ? OrderVerdict::kNothingToDo : OrderVerdict::kAccepted;
 }
 
 /** Memory counts as used from the start of a load to the end of an unload. */
@@ -293,96 +294,98 @@
   model.version = order.version;
   model.weight_bytes = order.bytes;
   model.kv_budget_bytes = order.kv_budget_bytes;
-  ReplicaStay stay;
-  stay.model = order.model.value();
-  stay.version = order.version;
-  stay.fence = order.fence;
-  stay.load_began_ms = WallMillis(clock_);
-  held_.emplace(stay.model, Held{std::move(model),
-                                 record_.replicas.size(),
-                                 0,
-                                 PrefixCache(options_.kv_bytes_per_char),
-                                 {}});
-  record_.replicas.push_back(std::move(stay));
-  NoteMemory("load of model " + order.model.value());
+  ReplicaRecord replica;
+  replica.model = order.model.value();
+  replica.version = order.version;
+  replica.fence = order.fence;
+  replica.load_began_ms = WallMillis(clock_);
+  models_.emplace(replica.model,
+                  LoadedModel{std::move(model),
+                              record_.replicas.size(),
+                              0,
+                              PrefixCache(options_.kv_bytes_per_char),
+                              {}});
+  record_.replicas.push_back(std::move(replica));
+  RecordMemoryUse("load of model " + order.model.value());
 }
 
 void EngineState::BeginAdapterLoad(const EngineOrder& order) {
-  Held& held = held_.at(order.model.value());
+  LoadedModel& held = models_.at(order.model.value());
   held.model.adapters.push_back({order.adapter, order.bytes});
   held.loading_adapters.insert(order.adapter.value());
-  NoteMemory("load of adapter " + order.adapter.value());
+  RecordMemoryUse("load of adapter " + order.adapter.value());
 }
 
 /** The engine doesn't wait for running requests before it unloads. */
 void EngineState::BeginUnload(const std::string& model) {
-  held_.at(model).model.state = EngineModelState::kUnloading;
-  StopAll(model, RunOutcome::kUnloaded);
+  models_.at(model).model.state = EngineModelState::kUnloading;
+  StopRequestsOf(model, RunOutcome::kUnloaded);
 }
 
 void EngineState::EndLoad(const EngineOrder& order, bool carried_out) {
   const std::string& model = order.model.value();
   if (!carried_out) {
-    Drop(model, ReplicaEnd::kLoadFailed);
+    RemoveModel(model, ReplicaEnd::kLoadFailed);
     return;
   }
-  Held& held = held_.at(model);
+  LoadedModel& held = models_.at(model);
   held.model.state = EngineModelState::kReady;
-  record_.replicas[held.stay].ready_ms = WallMillis(clock_);
+  record_.replicas[held.replica_index].ready_ms = WallMillis(clock_);
 }
 
-void EngineState::Drop(const std::string& model, ReplicaEnd end) {
-  const auto it = held_.find(model);
-  if (it == held_.end()) return;
-  ReplicaStay& stay = record_.replicas[it->second.stay];
-  stay.ended_ms = WallMillis(clock_);
-  stay.end = end;
-  held_.erase(it);
+void EngineState::RemoveModel(const std::string& model, ReplicaEnd end) {
+  const auto it = models_.find(model);
+  if (it == models_.end()) return;
+  ReplicaRecord& replica = record_.replicas[it->second.replica_index];
+  replica.ended_ms = WallMillis(clock_);
+  replica.end = end;
+  models_.erase(it);
 }
 
 void EngineState::EndAdapterLoad(const EngineOrder& order, bool carried_out) {
-  const auto it = held_.find(order.model.value());
-  if (it == held_.end()) return;
+  const auto it = models_.find(order.model.value());
+  if (it == models_.end()) return;
   it->second.loading_adapters.erase(order.adapter.value());
   if (!carried_out) RemoveAdapter(order);
 }
 
 void EngineState::RemoveAdapter(const EngineOrder& order) {
-  const auto it = held_.find(order.model.value());
-  if (it == held_.end()) return;
+  const auto it = models_.find(order.model.value());
+  if (it == models_.end()) return;
   std::erase_if(it->second.model.adapters, [&](const EngineAdapter& adapter) {
     return adapter.adapter == order.adapter;
   });
 }
 
-void EngineState::Stop(std::int64_t ticket, RunOutcome outcome) {
+void EngineState::StopRequest(std::int64_t ticket, RunOutcome outcome) {
   const auto it = running_.find(ticket);
   const Running& running = it->second;
-  Held& held = held_.at(running.model);
+  LoadedModel& held = models_.at(running.model);
   --held.model.running;
   held.running_kv_bytes -= running.kv_bytes;
   if (outcome == RunOutcome::kDone) held.prefixes.Insert(running.prompt);
   held.prefixes.EvictTo(held.model.kv_budget_bytes - held.running_kv_bytes);
-  RequestRun& run = record_.requests[running.run];
+  RequestRecord& run = record_.requests[running.run];
   run.ended_ms = WallMillis(clock_);
   run.outcome = outcome;
   running_.erase(it);
 }
 
-void EngineState::StopAll(const std::string& model, RunOutcome outcome) {
+void EngineState::StopRequestsOf(const std::string& model, RunOutcome outcome) {
   std::vector<std::int64_t> tickets;
   for (const auto& [ticket, running] : running_) {
     if (running.model == model) tickets.push_back(ticket);
   }
-  for (std::int64_t ticket : tickets) Stop(ticket, outcome);
+  for (std::int64_t ticket : tickets) StopRequest(ticket, outcome);
 }
 
-void EngineState::NoteRefusal(const EngineOrder& order, OrderVerdict verdict) {
+void EngineState::RecordRefusal(const EngineOrder& order,
+                                OrderVerdict verdict) {
   record_.refused_orders.push_back({WallMillis(clock_), order.model.value(),
                                     order.fence, std::string(NameOf(verdict))});
 }
 
-void EngineState::NoteMemory(const std::string& cause) {
+void EngineState::RecordMemoryUse(const std::string& cause) {
   const std::int64_t used = UsedBytes();
   record_.peak_used_bytes = std::max(record_.peak_used_bytes, used);
   if (used <= options_.memory_bytes) return;
@@ -393,7 +396,7 @@
  * larger. */
 std::int64_t EngineState::UsedBytes() const {
   std::int64_t used = 0;
-  for (const auto& [name, held] : held_) {
+  for (const auto& [name, held] : models_) {
     used += held.model.weight_bytes;
     for (const EngineAdapter& it : held.model.adapters) used += it.bytes;
     used += std::max(held.model.kv_budget_bytes,
@@ -402,11 +405,13 @@
   return used;
 }
 
-bool EngineState::IsUsable(const Held& held, const std::string& id) const {
+bool EngineState::IsUsable(const LoadedModel& held,
+                           const std::string& id) const {
   return HasAdapter(held, id) && !held.loading_adapters.contains(id);
 }
 
-bool EngineState::HasAdapter(const Held& held, const std::string& id) const {
+bool EngineState::HasAdapter(const LoadedModel& held,
+                             const std::string& id) const {
   const auto& adapters = held.model.adapters;
   return std::any_of(
       adapters.begin(), adapters.end(),
--- a/standin/engine_state_base.h
+++ b/standin/engine_state_base.h
@@ -18,7 +18,7 @@
 
 /** Whether an order is carried out, and why not. */
 enum class OrderVerdict {
-  kCarryOut,
+  kAccepted,
   kNothingToDo,  ///< The state it asks for is already reached.
   kStaleFence,
   kBusy,
@@ -28,7 +28,7 @@
 
 /** Result of EngineState::BeginOrder. */
 struct OrderStart {
-  OrderVerdict verdict = OrderVerdict::kCarryOut;
+  OrderVerdict verdict = OrderVerdict::kAccepted;
   /** Incarnation of the engine that decided. */
   std::int64_t incarnation = 0;
 };
@@ -86,9 +86,9 @@
   void Crash();
 
  private:
-  struct Held {
+  struct LoadedModel {
     external::EngineModel model;
-    std::size_t stay = 0;  ///< Index in the record's replicas.
+    std::size_t replica_index = 0;  ///< Index in the record's replicas.
     std::int64_t running_kv_bytes = 0;
     PrefixCache prefixes;
     /** Adapters that are still loading and can't be used yet. */
@@ -102,29 +102,31 @@
   };
 
   // The functions below are called with the lock held.
-  OrderVerdict Judge(const external::EngineOrder& order) const;
-  OrderVerdict JudgeLoad(const external::EngineOrder& order) const;
-  OrderVerdict JudgeUnload(const external::EngineOrder& order) const;
-  OrderVerdict JudgeAdapter(const external::EngineOrder& order) const;
+  OrderVerdict DecideOrder(const external::EngineOrder& order) const;
+  OrderVerdict DecideLoad(const external::EngineOrder& order) const;
+  OrderVerdict DecideUnload(const external::EngineOrder& order) const;
+  OrderVerdict DecideAdapterOrder(const external::EngineOrder& order) const;
   void Apply(const external::EngineOrder& order);
   void BeginLoad(const external::EngineOrder& order);
   void BeginUnload(const std::string& model);
   void EndLoad(const external::EngineOrder& order, bool carried_out);
-  void Drop(const std::string& model, ReplicaEnd end);
+  void RemoveModel(const std::string& model, ReplicaEnd end);
   void BeginAdapterLoad(const external::EngineOrder& order);
   void EndAdapterLoad(const external::EngineOrder& order, bool carried_out);
   void RemoveAdapter(const external::EngineOrder& order);
-  Held* FindUsable(const GenerateCall& call);
+  LoadedModel* FindUsable(const GenerateCall& call);
   [[nodiscard]] std::int64_t KvBytesOf(const GenerateCall& call) const;
-  Admission StartRun(const GenerateCall& call, Held& held,
+  Admission StartRun(const GenerateCall& call, LoadedModel& held,
                      std::int64_t kv_bytes);
-  void Stop(std::int64_t ticket, RunOutcome outcome);
-  void StopAll(const std::string& model, RunOutcome outcome);
-  void NoteRefusal(const external::EngineOrder& order, OrderVerdict verdict);
-  void NoteMemory(const std::string& cause);
+  void StopRequest(std::int64_t ticket, RunOutcome outcome);
+  void StopRequestsOf(const std::string& model, RunOutcome outcome);
+  void RecordRefusal(const external::EngineOrder& order, OrderVerdict verdict);
+  void RecordMemoryUse(const std::string& cause);
   [[nodiscard]] std::int64_t UsedBytes() const;
-  [[nodiscard]] bool IsUsable(const Held& held, const std::string& id) const;
-  [[nodiscard]] bool HasAdapter(const Held& held, const std::string& id) const;
+  [[nodiscard]] bool IsUsable(const LoadedModel& held,
+                              const std::string& id) const;
+  [[nodiscard]] bool HasAdapter(const LoadedModel& held,
+                                const std::string& id) const;
 
   const EngineOptions options_;
   const core::Clock& clock_;
@@ -132,7 +134,7 @@
   std::int64_t incarnation_;
   std::int64_t fence_ = 0;
   int orders_in_progress_ = 0;
-  std::map<std::string, Held> held_;
+  std::map<std::string, LoadedModel> models_;
   std::set<std::string> memory_tier_;
   std::set<std::string> disk_tier_;
   std::int64_t last_ticket_ = 0;
--- a/standin/engine_type.h
+++ b/standin/engine_type.h
@@ -55,7 +55,7 @@
 };
 
 /** Record of one request that started. */
-struct RequestRun {
+struct RequestRecord {
   std::string request_id;
   std::string model;
   std::int64_t started_ms = 0;
@@ -67,7 +67,7 @@
 enum class ReplicaEnd { kHeld, kUnloaded, kLoadFailed, kCrashed };
 
 /** Record of one replica, from the start of its load. */
-struct ReplicaStay {
+struct ReplicaRecord {
   std::string model;
   std::string version;
   std::int64_t fence = 0;
@@ -94,8 +94,8 @@
 
 /** Everything that the engine recorded. */
 struct EngineRecord {
-  std::vector<RequestRun> requests;
-  std::vector<ReplicaStay> replicas;
+  std::vector<RequestRecord> requests;
+  std::vector<ReplicaRecord> replicas;
   std::vector<Overcommit> overcommits;
   std::vector<RefusedOrder> refused_orders;
   std::vector<std::int64_t> crashes_ms;
--- a/standin/engine_wire.cc
+++ b/standin/engine_wire.cc
@@ -22,7 +22,7 @@
 namespace {
 
 constexpr int kDefaultMaxTokens = 16;
-constexpr int kMostTokens = 100'000;
+constexpr int kMaxTokens = 100'000;
 constexpr std::string_view kChatPath = "/v1/chat/completions";
 
 /** Wire names, in the order of the enumerators. */
@@ -33,7 +33,8 @@
 constexpr std::array<std::string_view, 4> kEndNames = {
     "held", "unloaded", "load_failed", "crashed"};
 
-[[noreturn]] void FailField(std::string_view field, std::string_view why) {
+[[noreturn]] void ThrowFieldError(std::string_view field,
+                                  std::string_view why) {
   throw core::Error(core::ErrorCode::kMalformedRequest,
                     std::string(field) + ": " + std::string(why));
 }
@@ -43,7 +44,7 @@
   if (name == "unload_model") return OrderKind::kUnloadModel;
   if (name == "load_adapter") return OrderKind::kLoadAdapter;
   if (name == "unload_adapter") return OrderKind::kUnloadAdapter;
-  FailField("kind", "unknown value " + name);
+  ThrowFieldError("kind", "unknown value " + name);
 }
 
 /** @return The messages' contents, joined by newlines. */
@@ -87,7 +88,7 @@
   return object;
 }
 
-json::object ToJson(const RequestRun& run) {
+json::object ToJson(const RequestRecord& run) {
   json::object object;
   object["request_id"] = run.request_id;
   object["model"] = run.model;
@@ -97,15 +98,15 @@
   return object;
 }
 
-json::object ToJson(const ReplicaStay& stay) {
+json::object ToJson(const ReplicaRecord& replica) {
   json::object object;
-  object["model"] = stay.model;
-  object["version"] = stay.version;
-  object["fence"] = stay.fence;
-  object["load_began"] = stay.load_began_ms;
-  object["ready"] = stay.ready_ms;
-  object["ended"] = stay.ended_ms;
-  object["end"] = kEndNames[static_cast<std::size_t>(stay.end)];
+  object["model"] = replica.model;
+  object["version"] = replica.version;
+  object["fence"] = replica.fence;
+  object["load_began"] = replica.load_began_ms;
+  object["ready"] = replica.ready_ms;
+  object["ended"] = replica.ended_ms;
+  object["end"] = kEndNames[static_cast<std::size_t>(replica.end)];
   return object;
 }
 
@@ -140,7 +141,7 @@
 };
 
 /** @return True if `held` was in memory when the load of `began` started. */
-bool HeldWhenBegan(const ReplicaStay& held, const ReplicaStay& began) {
+bool WasLoadedAtStartOf(const ReplicaRecord& held, const ReplicaRecord& began) {
   const bool came_before = held.load_began_ms <= began.load_began_ms;
   const bool went_after =
       held.end == ReplicaEnd::kHeld || held.ended_ms > began.load_began_ms;
@@ -149,14 +150,14 @@
 
 json::object CountReplicas(const EngineRecord& record) {
   std::map<std::string, ReplicaCount> counts;
-  for (const ReplicaStay& it : record.replicas) {
+  for (const ReplicaRecord& it : record.replicas) {
     ReplicaCount& count = counts[it.model];
     if (it.end == ReplicaEnd::kHeld) ++count.current;
     const auto at_once =
         std::count_if(record.replicas.begin(), record.replicas.end(),
-                      [&](const ReplicaStay& other) {
+                      [&](const ReplicaRecord& other) {
                         return &other != &it && other.model == it.model &&
-                               HeldWhenBegan(other, it);
+                               WasLoadedAtStartOf(other, it);
                       });
     count.peak = std::max(count.peak, 1 + static_cast<int>(at_once));
   }
@@ -240,8 +241,8 @@
   call.chat = http::PathOf(request.target) == kChatPath;
   call.prompt = call.chat ? PromptOfChat(body) : StringAt(body, "prompt");
   const std::int64_t tokens = IntegerOr(body, "max_tokens", kDefaultMaxTokens);
-  if (tokens < 1 || tokens > kMostTokens) {
-    FailField("max_tokens", "is out of range");
+  if (tokens < 1 || tokens > kMaxTokens) {
+    ThrowFieldError("max_tokens", "is out of range");
   }
   call.max_tokens = static_cast<int>(tokens);
   call.stream = external::BooleanOr(body, "stream", false);
--- a/standin/fault.cc
+++ b/standin/fault.cc
@@ -19,19 +19,21 @@
     FaultDef{.name = "delay_ms", .kind = FaultKind::kNumber},
 };
 
-[[noreturn]] void FailSwitch(std::string_view name, const std::string& why) {
+[[noreturn]] void ThrowSwitchError(std::string_view name,
+                                   const std::string& why) {
   throw core::Error(core::ErrorCode::kMalformedRequest,
                     std::string(name) + ": " + why);
 }
 
 double ToNumber(std::string_view name, const json::value& value) {
   if (value.is_bool()) return value.get_bool() ? 1 : 0;
-  if (!value.is_number()) FailSwitch(name, "must be a number or a boolean");
+  if (!value.is_number())
+    ThrowSwitchError(name, "must be a number or a boolean");
   return value.to_number<double>();
 }
 
 std::string ToText(std::string_view name, const json::value& value) {
-  if (!value.is_string()) FailSwitch(name, "must be a string");
+  if (!value.is_string()) ThrowSwitchError(name, "must be a string");
   return std::string(value.get_string());
 }
 
@@ -59,7 +61,8 @@
   auto changed = switches_;
   for (const auto& [name, value] : object) {
     const auto it = changed.find(std::string(name));
-    if (it == changed.end()) FailSwitch(name, "is no switch of this stand-in");
+    if (it == changed.end())
+      ThrowSwitchError(name, "is no switch of this stand-in");
     if (it->second.kind == FaultKind::kText) {
       it->second.text = ToText(name, value);
     } else {
@@ -69,7 +72,7 @@
   switches_ = std::move(changed);
 }
 
-std::string Faults::ShowJson() const {
+std::string Faults::AsJson() const {
   const std::lock_guard lock(mutex_);
   json::object object;
   for (const auto& [name, it] : switches_) {
@@ -105,7 +108,7 @@
   return switches_.find(name)->second.text;
 }
 
-bool Faults::TakeOne(std::string_view name) {
+bool Faults::ConsumeOne(std::string_view name) {
   const std::lock_guard lock(mutex_);
   Switch& it = switches_.find(name)->second;
   if (it.number < 1) return false;
--- a/standin/fault_base.h
+++ b/standin/fault_base.h
@@ -39,7 +39,7 @@
   void SetJson(std::string_view text);
 
   /** @return All switches and their values, as a JSON object. */
-  [[nodiscard]] std::string ShowJson() const;
+  [[nodiscard]] std::string AsJson() const;
 
   /** @pre The table has a switch of this name and kind. */
   [[nodiscard]] bool Flag(std::string_view name) const;
@@ -48,7 +48,7 @@
   [[nodiscard]] std::string Text(std::string_view name) const;
 
   /** Decrements a count or clears a flag. @return True if it was set. */
-  bool TakeOne(std::string_view name);
+  bool ConsumeOne(std::string_view name);
 
  private:
   struct Switch {
--- a/standin/host.cc
+++ b/standin/host.cc
@@ -24,7 +24,7 @@
 
 /** Members are destroyed in reverse order: the I/O context destroys the
  * coroutines, and the stand-in must outlive them. */
-struct Host::State {
+struct StandInServer::State {
   State(const std::string& name, const std::string& listen_address,
         const Factory& factory)
       : log({"sapphire-standin-" + name, core::VmId("platform"),
@@ -59,14 +59,15 @@
   std::array<std::thread, kThreads> threads;
 };
 
-Host::Host(const std::string& name, const std::string& listen_address,
-           const Factory& factory)
+StandInServer::StandInServer(const std::string& name,
+                             const std::string& listen_address,
+                             const Factory& factory)
     : state_(std::make_unique<State>(name, listen_address, factory)) {}
 
-Host::~Host() = default;
+StandInServer::~StandInServer() = default;
 
-std::string Host::address() const { return state_->server->address(); }
+std::string StandInServer::address() const { return state_->server->address(); }
 
-StandIn& Host::stand_in() const { return *state_->stand_in; }
+StandIn& StandInServer::stand_in() const { return *state_->stand_in; }
 
 }  // namespace sapphire::standin
--- a/standin/host_base.h
+++ b/standin/host_base.h
@@ -11,7 +11,7 @@
 namespace sapphire::standin {
 
 /** A listening stand-in and its threads, for a program or a test. */
-class Host {
+class StandInServer {
  public:
   using Factory =
       std::function<std::unique_ptr<StandIn>(const StandInContext& context)>;
@@ -22,14 +22,14 @@
    * @param listen_address "ip:port"; port 0 selects a free port.
    * @throws core::Error kBadSettings if the address can't be listened on.
    */
-  Host(const std::string& name, const std::string& listen_address,
-       const Factory& factory);
+  StandInServer(const std::string& name, const std::string& listen_address,
+                const Factory& factory);
 
   /** Stops at once and cuts the connections of requests in progress. */
-  ~Host();
+  ~StandInServer();
 
-  Host(const Host&) = delete;
-  Host& operator=(const Host&) = delete;
+  StandInServer(const StandInServer&) = delete;
+  StandInServer& operator=(const StandInServer&) = delete;
 
   /** @return "ip:port" as bound. */
   [[nodiscard]] std::string address() const;
--- a/standin/kv_stand_in.cc
+++ b/standin/kv_stand_in.cc
@@ -89,7 +89,8 @@
 }
 
 /** @return True if the call writes a key that starts with `prefix`. */
-bool WritesUnder(const http::Request& request, const std::string& prefix) {
+bool WritesKeyWithPrefix(const http::Request& request,
+                         const std::string& prefix) {
   const std::string_view path = http::PathOf(request.target);
   if (path != "/cas" && path != "/delete") return false;
   return StringAt(external::ParseObject(request.body), "key")
@@ -104,7 +105,7 @@
 }
 
 /** Carries out a write. @return The answer. */
-json::object ApplyTo(KvStore& store, const http::Request& request) {
+json::object ApplyWrite(KvStore& store, const http::Request& request) {
   const std::string_view path = http::PathOf(request.target);
   const json::object body = external::ParseObject(request.body);
   json::object answer;
@@ -141,8 +142,8 @@
                               http::ResponseWriter& writer) {
   const std::string path(http::PathOf(request.target));
   const bool is_write = request.method == "POST";
-  Count(path, is_write);
-  co_await (is_write ? write_pacer_ : read_pacer_).Pass();
+  CountCall(path, is_write);
+  co_await (is_write ? write_pacer_ : read_pacer_).Acquire();
   CutIfDown();
   if (is_write) {
     co_await ServeWrite(request, writer);
@@ -164,13 +165,13 @@
     const std::lock_guard lock(mutex_);
     if (key) {
       std::optional<KvEntry> entry = store_.Get(*key);
-      ShowOld(entry, *key);
+      ReplaceWithPrevious(entry, *key);
       answer["entry"] = ToJson(entry);
     } else {
       json::array entries;
       for (const KvEntry& it : store_.List(prefix)) {
         std::optional<KvEntry> entry = it;
-        ShowOld(entry, it.key);
+        ReplaceWithPrevious(entry, it.key);
         entries.push_back(ToJson(entry));
       }
       answer["entries"] = std::move(entries);
@@ -182,14 +183,14 @@
 
 core::Task<> KvStandIn::ServeWrite(const http::Request& request,
                                    http::ResponseWriter& writer) {
-  const bool hit = WritesUnder(request, faults_.Text("write_prefix"));
-  if (hit && faults_.TakeOne("late_writes")) {
+  const bool hit = WritesKeyWithPrefix(request, faults_.Text("write_prefix"));
+  if (hit && faults_.ConsumeOne("late_writes")) {
     core::Spawn(context_.executor, context_.log, "late_write",
                 [this, copy = request] { return ApplyLate(copy); });
     CutConnection("late write");
   }
   std::string answer = Apply(request);
-  if (hit && faults_.TakeOne("lose_answers")) CutConnection("lost answer");
+  if (hit && faults_.ConsumeOne("lose_answers")) CutConnection("lost answer");
   co_await SendJson(writer, kOk, std::move(answer));
 }
 
@@ -209,10 +210,10 @@
     }
     if (batch.gap || !batch.events.empty()) break;
     if (context_.clock.Now() >= deadline) break;
-    co_await changed_.Wait(seen, WaitUntil(deadline));
+    co_await changed_.Wait(seen, TimeUntilWake(deadline));
     CutIfDown();
   }
-  if (faults_.TakeOne("watch_gap")) {
+  if (faults_.ConsumeOne("watch_gap")) {
     batch.gap = true;
     batch.events.clear();
   }
@@ -228,7 +229,7 @@
   json::object answer;
   {
     const std::lock_guard lock(mutex_);
-    answer = ApplyTo(store_, request);
+    answer = ApplyWrite(store_, request);
   }
   changed_.Notify();
   return json::serialize(answer);
@@ -236,7 +237,7 @@
 
 /** @return The time until the watch or the next lease ends, whichever is
  * earlier. */
-std::chrono::milliseconds KvStandIn::WaitUntil(
+std::chrono::milliseconds KvStandIn::TimeUntilWake(
     core::SteadyTime deadline) const {
   const std::lock_guard lock(mutex_);
   const core::SteadyTime end =
@@ -245,21 +246,22 @@
                                                       context_.clock.Now());
 }
 
-void KvStandIn::ShowOld(std::optional<KvEntry>& entry, const std::string& key) {
+void KvStandIn::ReplaceWithPrevious(std::optional<KvEntry>& entry,
+                                    const std::string& key) {
   if (key != faults_.Text("show_old_key")) return;
   const std::optional<KvEntry> previous = store_.Previous(key);
   if (previous) entry = previous;
 }
 
 void KvStandIn::OnFaultsSet() {
-  if (faults_.TakeOne("lapse_leases")) {
+  if (faults_.ConsumeOne("lapse_leases")) {
     const std::lock_guard lock(mutex_);
-    store_.LapseLeases();
+    store_.EndAllLeases();
   }
   changed_.Notify();
 }
 
-void KvStandIn::Count(const std::string& path, bool is_write) {
+void KvStandIn::CountCall(const std::string& path, bool is_write) {
   const std::lock_guard lock(mutex_);
   ++calls_[path];
   const std::int64_t second = WallMillis(context_.clock) / kMillisPerSecond;
--- a/standin/kv_stand_in_base.h
+++ b/standin/kv_stand_in_base.h
@@ -58,9 +58,10 @@
                           http::ResponseWriter& writer);
   core::Task<> ApplyLate(http::Request request);
   std::string Apply(const http::Request& request);
-  void Count(const std::string& path, bool is_write);
-  void ShowOld(std::optional<external::KvEntry>& entry, const std::string& key);
-  std::chrono::milliseconds WaitUntil(core::SteadyTime deadline) const;
+  void CountCall(const std::string& path, bool is_write);
+  void ReplaceWithPrevious(std::optional<external::KvEntry>& entry,
+                           const std::string& key);
+  std::chrono::milliseconds TimeUntilWake(core::SteadyTime deadline) const;
 
   Pacer read_pacer_;
   Pacer write_pacer_;
--- a/standin/kv_stand_in_test.cc
+++ b/standin/kv_stand_in_test.cc
@@ -46,7 +46,7 @@
     return entry ? entry->value : "absent";
   }
 
-  Host host;
+  StandInServer host;
   std::unique_ptr<external::KeyValueStore> store;
   external::TestRunner runner;
 };
@@ -64,14 +64,14 @@
   BOOST_TEST(!batch.events.back().value.has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(WatchWakesAtAChange, Fixture) {
+BOOST_FIXTURE_TEST_CASE(WatchReturnsOnChange, Fixture) {
   auto batch = runner.Begin(store->Watch("k", 0, Millis(60'000)));
   Swap(0, "v");
   BOOST_TEST(batch.get().events.at(0).value.value() == "v");
   BOOST_TEST(runner.Run(store->Watch("k", 1, Millis(10))).events.empty());
 }
 
-BOOST_FIXTURE_TEST_CASE(DownHasNoEffect, Fixture) {
+BOOST_FIXTURE_TEST_CASE(NoWriteTakesEffectWhileDown, Fixture) {
   SetFaults(R"({"down":true})");
   BOOST_TEST(SwapFailure(0, "v").has_value());
   SetFaults(R"({"down":false})");
@@ -80,7 +80,7 @@
 
 // A swap takes effect, but its answer is lost: the writer sees an unknown
 // outcome, and the next reader sees the new value.
-BOOST_FIXTURE_TEST_CASE(LostAnswerTookEffect, Fixture) {
+BOOST_FIXTURE_TEST_CASE(LostAnswerStillTakesEffect, Fixture) {
   SetFaults(R"({"lose_answers":1,"write_prefix":"other"})");
   BOOST_TEST(Swap(0, "first").swapped);
   SetFaults(R"({"write_prefix":"k"})");
@@ -90,7 +90,7 @@
 
 // The connection closes before a swap is applied. Readers see the old value
 // until the late write takes effect; another write in between prevents it.
-BOOST_FIXTURE_TEST_CASE(LateWriteLandsIfNothingCameBetween, Fixture) {
+BOOST_FIXTURE_TEST_CASE(LateWriteAppliesUnlessKeyChanged, Fixture) {
   SetFaults(R"({"late_writes":2,"late_writes_ms":150})");
   BOOST_TEST((SwapFailure(0, "late") == ErrorCode::kPlatformUnknownOutcome));
   BOOST_TEST(Value() == "absent");
@@ -103,7 +103,7 @@
   BOOST_TEST(Value() == "between");
 }
 
-BOOST_FIXTURE_TEST_CASE(LeasesLapseOnDemand, Fixture) {
+BOOST_FIXTURE_TEST_CASE(FaultEndsAllLeases, Fixture) {
   const auto lease = runner.Run(store->GrantLease(Millis(60'000)));
   BOOST_TEST(runner.Run(store->CompareAndSwap("k", 0, "v", lease.id)).swapped);
   auto batch = runner.Begin(store->Watch("k", 1, Millis(60'000)));
@@ -112,14 +112,14 @@
   BOOST_TEST(!runner.Run(store->KeepAlive(lease.id)));
 }
 
-BOOST_FIXTURE_TEST_CASE(LeaseEndsWhileWatched, Fixture) {
+BOOST_FIXTURE_TEST_CASE(WatchSeesExpiredLease, Fixture) {
   const auto lease = runner.Run(store->GrantLease(Millis(100)));
   BOOST_TEST(runner.Run(store->CompareAndSwap("k", 0, "v", lease.id)).swapped);
   const auto batch = runner.Run(store->Watch("k", 1, Millis(60'000)));
   BOOST_TEST(!batch.events.at(0).value.has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(GapAndOldValueOnDemand, Fixture) {
+BOOST_FIXTURE_TEST_CASE(FaultsCauseGapAndOldValue, Fixture) {
   Swap(0, "old");
   Swap(1, "new");
   SetFaults(R"({"watch_gap":1,"show_old_key":"k"})");
@@ -130,7 +130,7 @@
   BOOST_TEST(Value() == "new");
 }
 
-BOOST_FIXTURE_TEST_CASE(UnknownSwitchSetsNothing, Fixture) {
+BOOST_FIXTURE_TEST_CASE(UnknownSwitchChangesNothing, Fixture) {
   BOOST_CHECK_THROW(host.stand_in().faults().SetJson(R"({"down":1,"x":1})"),
                     core::Error);
   BOOST_TEST(!host.stand_in().faults().Flag("down"));
--- a/standin/kv_store.cc
+++ b/standin/kv_store.cc
@@ -77,18 +77,18 @@
   ExpireLeases();
   const auto it = leases_.find(lease_id);
   if (it == leases_.end()) return false;
-  it->second.ends = clock_.Now() + it->second.time_to_live;
+  it->second.expires_at = clock_.Now() + it->second.time_to_live;
   return true;
 }
 
-void KvStore::LapseLeases() {
+void KvStore::EndAllLeases() {
   while (!leases_.empty()) EndLease(std::string(leases_.begin()->first));
 }
 
 std::optional<core::SteadyTime> KvStore::NextExpiry() const {
   std::optional<core::SteadyTime> next;
   for (const auto& [id, lease] : leases_) {
-    if (!next || lease.ends < *next) next = lease.ends;
+    if (!next || lease.expires_at < *next) next = lease.expires_at;
   }
   return next;
 }
@@ -99,7 +99,7 @@
   batch.revision = revision_;
   // A revision above the current one comes from before this store's restart;
   // its changes are lost, as those dropped from the history are.
-  batch.gap = after < forgotten_ || after > revision_;
+  batch.gap = after < last_dropped_revision_ || after > revision_;
   if (batch.gap) return batch;
   for (const KvEvent& event : history_) {
     if (event.revision > after && event.key.starts_with(prefix)) {
@@ -113,7 +113,7 @@
   const core::SteadyTime now = clock_.Now();
   std::vector<std::string> ended;
   for (const auto& [id, lease] : leases_) {
-    if (lease.ends <= now) ended.push_back(id);
+    if (lease.expires_at <= now) ended.push_back(id);
   }
   for (const std::string& id : ended) EndLease(id);
 }
@@ -133,20 +133,20 @@
   if (item.entry.revision != 0) previous_[key] = item.entry;
   item.entry = {key, value, ++revision_};
   item.lease_id = lease_id;
-  Remember({key, value, revision_});
+  AppendHistory({key, value, revision_});
 }
 
 void KvStore::Delete(const std::string& key) {
   const auto it = items_.find(key);
   previous_[key] = it->second.entry;
   items_.erase(it);
-  Remember({key, std::nullopt, ++revision_});
+  AppendHistory({key, std::nullopt, ++revision_});
 }
 
-void KvStore::Remember(KvEvent event) {
+void KvStore::AppendHistory(KvEvent event) {
   history_.push_back(std::move(event));
   if (history_.size() <= history_limit_) return;
-  forgotten_ = history_.front().revision;
+  last_dropped_revision_ = history_.front().revision;
   history_.pop_front();
 }
 
--- a/standin/kv_store_base.h
+++ b/standin/kv_store_base.h
@@ -47,7 +47,7 @@
   bool KeepAlive(const std::string& lease_id);
 
   /** Ends all leases. */
-  void LapseLeases();
+  void EndAllLeases();
 
   /** @return The earliest end of a lease; nothing if there is no lease. */
   [[nodiscard]] std::optional<core::SteadyTime> NextExpiry() const;
@@ -64,7 +64,7 @@
   };
   struct Lease {
     std::chrono::milliseconds time_to_live{};
-    core::SteadyTime ends;
+    core::SteadyTime expires_at;
   };
 
   void ExpireLeases();
@@ -72,13 +72,13 @@
   void Put(const std::string& key, const std::string& value,
            const std::string& lease_id);
   void Delete(const std::string& key);
-  void Remember(external::KvEvent event);
+  void AppendHistory(external::KvEvent event);
 
   const std::size_t history_limit_;
   const core::Clock& clock_;
   std::int64_t revision_ = 0;
   /** Revision of the newest change that was dropped from the history. */
-  std::int64_t forgotten_ = 0;
+  std::int64_t last_dropped_revision_ = 0;
   std::map<std::string, Item> items_;
   std::map<std::string, external::KvEntry> previous_;
   std::map<std::string, Lease> leases_;
--- a/standin/kv_store_test.cc
+++ b/standin/kv_store_test.cc
@@ -29,7 +29,7 @@
   BOOST_TEST(store.CompareAndSwap("a", 0, "3", "").revision == 4);
 }
 
-BOOST_FIXTURE_TEST_CASE(LapsedLeaseDeletesItsKeys, Fixture) {
+BOOST_FIXTURE_TEST_CASE(ExpiredLeaseDeletesItsKeys, Fixture) {
   const auto lease = store.GrantLease(Millis(100));
   store.CompareAndSwap("a", 0, "1", lease.id);
   clock.Advance(Millis(99));
@@ -43,7 +43,7 @@
   BOOST_TEST(!store.ChangesAfter("a", 1).events.at(0).value.has_value());
 }
 
-BOOST_FIXTURE_TEST_CASE(ForgottenChangesAreAGap, Fixture) {
+BOOST_FIXTURE_TEST_CASE(DroppedHistoryCausesGap, Fixture) {
   store.CompareAndSwap("a", 0, "1", "");
   store.CompareAndSwap("b", 0, "2", "");
   BOOST_TEST(store.ChangesAfter("", 0).events.size() == 2U);
--- a/standin/pacer.cc
+++ b/standin/pacer.cc
@@ -27,7 +27,7 @@
   return std::chrono::ceil<std::chrono::milliseconds>(turn - now);
 }
 
-core::Task<> Pacer::Pass() {
+core::Task<> Pacer::Acquire() {
   const std::chrono::milliseconds wait = Reserve();
   if (wait.count() > 0) {
     co_await core::SleepFor(wait);
--- a/standin/pacer_base.h
+++ b/standin/pacer_base.h
@@ -21,7 +21,7 @@
   std::chrono::milliseconds Reserve();
 
   /** Reserves the next free slot and waits for it. */
-  core::Task<> Pass();
+  core::Task<> Acquire();
 
  private:
   const core::SteadyTime::duration interval_;
--- a/standin/pacer_test.cc
+++ b/standin/pacer_test.cc
@@ -23,7 +23,7 @@
   BOOST_TEST((pacer.Reserve() == Millis(100)));
 }
 
-BOOST_AUTO_TEST_CASE(NoRateIsNoLimit) {
+BOOST_AUTO_TEST_CASE(RateZeroMeansNoLimit) {
   const core::ManualClock clock;
   Pacer pacer(0, clock);
   BOOST_TEST((pacer.Reserve() == Millis(0)));
--- a/standin/plain_stand_in.cc
+++ b/standin/plain_stand_in.cc
@@ -38,16 +38,16 @@
 
 core::Task<> PlainStandIn::Serve(const http::Request& request,
                                  http::ResponseWriter& writer) {
-  std::string body = RunOnce(request);
-  if (faults_.TakeOne("lose_answers")) CutConnection("lost answer");
-  if (faults_.TakeOne("cut_body")) {
+  std::string body = RecordRun(request);
+  if (faults_.ConsumeOne("lose_answers")) CutConnection("lost answer");
+  if (faults_.ConsumeOne("cut_body")) {
     co_await SendHalf(writer, body);
     co_return;
   }
   co_await SendJson(writer, kOk, std::move(body));
 }
 
-std::string PlainStandIn::RunOnce(const http::Request& request) {
+std::string PlainStandIn::RecordRun(const http::Request& request) {
   Run run;
   run.request_id = HeaderOf(request, "X-Request-Id");
   run.method = request.method;
--- a/standin/plain_stand_in_base.h
+++ b/standin/plain_stand_in_base.h
@@ -34,7 +34,7 @@
     std::int64_t at_ms = 0;
   };
 
-  std::string RunOnce(const http::Request& request);
+  std::string RecordRun(const http::Request& request);
 
   const std::string service_;
   mutable std::mutex mutex_;
--- a/standin/prefix_cache.cc
+++ b/standin/prefix_cache.cc
@@ -11,7 +11,7 @@
 constexpr std::size_t kBlockChars = 256;
 
 /** @return For each whole block, the hash of the prompt up to its end. */
-std::vector<std::uint64_t> BlocksOf(std::string_view prompt) {
+std::vector<std::uint64_t> BlockHashes(std::string_view prompt) {
   std::vector<std::uint64_t> blocks;
   std::uint64_t hash = 0;
   for (std::size_t i = 0; i + kBlockChars <= prompt.size(); i += kBlockChars) {
@@ -28,7 +28,7 @@
 
 std::size_t PrefixCache::Match(std::string_view prompt) {
   std::size_t n = 0;
-  for (std::uint64_t block : BlocksOf(prompt)) {
+  for (std::uint64_t block : BlockHashes(prompt)) {
     if (!Touch(block)) break;
     n += kBlockChars;
   }
@@ -38,16 +38,16 @@
 void PrefixCache::Insert(std::string_view prompt) {
   // Blocks of size 0 would never be evicted.
   if (bytes_per_block_ == 0) return;
-  for (std::uint64_t block : BlocksOf(prompt)) {
+  for (std::uint64_t block : BlockHashes(prompt)) {
     if (Touch(block)) continue;
     blocks_.push_front(block);
-    places_[block] = blocks_.begin();
+    positions_[block] = blocks_.begin();
   }
 }
 
 void PrefixCache::EvictTo(std::int64_t bytes) {
   while (!blocks_.empty() && this->bytes() > bytes) {
-    places_.erase(blocks_.back());
+    positions_.erase(blocks_.back());
     blocks_.pop_back();
   }
 }
@@ -57,8 +57,8 @@
 }
 
 bool PrefixCache::Touch(std::uint64_t block) {
-  const auto it = places_.find(block);
-  if (it == places_.end()) return false;
+  const auto it = positions_.find(block);
+  if (it == positions_.end()) return false;
   blocks_.splice(blocks_.begin(), blocks_, it->second);
   return true;
 }
--- a/standin/prefix_cache_base.h
+++ b/standin/prefix_cache_base.h
@@ -39,7 +39,7 @@
   const std::int64_t bytes_per_block_;
   /** Most recently used first. */
   Blocks blocks_;
-  std::unordered_map<std::uint64_t, Blocks::iterator> places_;
+  std::unordered_map<std::uint64_t, Blocks::iterator> positions_;
 };
 
 }  // namespace sapphire::standin
--- a/standin/sapphire_standin_main.cc
+++ b/standin/sapphire_standin_main.cc
@@ -120,9 +120,10 @@
 }
 
 void Run(const std::string& command, const Arguments& args) {
-  const Host host(command, args.listen, [&](const StandInContext& context) {
-    return MakeStandIn(command, args, context);
-  });
+  const StandInServer host(command, args.listen,
+                           [&](const StandInContext& context) {
+                             return MakeStandIn(command, args, context);
+                           });
   const std::string address = host.address();
   if (!args.port_file.empty()) {
     core::WriteFileAtomically(args.port_file, address + "\n");
--- a/standin/services_stand_in_test.cc
+++ b/standin/services_stand_in_test.cc
@@ -25,7 +25,7 @@
     R"("link_address":"127.0.0.1:9"}]})";
 
 struct Service {
-  explicit Service(const Host::Factory& factory)
+  explicit Service(const StandInServer::Factory& factory)
       : host("service", "127.0.0.1:0", factory), client(host.address()) {}
 
   http::Response Call(const std::string& method, const std::string& target,
@@ -42,7 +42,7 @@
     host.stand_in().faults().SetJson(text);
   }
 
-  Host host;
+  StandInServer host;
   http::Client client;
   external::TestRunner runner;
 };
@@ -91,7 +91,7 @@
   BOOST_TEST(Call("POST", "/vms", R"({"vms":[{}]})").head.status == 400);
 }
 
-BOOST_AUTO_TEST_CASE(WeightStoreSpreadsStartsAndCountsTransfers) {
+BOOST_AUTO_TEST_CASE(WeightStoreSpacesStartsAndCountsTransfers) {
   WeightsOptions options;
   options.loads_per_second = 10;
   options.bytes_per_second = 1e6;
@@ -109,7 +109,7 @@
   BOOST_TEST(*starts.rbegin() - *starts.begin() >= 150);
 }
 
-BOOST_AUTO_TEST_CASE(TransfersBeyondFullSpeedShareIt) {
+BOOST_AUTO_TEST_CASE(TransfersBeyondLimitShareSpeed) {
   WeightsOptions options;
   options.loads_per_second = 1000;
   options.at_once = 1;
@@ -124,7 +124,7 @@
 
 // A request whose answer is lost or cut in half has run all the same, and the
 // record shows it.
-BOOST_FIXTURE_TEST_CASE(PlainServiceRunsWhatItDoesNotAnswer, Plain) {
+BOOST_FIXTURE_TEST_CASE(RequestWithLostAnswerIsRecorded, Plain) {
   BOOST_TEST(Call("PUT", "/a/b?c=d").body ==
              R"({"service":"bookings","request_id":"","runs":1})");
   SetFaults(R"({"lose_answers":1})");
--- a/standin/stand_in.cc
+++ b/standin/stand_in.cc
@@ -23,7 +23,7 @@
       faults_.SetJson(request.body);
       OnFaultsSet();
     }
-    co_await SendJson(writer, kOk, faults_.ShowJson());
+    co_await SendJson(writer, kOk, faults_.AsJson());
     co_return;
   }
   if (path == "/standin/record") {
--- a/standin/weights_stand_in.cc
+++ b/standin/weights_stand_in.cc
@@ -19,7 +19,7 @@
 constexpr int kOk = 200;
 constexpr std::string_view kPathPrefix = "/weights/";
 /** How often a transfer recomputes its share of the store's speed. */
-constexpr core::Millis kStep{10};
+constexpr core::Millis kShareInterval{10};
 
 constexpr std::array kFaults = {
     FaultDef{.name = "slow_factor", .kind = FaultKind::kNumber, .initial = 1},
@@ -40,7 +40,7 @@
 WeightsStandIn::WeightsStandIn(StandInContext context, WeightsOptions options)
     : StandIn(std::move(context), kFaults),
       options_(options),
-      starts_(options.loads_per_second, context_.clock) {}
+      start_pacer_(options.loads_per_second, context_.clock) {}
 
 core::Task<> WeightsStandIn::Serve(const http::Request& request,
                                    http::ResponseWriter& writer) {
@@ -51,23 +51,23 @@
   Transfer transfer;
   transfer.name = path.substr(kPathPrefix.size());
   transfer.bytes = BytesOf(request);
-  transfer.asked_ms = WallMillis(context_.clock);
-  co_await starts_.Pass();
+  transfer.requested_ms = WallMillis(context_.clock);
+  co_await start_pacer_.Acquire();
   transfer.started_ms = WallMillis(context_.clock);
-  co_await Move(transfer.bytes);
+  co_await SimulateTransfer(transfer.bytes);
   transfer.ended_ms = WallMillis(context_.clock);
-  Finish(transfer);
+  RecordTransfer(transfer);
   co_await SendJson(writer, kOk, "{}");
 }
 
-core::Task<> WeightsStandIn::Move(std::int64_t bytes) {
-  Begin();
+core::Task<> WeightsStandIn::SimulateTransfer(std::int64_t bytes) {
+  BeginTransfer();
   auto left = static_cast<double>(bytes);
   core::SteadyTime last = context_.clock.Now();
   while (left > 0 && !faults_.Flag("down")) {
     const FloatSeconds needed(left / CurrentSpeed());
     const auto whole = std::chrono::ceil<std::chrono::milliseconds>(
-        std::min(needed, FloatSeconds(kStep)));
+        std::min(needed, FloatSeconds(kShareInterval)));
     co_await core::SleepFor(whole);
     const core::SteadyTime now = context_.clock.Now();
     left -= FloatSeconds(now - last).count() * CurrentSpeed();
@@ -77,13 +77,13 @@
   --active_;
 }
 
-void WeightsStandIn::Begin() {
+void WeightsStandIn::BeginTransfer() {
   const std::lock_guard lock(mutex_);
   ++active_;
   peak_active_ = std::max(peak_active_, active_);
 }
 
-void WeightsStandIn::Finish(const Transfer& transfer) {
+void WeightsStandIn::RecordTransfer(const Transfer& transfer) {
   CutIfDown();
   const std::lock_guard lock(mutex_);
   transfers_.push_back(transfer);
@@ -105,7 +105,7 @@
     json::object transfer;
     transfer["name"] = it.name;
     transfer["bytes"] = it.bytes;
-    transfer["asked_ms"] = it.asked_ms;
+    transfer["asked_ms"] = it.requested_ms;
     transfer["started_ms"] = it.started_ms;
     transfer["ended_ms"] = it.ended_ms;
     transfers.push_back(std::move(transfer));
--- a/standin/weights_stand_in_base.h
+++ b/standin/weights_stand_in_base.h
@@ -36,18 +36,18 @@
   struct Transfer {
     std::string name;
     std::int64_t bytes = 0;
-    std::int64_t asked_ms = 0;
+    std::int64_t requested_ms = 0;
     std::int64_t started_ms = 0;
     std::int64_t ended_ms = 0;
   };
 
-  core::Task<> Move(std::int64_t bytes);
-  void Begin();
-  void Finish(const Transfer& transfer);
+  core::Task<> SimulateTransfer(std::int64_t bytes);
+  void BeginTransfer();
+  void RecordTransfer(const Transfer& transfer);
   double CurrentSpeed() const;
 
   const WeightsOptions options_;
-  Pacer starts_;
+  Pacer start_pacer_;
   mutable std::mutex mutex_;
   int active_ = 0;
   int peak_active_ = 0;
