--- a/demo/sapphire_demo_main.cc
+++ b/demo/sapphire_demo_main.cc
@@ -17,7 +17,7 @@
 
 using tests::ChatRequest;
 using tests::Fleet;
-using tests::IsOwnWholeAnswer;
+using tests::IsOwnCompleteAnswer;
 using tests::Process;
 using tests::Reply;
 
@@ -113,13 +113,13 @@
   return loads;
 }
 
-void Burst(Fleet& fleet, Checks& checks) {
+void RunBurst(Fleet& fleet, Checks& checks) {
   std::vector<std::future<Reply>> replies;
   replies.reserve(kBurst);
   for (int i = 0; i < kBurst; ++i) {
     const std::string entry = i % 2 == 0 ? "entry-1" : "entry-2";
     replies.push_back(
-        fleet.SendLater(fleet.EntryAddress(entry),
+        fleet.SendAsync(fleet.EntryAddress(entry),
                         ChatRequest("itinerary", "shore day in Passau",
                                     fmt::format("burst-{}", i))));
   }
@@ -129,7 +129,7 @@
     const std::string id = fmt::format("burst-{}", i);
     fmt::print("  {}: {} in {} ms {}\n", id, reply.status, reply.took.count(),
                reply.problem());
-    whole += IsOwnWholeAnswer(reply, id, 8) ? 1 : 0;
+    whole += IsOwnCompleteAnswer(reply, id, 8) ? 1 : 0;
   }
   checks.Check(whole == kBurst,
                fmt::format("{} of {} callers in a burst for an unloaded model "
@@ -139,17 +139,17 @@
                "the burst loaded no more replicas than the limit");
 }
 
-void StreamTokens(Fleet& fleet, Checks& checks) {
+void CheckStreaming(Fleet& fleet, Checks& checks) {
   const Reply reply = fleet.Send(
       fleet.EntryAddress("entry-2"),
       ChatRequest("itinerary:danube", "a summary", "stream-1", true));
   const bool sse = reply.body.starts_with("data: ") &&
                    reply.body.find("data: [DONE]") != std::string::npos;
-  checks.Check(sse && IsOwnWholeAnswer(reply, "stream-1", 8),
+  checks.Check(sse && IsOwnCompleteAnswer(reply, "stream-1", 8),
                "tokens of an adapter are streamed as server-sent events");
 }
 
-void CallOnce(Fleet& fleet, Checks& checks) {
+void CheckRetryRunsOnce(Fleet& fleet, Checks& checks) {
   const http::Request booking{
       "POST",
       "/services/cabin-status/bookings/42",
@@ -165,13 +165,13 @@
   checks.Check(runs == 1, fmt::format("the booking ran {} time(s)", runs));
 }
 
-void DrainOne(Fleet& fleet, Checks& checks) {
+void CheckDrain(Fleet& fleet, Checks& checks) {
   const std::string entry = fleet.EntryAddress("entry-1");
   constexpr int kStreams = 4;
   std::vector<std::future<Reply>> running;
   running.reserve(kStreams);
   for (int i = 0; i < kStreams; ++i) {
-    running.push_back(fleet.SendLater(
+    running.push_back(fleet.SendAsync(
         entry, ChatRequest("itinerary", "a long story",
                            fmt::format("drain-{}", i), true, 150)));
   }
@@ -184,7 +184,8 @@
   int whole = 0;
   for (int i = 0; i < kStreams; ++i) {
     const Reply reply = running[i].get();
-    whole += IsOwnWholeAnswer(reply, fmt::format("drain-{}", i), 150) ? 1 : 0;
+    whole +=
+        IsOwnCompleteAnswer(reply, fmt::format("drain-{}", i), 150) ? 1 : 0;
   }
   checks.Check(whole == kStreams, "the drain cuts no stream in progress");
   const auto left = fleet.endpoint("engine-1").process->WaitForExit(kExitLimit);
@@ -206,10 +207,10 @@
   fleet.entry_settings = "lame_duck_ms = 300\n";
   StartFleet(fleet);
   PlanAndConfirm(fleet, intent_path, checks);
-  Burst(fleet, checks);
-  StreamTokens(fleet, checks);
-  CallOnce(fleet, checks);
-  DrainOne(fleet, checks);
+  RunBurst(fleet, checks);
+  CheckStreaming(fleet, checks);
+  CheckRetryRunsOnce(fleet, checks);
+  CheckDrain(fleet, checks);
   for (const char* entry : {"entry-1", "entry-2"}) {
     fleet.entry(entry).process->Signal(SIGTERM);
     const auto code = fleet.entry(entry).process->WaitForExit(kExitLimit);
--- a/tests/config_force_test.cc
+++ b/tests/config_force_test.cc
@@ -21,7 +21,7 @@
 
 /** Time limit for a confirmed configuration to be in force on every VM. */
 constexpr seconds kInForceWithin{10};
-constexpr milliseconds kWatchPause{50};
+constexpr milliseconds kPollInterval{50};
 constexpr int kTokens = 4;
 constexpr int kLongAnswer = 150;
 
@@ -71,9 +71,9 @@
     return std::string(plan.at("id").as_string());
   }
 
-  std::future<Reply> ConfirmLater(const std::string& entry,
+  std::future<Reply> ConfirmAsync(const std::string& entry,
                                   const std::string& plan) {
-    return fleet.SendLater(
+    return fleet.SendAsync(
         fleet.EntryAddress(entry),
         {"POST", "/admin/v1/plans/" + plan + "/confirm", {}, ""});
   }
@@ -85,7 +85,8 @@
   }
 
   /** @return Each VM's version as the entry reports it; 0 if not linked. */
-  std::map<std::string, std::int64_t> VersionsSeenBy(const std::string& entry) {
+  std::map<std::string, std::int64_t> VersionsReportedBy(
+      const std::string& entry) {
     std::map<std::string, std::int64_t> versions;
     const Reply reply = fleet.Send(fleet.EntryAddress(entry),
                                    {"GET", "/admin/v1/status", {}, ""});
@@ -101,11 +102,11 @@
 
   /** Waits until every entry reports this version for every VM.
    * @return False if that takes longer than kInForceWithin. */
-  bool InForce(std::int64_t version) {
+  bool WaitUntilInForce(std::int64_t version) {
     return Eventually(
         [&] {
           for (const std::string& entry : entries) {
-            const auto versions = VersionsSeenBy(entry);
+            const auto versions = VersionsReportedBy(entry);
             if (versions.size() != vms.size() + entries.size()) return false;
             for (const auto& [vm, it] : versions) {
               if (it != version) return false;
@@ -119,12 +120,12 @@
   /** Confirms an intent, then makes the key-value service return the previous
    * head and restores the previous parts, as on a lagging replica.
    * @return The confirmed version. */
-  std::int64_t ConfirmAndShowOlder(const std::string& intent) {
+  std::int64_t ConfirmThenShowOldHead(const std::string& intent) {
     const std::string kv = fleet.StandInAddress("kv");
     const Reply before =
         fleet.Send(kv, {"GET", "/kv?prefix=config/parts/", {}, ""});
     const std::string plan = Plan("entry-1", intent);
-    const Reply reply = ConfirmLater("entry-1", plan).get();
+    const Reply reply = ConfirmAsync("entry-1", plan).get();
     BOOST_REQUIRE_MESSAGE(reply.ok(), reply.body + reply.failure);
     const auto parts = boost::json::parse(before.body);
     for (const auto& it : parts.at("entries").as_array()) {
@@ -134,7 +135,7 @@
                                       {"lease", ""}};
       fleet.Send(kv, {"POST", "/cas", {}, boost::json::serialize(write)});
     }
-    fleet.Fault("kv", R"({"show_old_key":"config/head"})");
+    fleet.SetFaults("kv", R"({"show_old_key":"config/head"})");
     return VersionAt("entry-1");
   }
 
@@ -151,8 +152,8 @@
 
   /** Ends each entry's watch and reports a gap, so that the entries read the
    * head again. */
-  void EndWatchesWithAGap() {
-    fleet.Fault("kv", fmt::format(R"({{"watch_gap":{}}})", entries.size()));
+  void EndWatchesWithGap() {
+    fleet.SetFaults("kv", fmt::format(R"({{"watch_gap":{}}})", entries.size()));
     const boost::json::object write{
         {"key", fmt::format("config/head/{}", sent++)},
         {"expected", 0},
@@ -167,7 +168,7 @@
     const Reply reply =
         fleet.Send(fleet.EntryAddress(entry),
                    ChatRequest(model, "hi", id, false, kTokens));
-    return IsOwnWholeAnswer(reply, id, kTokens);
+    return IsOwnCompleteAnswer(reply, id, kTokens);
   }
 
   const std::vector<std::string> vms = {"engine-1", "engine-2", "engine-3"};
@@ -177,41 +178,42 @@
 };
 
 /** Polls the version of each VM as reported by each entry. */
-class VersionWatch {
+class VersionMonitor {
  public:
-  explicit VersionWatch(Deployment& deployment)
+  explicit VersionMonitor(Deployment& deployment)
       : deployment_(deployment), thread_([this] { Run(); }) {}
-  ~VersionWatch() { Stop(); }
+  ~VersionMonitor() { Stop(); }
 
   /** Stops polling.
    * @return How often a version was lower than an earlier one. */
   int Stop() {
     stopped_ = true;
     if (thread_.joinable()) thread_.join();
-    BOOST_TEST(looks_ > 0);
-    return went_back_;
+    BOOST_TEST(samples_ > 0);
+    return decreases_;
   }
 
  private:
   void Run() {
     while (!stopped_) {
       for (const std::string& entry : deployment_.entries) {
-        for (const auto& [vm, version] : deployment_.VersionsSeenBy(entry)) {
-          Note({entry, vm}, version);
+        for (const auto& [vm, version] :
+             deployment_.VersionsReportedBy(entry)) {
+          RecordVersion({entry, vm}, version);
         }
       }
-      std::this_thread::sleep_for(kWatchPause);
+      std::this_thread::sleep_for(kPollInterval);
     }
   }
 
   /** Version 0 is ignored: a VM that isn't linked or has just started has no
    * version yet. */
-  void Note(const std::pair<std::string, std::string>& view,
-            std::int64_t version) {
+  void RecordVersion(const std::pair<std::string, std::string>& view,
+                     std::int64_t version) {
     if (version == 0) return;
-    ++looks_;
+    ++samples_;
     std::int64_t& newest = newest_[view];
-    if (version < newest) ++went_back_;
+    if (version < newest) ++decreases_;
     newest = std::max(newest, version);
   }
 
@@ -219,17 +221,17 @@
   std::atomic<bool> stopped_ = false;
   /** Keyed by the reporting entry and the VM. */
   std::map<std::pair<std::string, std::string>, std::int64_t> newest_;
-  int looks_ = 0;
-  int went_back_ = 0;
+  int samples_ = 0;
+  int decreases_ = 0;
   std::thread thread_;
 };
 
 // Two operators confirm plans with the same base version at two entries at the
 // same time. If both took effect, one would silently undo the other: exactly
 // one must succeed, and the other must get `plan_conflict`.
-BOOST_AUTO_TEST_CASE(OfTwoConflictingPlansOneWins) {
+BOOST_AUTO_TEST_CASE(OneOfTwoConflictingPlansIsConfirmed) {
   Deployment deployment;
-  const VersionWatch watch(deployment);
+  const VersionMonitor watch(deployment);
   for (int i = 0; i < 5; ++i) {
     const std::int64_t base = deployment.VersionAt("entry-1");
     const bool even = i % 2 == 0;
@@ -237,14 +239,14 @@
         deployment.Plan("entry-1", Intent(even ? 1 : 2, {"lunch"}));
     const std::string dinner =
         deployment.Plan("entry-2", Intent(even ? 1 : 2, {"dinner"}));
-    auto first = deployment.ConfirmLater("entry-1", lunch);
-    auto second = deployment.ConfirmLater("entry-2", dinner);
+    auto first = deployment.ConfirmAsync("entry-1", lunch);
+    auto second = deployment.ConfirmAsync("entry-2", dinner);
     const Reply one = first.get();
     const Reply two = second.get();
     BOOST_TEST(one.ok() != two.ok());
     const Reply& lost = one.ok() ? two : one;
     BOOST_TEST(lost.problem() == "plan_conflict", lost.body);
-    BOOST_TEST(deployment.InForce(base + 1));
+    BOOST_TEST(deployment.WaitUntilInForce(base + 1));
     const std::string winner = one.ok() ? "lunch" : "dinner";
     const std::string loser = one.ok() ? "dinner" : "lunch";
     BOOST_TEST(deployment.Serves("entry-1", winner));
@@ -256,9 +258,9 @@
 // service closes the connection and applies the swap late. The operator must
 // not see an error for a plan that took effect, and the plan must be applied
 // only once.
-BOOST_AUTO_TEST_CASE(LostOrLateSwapConfirmsOnce) {
+BOOST_AUTO_TEST_CASE(LostOrLateSwapIsConfirmedOnce) {
   Deployment deployment;
-  VersionWatch watch(deployment);
+  VersionMonitor watch(deployment);
   for (
       const char* fault :
       {R"({"write_prefix":"config/head","lose_answers":1})",
@@ -267,13 +269,13 @@
     const std::int64_t base = deployment.VersionAt("entry-2");
     const std::string plan =
         deployment.Plan("entry-2", Intent(base % 2 == 0 ? 1 : 2, {}));
-    deployment.fleet.Fault("kv", fault);
-    const Reply reply = deployment.ConfirmLater("entry-2", plan).get();
+    deployment.fleet.SetFaults("kv", fault);
+    const Reply reply = deployment.ConfirmAsync("entry-2", plan).get();
     BOOST_TEST(reply.ok(), reply.body << reply.failure);
-    BOOST_TEST(deployment.InForce(base + 1));
+    BOOST_TEST(deployment.WaitUntilInForce(base + 1));
     // Longer than the delay of the late swap.
     std::this_thread::sleep_for(seconds(1));
-    BOOST_TEST(deployment.InForce(base + 1));
+    BOOST_TEST(deployment.WaitUntilInForce(base + 1));
   }
   BOOST_TEST(watch.Stop() == 0);
 }
@@ -282,21 +284,21 @@
 // lagging replica would, and its watches report gaps, so that entries read the
 // head again. None may return to the older version: limits that operators
 // lowered would be raised again.
-BOOST_AUTO_TEST_CASE(OlderHeadIsNotTakenUp) {
+BOOST_AUTO_TEST_CASE(OlderHeadIsIgnored) {
   Deployment deployment;
   const std::int64_t version =
-      deployment.ConfirmAndShowOlder(Intent(2, {"lunch"}));
-  BOOST_TEST(deployment.InForce(version));
-  VersionWatch watch(deployment);
+      deployment.ConfirmThenShowOldHead(Intent(2, {"lunch"}));
+  BOOST_TEST(deployment.WaitUntilInForce(version));
+  VersionMonitor watch(deployment);
   for (int i = 0; i < 10; ++i) {
-    deployment.EndWatchesWithAGap();
+    deployment.EndWatchesWithGap();
     std::this_thread::sleep_for(milliseconds(200));
     BOOST_TEST(deployment.Serves(i % 2 == 0 ? "entry-1" : "entry-2", "lunch"));
   }
   // An endpoint that starts now gets the current version from the entries.
   deployment.fleet.RestartEndpoint("engine-1");
   deployment.fleet.PublishVms();
-  BOOST_TEST(deployment.InForce(version));
+  BOOST_TEST(deployment.WaitUntilInForce(version));
   BOOST_TEST(watch.Stop() == 0);
 }
 
@@ -305,24 +307,24 @@
 BOOST_AUTO_TEST_CASE(EntryThatStartsOnAnOlderHeadCatchesUp) {
   Deployment deployment;
   const std::int64_t version =
-      deployment.ConfirmAndShowOlder(Intent(2, {"lunch"}));
+      deployment.ConfirmThenShowOldHead(Intent(2, {"lunch"}));
   deployment.fleet.RestartEntry("entry-2");
   deployment.fleet.PublishVms();
-  BOOST_TEST(deployment.InForce(version));
+  BOOST_TEST(deployment.WaitUntilInForce(version));
   BOOST_TEST(deployment.Serves("entry-2", "lunch"));
 }
 
 // One entry and one endpoint are frozen during a confirmation, and resume after
 // the key-value service has gone down. They must get the new configuration over
 // the links, and the confirmation must have listed them in `not_yet`.
-BOOST_AUTO_TEST_CASE(SpreadsOverLinksWhileTheServiceIsDown) {
+BOOST_AUTO_TEST_CASE(ConfigSpreadsOverLinksWhileKeyValueIsDown) {
   Deployment deployment;
   const std::int64_t base = deployment.VersionAt("entry-1");
   deployment.fleet.entry("entry-2").process->Signal(SIGSTOP);
   deployment.fleet.endpoint("engine-3").process->Signal(SIGSTOP);
   const std::string plan = deployment.Plan("entry-1", Intent(2, {"lunch"}));
-  const Reply reply = deployment.ConfirmLater("entry-1", plan).get();
-  deployment.fleet.Fault("kv", R"({"down":true})");
+  const Reply reply = deployment.ConfirmAsync("entry-1", plan).get();
+  deployment.fleet.SetFaults("kv", R"({"down":true})");
   BOOST_REQUIRE_MESSAGE(reply.ok(), reply.body + reply.failure);
   std::set<std::string> not_yet;
   const auto answer = boost::json::parse(reply.body);
@@ -334,22 +336,23 @@
   BOOST_TEST(not_yet.size() == 2U);
   deployment.fleet.entry("entry-2").process->Signal(SIGCONT);
   deployment.fleet.endpoint("engine-3").process->Signal(SIGCONT);
-  BOOST_TEST(deployment.InForce(base + 1));
+  BOOST_TEST(deployment.WaitUntilInForce(base + 1));
   // Processes that start without state while the service is still down.
   deployment.fleet.RestartEntry("entry-2");
   deployment.fleet.RestartEndpoint("engine-1");
   deployment.fleet.PublishVms();
-  BOOST_TEST(deployment.InForce(base + 1));
+  BOOST_TEST(deployment.WaitUntilInForce(base + 1));
 }
 
 // Callers stream from two replicas when the operator lowers the limit to one.
 // The surplus replica is unloaded, but only after its streams have ended.
-BOOST_AUTO_TEST_CASE(LoweredLimitUnloadsTheSurplusGracefully) {
+BOOST_AUTO_TEST_CASE(LoweredLimitUnloadsSurplusGracefully) {
   Deployment deployment;
   std::vector<std::pair<std::string, std::future<Reply>>> streams;
   const auto held = [&] {
     int n = 0;
-    for (const ReplicaStay& it : StaysOf(deployment.fleet, deployment.vms)) {
+    for (const ReplicaRecord& it :
+         ReplicaRecordsOf(deployment.fleet, deployment.vms)) {
       n += it.end == "held" ? 1 : 0;
     }
     return n;
@@ -359,7 +362,7 @@
     if (streams.size() < 60) {
       const std::string id = fmt::format("stream-{}", streams.size());
       streams.emplace_back(
-          id, deployment.fleet.SendLater(
+          id, deployment.fleet.SendAsync(
                   deployment.fleet.EntryAddress("entry-1"),
                   ChatRequest("itinerary", "a walk", id, true, kLongAnswer)));
     }
@@ -370,7 +373,7 @@
   int bad = 0;
   for (auto& [id, future] : streams) {
     const Reply reply = future.get();
-    const bool whole = IsOwnWholeAnswer(reply, id, kLongAnswer) &&
+    const bool whole = IsOwnCompleteAnswer(reply, id, kLongAnswer) &&
                        reply.body.find("[DONE]") != std::string::npos;
     bad += whole || IsTypedRefusal(reply) ? 0 : 1;
   }
@@ -379,32 +382,33 @@
   BOOST_TEST(deployment.Serves("entry-1", "itinerary"));
   BOOST_TEST(held() == 1);
   // Loads after the confirmation must respect the new limit.
-  std::vector<ReplicaStay> later;
-  for (const ReplicaStay& it : StaysOf(deployment.fleet, deployment.vms)) {
+  std::vector<ReplicaRecord> later;
+  for (const ReplicaRecord& it :
+       ReplicaRecordsOf(deployment.fleet, deployment.vms)) {
     if (it.began > confirmed) later.push_back(it);
   }
-  BOOST_TEST(PeakReplicas(later, {"itinerary"}) <= 1);
+  BOOST_TEST(PeakReplicaCount(later, {"itinerary"}) <= 1);
 }
 
 // An endpoint is frozen while the operator lowers a limit, and another restarts
 // just after. Both must load by the confirmed limit: one that still used the
 // old limit would load a replica too many.
-BOOST_AUTO_TEST_CASE(NobodyLoadsByTheLimitFromBefore) {
+BOOST_AUTO_TEST_CASE(NoReplicaIsLoadedByTheOldLimit) {
   Deployment deployment;
   BOOST_REQUIRE(deployment.Serves("entry-1", "itinerary"));
   deployment.fleet.endpoint("engine-2").process->Signal(SIGSTOP);
   const std::string plan = deployment.Plan("entry-1", Intent(1, {}));
-  const Reply reply = deployment.ConfirmLater("entry-1", plan).get();
+  const Reply reply = deployment.ConfirmAsync("entry-1", plan).get();
   BOOST_TEST(reply.ok(), reply.body << reply.failure);
   const std::int64_t version = deployment.VersionAt("entry-1");
-  deployment.fleet.Fault("kv", R"({"show_old_key":"config/head"})");
+  deployment.fleet.SetFaults("kv", R"({"show_old_key":"config/head"})");
   deployment.fleet.endpoint("engine-2").process->Signal(SIGCONT);
   deployment.fleet.RestartEndpoint("engine-3");
   deployment.fleet.PublishVms();
   std::vector<std::future<Reply>> burst;
   burst.reserve(20);
   for (int i = 0; i < 20; ++i) {
-    burst.push_back(deployment.fleet.SendLater(
+    burst.push_back(deployment.fleet.SendAsync(
         deployment.fleet.EntryAddress(i % 2 == 0 ? "entry-1" : "entry-2"),
         ChatRequest("itinerary", "a walk", fmt::format("burst-{}", i), true,
                     50)));
@@ -412,20 +416,21 @@
   int served = 0;
   for (auto& it : burst) served += it.get().ok() ? 1 : 0;
   BOOST_TEST(served > 0);
-  BOOST_TEST(deployment.InForce(version));
-  BOOST_TEST(PeakReplicas(StaysOf(deployment.fleet, deployment.vms),
-                          {"itinerary"}) == 1);
+  BOOST_TEST(deployment.WaitUntilInForce(version));
+  BOOST_TEST(
+      PeakReplicaCount(ReplicaRecordsOf(deployment.fleet, deployment.vms),
+                       {"itinerary"}) == 1);
 }
 
 // An endpoint is frozen while the operator lowers a limit. When it resumes, all
 // processes that have the new version are frozen, and a restarted entry reads
 // the older head: both use the old limit. The ledger alone must keep them from
 // loading a replica too many.
-BOOST_AUTO_TEST_CASE(LedgerKeepsTheLoweredLimit) {
+BOOST_AUTO_TEST_CASE(LedgerEnforcesTheLoweredLimit) {
   Deployment deployment;
   BOOST_REQUIRE(deployment.Serves("entry-1", "itinerary"));
   const std::string holder =
-      StaysOf(deployment.fleet, deployment.vms).front().vm;
+      ReplicaRecordsOf(deployment.fleet, deployment.vms).front().vm;
   const std::string frozen = holder == "engine-2" ? "engine-3" : "engine-2";
   const auto signal_others = [&](int signal) {
     deployment.fleet.entry("entry-1").process->Signal(signal);
@@ -434,10 +439,10 @@
     }
   };
   deployment.fleet.endpoint(frozen).process->Signal(SIGSTOP);
-  const std::int64_t version = deployment.ConfirmAndShowOlder(Intent(1, {}));
+  const std::int64_t version = deployment.ConfirmThenShowOldHead(Intent(1, {}));
   BOOST_TEST(Eventually([&] { return deployment.LedgerVersion() == version; }));
   // Watches must not deliver the newer head either.
-  deployment.fleet.Fault("kv", R"({"watch_gap":100000})");
+  deployment.fleet.SetFaults("kv", R"({"watch_gap":100000})");
   signal_others(SIGSTOP);
   deployment.fleet.RestartEntry("entry-2");
   deployment.fleet.PublishVms();
@@ -451,15 +456,16 @@
     http::Request request = ChatRequest("itinerary", "a walk",
                                         fmt::format("burst-{}", i), true, 20);
     request.headers.push_back({"X-Request-Timeout-Ms", "4000"});
-    burst.push_back(deployment.fleet.SendLater(
+    burst.push_back(deployment.fleet.SendAsync(
         deployment.fleet.EntryAddress("entry-2"), std::move(request)));
   }
   for (auto& it : burst) it.wait();
   BOOST_TEST(deployment.VersionAt("entry-2") == version - 1);
   signal_others(SIGCONT);
-  BOOST_TEST(deployment.InForce(version));
-  BOOST_TEST(PeakReplicas(StaysOf(deployment.fleet, deployment.vms),
-                          {"itinerary"}) == 1);
+  BOOST_TEST(deployment.WaitUntilInForce(version));
+  BOOST_TEST(
+      PeakReplicaCount(ReplicaRecordsOf(deployment.fleet, deployment.vms),
+                       {"itinerary"}) == 1);
 }
 
 }  // namespace
--- a/tests/fleet.cc
+++ b/tests/fleet.cc
@@ -257,7 +257,7 @@
   return boost::json::parse(reply.body).as_object();
 }
 
-bool Fleet::AllInForce(std::int64_t version) {
+bool Fleet::IsInForceEverywhere(std::int64_t version) {
   for (const auto& it : entries_) {
     if (!it->process) continue;
     const Reply reply =
@@ -287,12 +287,12 @@
   const auto confirmed =
       Admin(first, {"POST", "/admin/v1/plans/" + id + "/confirm", {}, ""});
   const auto version = confirmed.at("version").to_number<std::int64_t>();
-  if (!Eventually([&] { return AllInForce(version); })) {
+  if (!Eventually([&] { return IsInForceEverywhere(version); })) {
     throw std::runtime_error("the configuration is not in force on every VM");
   }
 }
 
-void Fleet::Fault(const std::string& stand_in, const std::string& json) {
+void Fleet::SetFaults(const std::string& stand_in, const std::string& json) {
   const Reply reply =
       Send(StandInAddress(stand_in), {"POST", "/standin/faults", {}, json});
   if (!reply.ok()) throw std::runtime_error("can't set faults: " + reply.body);
@@ -304,15 +304,15 @@
   return boost::json::parse(reply.body).as_object();
 }
 
-std::future<Reply> Fleet::SendLater(const std::string& address,
+std::future<Reply> Fleet::SendAsync(const std::string& address,
                                     http::Request request) {
   return asio::co_spawn(asio::make_strand(io_),
                         FetchReply(address, std::move(request)),
                         asio::use_future);
 }
 
-Reply Fleet::SendAndLeave(const std::string& address, http::Request request,
-                          milliseconds patience) {
+Reply Fleet::SendAndDisconnect(const std::string& address,
+                               http::Request request, milliseconds patience) {
   return asio::co_spawn(asio::make_strand(io_),
                         FetchReply(address, std::move(request), patience),
                         asio::use_future)
@@ -320,7 +320,7 @@
 }
 
 Reply Fleet::Send(const std::string& address, http::Request request) {
-  return SendLater(address, std::move(request)).get();
+  return SendAsync(address, std::move(request)).get();
 }
 
 std::vector<std::string> Fleet::LogPaths() const {
--- a/tests/fleet_base.h
+++ b/tests/fleet_base.h
@@ -96,17 +96,17 @@
   std::string EntryAddress(const std::string& vm);
 
   /** Sets fault switches of a stand-in: "kv", "vms", "weights" or a VM. */
-  void Fault(const std::string& stand_in, const std::string& json);
+  void SetFaults(const std::string& stand_in, const std::string& json);
   boost::json::object Record(const std::string& stand_in);
   std::string StandInAddress(const std::string& stand_in);
 
   /** Sends a request; a failure is reported in the reply. */
   Reply Send(const std::string& address, http::Request request);
-  std::future<Reply> SendLater(const std::string& address,
+  std::future<Reply> SendAsync(const std::string& address,
                                http::Request request);
   /** Sends a request and closes the connection after `patience`. */
-  Reply SendAndLeave(const std::string& address, http::Request request,
-                     std::chrono::milliseconds patience);
+  Reply SendAndDisconnect(const std::string& address, http::Request request,
+                          std::chrono::milliseconds patience);
   /** Calls an admin path and parses the answer.
    * @throws std::runtime_error if the call fails. */
   boost::json::object Admin(const std::string& entry, http::Request request);
@@ -122,7 +122,7 @@
   std::unique_ptr<Process> StartStandIn(const std::string& name,
                                         std::vector<std::string> args);
   std::string WriteSettings(const std::string& name, const std::string& text);
-  bool AllInForce(std::int64_t version);
+  bool IsInForceEverywhere(std::int64_t version);
 
   const std::string bin_dir_;
   std::string directory_;
--- a/tests/judge.cc
+++ b/tests/judge.cc
@@ -25,40 +25,41 @@
       .count();
 }
 
-std::vector<ReplicaStay> StaysOf(const std::string& vm,
-                                 const json::object& record) {
-  std::vector<ReplicaStay> stays;
+std::vector<ReplicaRecord> ReplicaRecordsOf(const std::string& vm,
+                                            const json::object& record) {
+  std::vector<ReplicaRecord> replicas;
   for (const json::value& it : record.at("replicas").as_array()) {
     const json::object& object = it.as_object();
-    ReplicaStay& stay = stays.emplace_back();
-    stay.vm = vm;
-    stay.model = std::string(object.at("model").as_string());
-    stay.began = NumberAt(object, "load_began");
-    stay.ready = NumberAt(object, "ready");
-    stay.ended = NumberAt(object, "ended");
-    stay.end = std::string(object.at("end").as_string());
-    if (stay.ended == 0) stay.ended = std::numeric_limits<std::int64_t>::max();
+    ReplicaRecord& replica = replicas.emplace_back();
+    replica.vm = vm;
+    replica.model = std::string(object.at("model").as_string());
+    replica.began = NumberAt(object, "load_began");
+    replica.ready = NumberAt(object, "ready");
+    replica.ended = NumberAt(object, "ended");
+    replica.end = std::string(object.at("end").as_string());
+    if (replica.ended == 0)
+      replica.ended = std::numeric_limits<std::int64_t>::max();
   }
-  return stays;
+  return replicas;
 }
 
-std::vector<ReplicaStay> StaysOf(Fleet& fleet,
-                                 const std::vector<std::string>& vms) {
-  std::vector<ReplicaStay> stays;
+std::vector<ReplicaRecord> ReplicaRecordsOf(
+    Fleet& fleet, const std::vector<std::string>& vms) {
+  std::vector<ReplicaRecord> replicas;
   for (const std::string& vm : vms) {
-    for (ReplicaStay& stay : StaysOf(vm, fleet.Record(vm))) {
-      stays.push_back(std::move(stay));
+    for (ReplicaRecord& replica : ReplicaRecordsOf(vm, fleet.Record(vm))) {
+      replicas.push_back(std::move(replica));
     }
   }
-  return stays;
+  return replicas;
 }
 
-int PeakReplicas(const std::vector<ReplicaStay>& stays,
-                 const std::set<std::string>& models) {
+int PeakReplicaCount(const std::vector<ReplicaRecord>& replicas,
+                     const std::set<std::string>& models) {
   // Changes of the replica count by time, summed per millisecond because the
   // records don't show the order within one.
   std::map<std::int64_t, int> changes;
-  for (const ReplicaStay& it : stays) {
+  for (const ReplicaRecord& it : replicas) {
     if (!models.contains(it.model)) continue;
     ++changes[it.began];
     --changes[it.ended];
@@ -72,7 +73,8 @@
   return peak;
 }
 
-bool IsOwnWholeAnswer(const Reply& reply, const std::string& id, int tokens) {
+bool IsOwnCompleteAnswer(const Reply& reply, const std::string& id,
+                         int tokens) {
   if (!reply.ok()) return false;
   for (int i = 0; i < tokens; ++i) {
     if (reply.body.find(fmt::format("{}#{}", id, i)) == std::string::npos) {
@@ -87,7 +89,7 @@
          !reply.problem().empty();
 }
 
-int StartedAfter(const json::object& record, std::int64_t wall_ms) {
+int CountStartedAfter(const json::object& record, std::int64_t wall_ms) {
   const bool engine = record.contains("requests");
   const auto& runs = record.at(engine ? "requests" : "runs").as_array();
   return static_cast<int>(std::ranges::count_if(runs, [&](const auto& run) {
@@ -95,7 +97,7 @@
   }));
 }
 
-int RunningIn(const json::object& record) {
+int CountRunning(const json::object& record) {
   const auto& runs = record.at("requests").as_array();
   return static_cast<int>(std::ranges::count_if(
       runs, [](const auto& run) { return run.at("outcome") == "running"; }));
--- a/tests/judge_func.h
+++ b/tests/judge_func.h
@@ -14,7 +14,7 @@
 namespace sapphire::tests {
 
 /** One replica in an engine's memory; wall times in milliseconds. */
-struct ReplicaStay {
+struct ReplicaRecord {
   std::string vm;
   std::string model;
   std::int64_t began = 0;
@@ -30,30 +30,30 @@
 std::int64_t WallMillis();
 
 /** @return The replicas in an engine's record. */
-std::vector<ReplicaStay> StaysOf(const std::string& vm,
-                                 const boost::json::object& record);
+std::vector<ReplicaRecord> ReplicaRecordsOf(const std::string& vm,
+                                            const boost::json::object& record);
 
 /** @return The replicas in the records of these VMs' engines. */
-std::vector<ReplicaStay> StaysOf(Fleet& fleet,
-                                 const std::vector<std::string>& vms);
+std::vector<ReplicaRecord> ReplicaRecordsOf(
+    Fleet& fleet, const std::vector<std::string>& vms);
 
 /** @return The largest number of replicas of these models that all engines
  * together held at one time, counted from the start of each load. */
-int PeakReplicas(const std::vector<ReplicaStay>& stays,
-                 const std::set<std::string>& models);
+int PeakReplicaCount(const std::vector<ReplicaRecord>& replicas,
+                     const std::set<std::string>& models);
 
 /** @return True if the reply is the complete answer to this request. */
-bool IsOwnWholeAnswer(const Reply& reply, const std::string& id, int tokens);
+bool IsOwnCompleteAnswer(const Reply& reply, const std::string& id, int tokens);
 
 /** @return True if the reply is an error with a problem type. */
 bool IsTypedRefusal(const Reply& reply);
 
 /** @return How many requests the engine or plain service started after this
  * wall time. */
-int StartedAfter(const boost::json::object& record, std::int64_t wall_ms);
+int CountStartedAfter(const boost::json::object& record, std::int64_t wall_ms);
 
 /** @return How many requests in an engine's record are running. */
-int RunningIn(const boost::json::object& record);
+int CountRunning(const boost::json::object& record);
 
 }  // namespace sapphire::tests
 
--- a/tests/leaving_test.cc
+++ b/tests/leaving_test.cc
@@ -18,9 +18,9 @@
 using std::chrono::seconds;
 
 /** Time after which a leaving endpoint must get no new requests. */
-constexpr seconds kNoNewWorkAfter{4};
+constexpr seconds kNoNewRequestsAfter{4};
 /** How long traffic continues after that. */
-constexpr seconds kWatchOn{2};
+constexpr seconds kTrafficAfterLimit{2};
 constexpr milliseconds kListInterval{500};
 constexpr milliseconds kListLag{1500};
 constexpr milliseconds kBetweenRequests{40};
@@ -64,15 +64,16 @@
     fleet.Confirm(std::string(kIntent));
   }
 
-  std::future<Reply> Ask(const std::string& entry, const std::string& model,
-                         const std::string& id, bool stream, int tokens) {
-    return fleet.SendLater(fleet.EntryAddress(entry),
+  std::future<Reply> SendChat(const std::string& entry,
+                              const std::string& model, const std::string& id,
+                              bool stream, int tokens) {
+    return fleet.SendAsync(fleet.EntryAddress(entry),
                            ChatRequest(model, "a walk", id, stream, tokens));
   }
 
   /** @return A VM whose engine holds the model; empty if there is none. */
   std::string HolderOf(const std::string& model) {
-    for (const ReplicaStay& it : StaysOf(fleet, vms)) {
+    for (const ReplicaRecord& it : ReplicaRecordsOf(fleet, vms)) {
       if (it.model == model && it.end == "held") return it.vm;
     }
     return "";
@@ -80,12 +81,12 @@
 
   int Running() {
     int n = 0;
-    for (const std::string& vm : vms) n += RunningIn(fleet.Record(vm));
+    for (const std::string& vm : vms) n += CountRunning(fleet.Record(vm));
     return n;
   }
 
   /** @return How many grants in the ledger belong to the VM. */
-  int GrantsOf(const std::string& vm) {
+  int CountGrantsOf(const std::string& vm) {
     const Reply reply = fleet.Send(fleet.StandInAddress("kv"),
                                    {"GET", "/kv?key=ledger/cabin", {}, ""});
     const auto entry = boost::json::parse(reply.body).at("entry");
@@ -117,7 +118,7 @@
     for (std::size_t i = 0; i < replies_.size(); ++i) {
       const std::string id = fmt::format("guest-{}", i);
       const Reply reply = replies_[i].get();
-      if (IsOwnWholeAnswer(reply, id, kShortAnswer)) continue;
+      if (IsOwnCompleteAnswer(reply, id, kShortAnswer)) continue;
       BOOST_TEST_MESSAGE("  " << id << ": " << reply.status << " " << reply.body
                               << reply.failure);
       ++bad;
@@ -130,8 +131,8 @@
   void Send() {
     for (int i = 0; !stopped_; ++i) {
       replies_.push_back(
-          deployment_.Ask(i % 2 == 0 ? "entry-1" : "entry-2", "itinerary",
-                          fmt::format("guest-{}", i), true, kShortAnswer));
+          deployment_.SendChat(i % 2 == 0 ? "entry-1" : "entry-2", "itinerary",
+                               fmt::format("guest-{}", i), true, kShortAnswer));
       std::this_thread::sleep_for(kBetweenRequests);
     }
   }
@@ -143,38 +144,39 @@
 };
 
 /** Sends traffic while `leave` makes the model's holder leave.
- * @param told_after Delay until the platform reports it. */
-void CheckNoNewWork(const std::function<void(Deployment&, EndpointVm&)>& leave,
-                    milliseconds told_after) {
+ * @param notice_delay Delay until the platform reports it. */
+void CheckNoNewRequests(
+    const std::function<void(Deployment&, EndpointVm&)>& leave,
+    milliseconds notice_delay) {
   Deployment deployment;
   Traffic traffic(deployment);
   std::string vm;
   BOOST_REQUIRE(Eventually([&] {
     vm = deployment.HolderOf("itinerary");
-    return !vm.empty() && StartedAfter(deployment.fleet.Record(vm), 0) > 3;
+    return !vm.empty() && CountStartedAfter(deployment.fleet.Record(vm), 0) > 3;
   }));
   const std::int64_t left = WallMillis();
   leave(deployment, deployment.fleet.endpoint(vm));
-  const milliseconds bound = kNoNewWorkAfter + told_after;
-  std::this_thread::sleep_for(bound + kWatchOn);
+  const milliseconds bound = kNoNewRequestsAfter + notice_delay;
+  std::this_thread::sleep_for(bound + kTrafficAfterLimit);
   const auto record = deployment.fleet.Record(vm);
   int elsewhere = 0;
   for (const std::string& it : deployment.vms) {
     if (it == vm) continue;
     elsewhere +=
-        StartedAfter(deployment.fleet.Record(it), left + bound.count());
+        CountStartedAfter(deployment.fleet.Record(it), left + bound.count());
   }
-  BOOST_TEST(StartedAfter(record, left + bound.count()) == 0);
+  BOOST_TEST(CountStartedAfter(record, left + bound.count()) == 0);
   BOOST_TEST(elsewhere > 0);
   BOOST_TEST(traffic.Stop() == 0);
-  BOOST_TEST(RunningIn(record) == 0);
+  BOOST_TEST(CountRunning(record) == 0);
 }
 
 // An operator drains a VM while callers keep requesting the model it holds.
 // They must be served elsewhere: requests that still reach the VM delay its
 // stop or are lost with it.
-BOOST_AUTO_TEST_CASE(DrainedEndpointGetsNoNewWork) {
-  CheckNoNewWork(
+BOOST_AUTO_TEST_CASE(DrainedEndpointGetsNoNewRequests) {
+  CheckNoNewRequests(
       [](Deployment& deployment, EndpointVm& vm) {
         deployment.fleet.Admin(
             "entry-1",
@@ -184,18 +186,18 @@
 }
 
 // The platform stops a VM with SIGTERM while requests continue.
-BOOST_AUTO_TEST_CASE(TerminatedEndpointGetsNoNewWork) {
-  CheckNoNewWork(
+BOOST_AUTO_TEST_CASE(TerminatedEndpointGetsNoNewRequests) {
+  CheckNoNewRequests(
       [](Deployment&, EndpointVm& vm) { vm.process->Signal(SIGTERM); },
       milliseconds(0));
 }
 
 // A VM is only marked as leaving in the platform's list, which lags, while
 // requests continue. Neither the endpoint nor the entries get another notice.
-BOOST_AUTO_TEST_CASE(EndpointListedAsLeavingGetsNoNewWork) {
-  CheckNoNewWork(
+BOOST_AUTO_TEST_CASE(EndpointListedAsLeavingGetsNoNewRequests) {
+  CheckNoNewRequests(
       [](Deployment& deployment, EndpointVm& vm) {
-        deployment.fleet.Fault(
+        deployment.fleet.SetFaults(
             "vms", fmt::format(R"({{"lag_ms":{}}})", kListLag.count()));
         vm.leaving = true;
         deployment.fleet.PublishVms();
@@ -210,8 +212,8 @@
   for (int i = 0; i < n; ++i) {
     const std::string id = fmt::format("stream-{}", i);
     streams.emplace_back(
-        id, deployment.Ask(i % 2 == 0 ? "entry-1" : "entry-2", "itinerary", id,
-                           true, kLongAnswer));
+        id, deployment.SendChat(i % 2 == 0 ? "entry-1" : "entry-2", "itinerary",
+                                id, true, kLongAnswer));
   }
   BOOST_REQUIRE(Eventually([&] { return deployment.Running() == n; }));
   return streams;
@@ -222,7 +224,7 @@
   int whole = 0;
   for (auto& [id, future] : all) {
     const Reply reply = future.get();
-    const bool good = IsOwnWholeAnswer(reply, id, tokens) &&
+    const bool good = IsOwnCompleteAnswer(reply, id, tokens) &&
                       reply.body.find("[DONE]") != std::string::npos;
     if (!good) {
       BOOST_TEST_MESSAGE("  " << id << ": " << reply.status << " "
@@ -243,10 +245,10 @@
   process.Signal(SIGTERM);
   BOOST_TEST(CountWhole(streams, kLongAnswer) == 8);
   BOOST_TEST(process.WaitForExit(kExitLimit).value_or(-1) == 0);
-  for (const ReplicaStay& it : StaysOf(deployment.fleet, {vm})) {
+  for (const ReplicaRecord& it : ReplicaRecordsOf(deployment.fleet, {vm})) {
     BOOST_TEST(it.end == "unloaded");
   }
-  BOOST_TEST(deployment.GrantsOf(vm) == 0);
+  BOOST_TEST(deployment.CountGrantsOf(vm) == 0);
 }
 
 // An entry is stopped while answers are being streamed: it streams to its own
@@ -265,15 +267,15 @@
 
 // An entry is stopped while callers wait for a model to load: the entry at
 // which they wait, or the model's home, which ordered the load.
-BOOST_AUTO_TEST_CASE(TerminatedEntryServesThoseWhoWait) {
+BOOST_AUTO_TEST_CASE(TerminatedEntryServesWaitingCallers) {
   for (const char* entry : {"entry-1", "entry-2"}) {
     Deployment deployment;
     std::vector<std::pair<std::string, std::future<Reply>>> waiting;
     for (int i = 0; i < 6; ++i) {
       const std::string id = fmt::format("waiting-{}", i);
       waiting.emplace_back(
-          id, deployment.Ask(i % 2 == 0 ? "entry-1" : "entry-2", "claims", id,
-                             true, kShortAnswer));
+          id, deployment.SendChat(i % 2 == 0 ? "entry-1" : "entry-2", "claims",
+                                  id, true, kShortAnswer));
     }
     BOOST_REQUIRE(
         Eventually([&] { return !deployment.HolderOf("claims").empty(); }));
@@ -286,13 +288,13 @@
 
 /** Stops the endpoint process whose engine loads the model for waiting callers.
  * @return The callers' replies by request id. */
-std::vector<std::pair<std::string, Reply>> TerminateWhileItLoads(
+std::vector<std::pair<std::string, Reply>> TerminateDuringLoad(
     Deployment& deployment, const std::string& model) {
   std::vector<std::pair<std::string, std::future<Reply>>> waiting;
   for (int i = 0; i < 4; ++i) {
     const std::string id = fmt::format("waiting-{}", i);
     waiting.emplace_back(
-        id, deployment.Ask("entry-1", model, id, true, kShortAnswer));
+        id, deployment.SendChat("entry-1", model, id, true, kShortAnswer));
   }
   std::string vm;
   BOOST_REQUIRE(Eventually([&] {
@@ -305,21 +307,20 @@
   ended.reserve(waiting.size());
   for (auto& [id, reply] : waiting) ended.emplace_back(id, reply.get());
   BOOST_TEST(process.WaitForExit(kExitLimit).value_or(-1) == 0);
-  for (const ReplicaStay& it : StaysOf(deployment.fleet, {vm})) {
+  for (const ReplicaRecord& it : ReplicaRecordsOf(deployment.fleet, {vm})) {
     BOOST_TEST(it.end == "unloaded");
   }
-  BOOST_TEST(deployment.GrantsOf(vm) == 0);
+  BOOST_TEST(deployment.CountGrantsOf(vm) == 0);
   return ended;
 }
 
 // An endpoint is stopped while its engine loads a model for waiting callers.
 // The limit allows another replica, which must serve them: a planned stop must
 // not fail a request.
-BOOST_AUTO_TEST_CASE(EndpointTerminatedWhileItLoadsLosesNoWaiter) {
+BOOST_AUTO_TEST_CASE(EndpointTerminatedDuringLoadServesWaitingCallers) {
   Deployment deployment;
-  for (const auto& [id, reply] :
-       TerminateWhileItLoads(deployment, "itinerary")) {
-    BOOST_TEST(IsOwnWholeAnswer(reply, id, kShortAnswer),
+  for (const auto& [id, reply] : TerminateDuringLoad(deployment, "itinerary")) {
+    BOOST_TEST(IsOwnCompleteAnswer(reply, id, kShortAnswer),
                id << ": " << reply.status << reply.body);
   }
 }
@@ -327,24 +328,26 @@
 // The same with a limit of one replica, so that no other may be loaded until
 // this one is unloaded. A caller that isn't served must be refused at once with
 // Retry-After, and no second replica may be loaded.
-BOOST_AUTO_TEST_CASE(EndpointTerminatedWhileItLoadsTheOnlyReplica) {
+BOOST_AUTO_TEST_CASE(EndpointTerminatedDuringLoadOfTheOnlyReplica) {
   Deployment deployment;
-  for (const auto& [id, reply] : TerminateWhileItLoads(deployment, "claims")) {
+  for (const auto& [id, reply] : TerminateDuringLoad(deployment, "claims")) {
     const bool refused =
         IsTypedRefusal(reply) && reply.outcome() == "not_run" &&
         std::ranges::any_of(reply.headers, [](const http::Header& it) {
           return it.name == "Retry-After";
         });
-    BOOST_TEST((IsOwnWholeAnswer(reply, id, kShortAnswer) || refused),
+    BOOST_TEST((IsOwnCompleteAnswer(reply, id, kShortAnswer) || refused),
                id << ": " << reply.status << reply.body);
   }
   BOOST_TEST(Eventually([&] {
     const Reply reply =
-        deployment.Ask("entry-1", "claims", "later", true, kShortAnswer).get();
-    return IsOwnWholeAnswer(reply, "later", kShortAnswer);
+        deployment.SendChat("entry-1", "claims", "later", true, kShortAnswer)
+            .get();
+    return IsOwnCompleteAnswer(reply, "later", kShortAnswer);
   }));
   BOOST_TEST(
-      PeakReplicas(StaysOf(deployment.fleet, deployment.vms), {"claims"}) == 1);
+      PeakReplicaCount(ReplicaRecordsOf(deployment.fleet, deployment.vms),
+                       {"claims"}) == 1);
 }
 
 }  // namespace
--- a/tests/memory_limit_test.cc
+++ b/tests/memory_limit_test.cc
@@ -63,7 +63,7 @@
       if (Pick(3) > 0) model += fmt::format(":a{}", Pick(kAdapters));
       const std::string entry = Pick(2) == 0 ? "entry-1" : "entry-2";
       replies_.emplace_back(
-          id, fleet_.SendLater(
+          id, fleet_.SendAsync(
                   fleet_.EntryAddress(entry),
                   ChatRequest(model, "what is for lunch", id, false, kTokens)));
     }
@@ -72,7 +72,7 @@
   void CollectReplies() {
     for (auto& [id, future] : replies_) {
       const Reply reply = future.get();
-      const bool whole = IsOwnWholeAnswer(reply, id, kTokens);
+      const bool whole = IsOwnCompleteAnswer(reply, id, kTokens);
       served_ += whole ? 1 : 0;
       if (!whole) ++refusals_[reply.problem()];
       BOOST_TEST((whole || IsTypedRefusal(reply)),
@@ -83,7 +83,7 @@
 
   /** Requests each model in turn until it is served. Not all models fit, so
    * idle ones must be evicted. @return True if each was served. */
-  bool ServesEach() {
+  bool ServesEachModel() {
     for (int i = 0; i < kModels; ++i) {
       const std::string model = fmt::format("model-{}:a{}", i, i % kAdapters);
       const bool served = Eventually([&] {
@@ -91,8 +91,8 @@
         const Reply reply =
             fleet_.Send(fleet_.EntryAddress("entry-1"),
                         ChatRequest(model, "and now", id, false, kTokens));
-        served_ += IsOwnWholeAnswer(reply, id, kTokens) ? 1 : 0;
-        return IsOwnWholeAnswer(reply, id, kTokens);
+        served_ += IsOwnCompleteAnswer(reply, id, kTokens) ? 1 : 0;
+        return IsOwnCompleteAnswer(reply, id, kTokens);
       });
       if (!served) return false;
     }
@@ -110,12 +110,12 @@
 
   void LoseOrderAnswers() {
     for (const char* vm : {"engine-1", "engine-2"}) {
-      fleet_.Fault(vm, R"({"lose_order_answers":2})");
+      fleet_.SetFaults(vm, R"({"lose_order_answers":2})");
     }
   }
 
   /** Checks the engines' records. */
-  void Check() {
+  void CheckRecords() {
     int unloads = 0;
     for (const char* vm : {"engine-1", "engine-2"}) {
       const auto record = fleet_.Record(vm);
@@ -124,7 +124,7 @@
       const auto memory = record.at("memory_bytes").to_number<std::int64_t>();
       BOOST_TEST(peak <= memory);
       BOOST_TEST_MESSAGE("  " << vm << ": peak " << peak << " of " << memory);
-      for (const ReplicaStay& it : StaysOf(vm, record)) {
+      for (const ReplicaRecord& it : ReplicaRecordsOf(vm, record)) {
         unloads += it.end == "unloaded" ? 1 : 0;
       }
     }
@@ -163,7 +163,7 @@
 // Callers request more models and adapters than fit, so that loads and
 // evictions overlap at each engine. An engine that is ordered to load more than
 // fits would fail for all of its callers.
-BOOST_DATA_TEST_CASE(BurstsForMoreThanFits,
+BOOST_DATA_TEST_CASE(BurstsBeyondMemoryCauseNoOvercommit,
                      boost::unit_test::data::make(std::vector<std::uint64_t>{
                          21, 22}),
                      seed) {
@@ -172,15 +172,15 @@
     deployment.StartBurst();
     deployment.CollectReplies();
   }
-  BOOST_TEST(deployment.ServesEach());
-  deployment.Check();
+  BOOST_TEST(deployment.ServesEachModel());
+  deployment.CheckRecords();
 }
 
 // The same, but the endpoint process that accounts for an engine's memory is
 // killed during the bursts, or the answers to its orders are lost. Its
 // successor must count the load in progress, or it would assign that memory
 // twice.
-BOOST_DATA_TEST_CASE(BooksAreLostInABurst,
+BOOST_DATA_TEST_CASE(RestartDuringBurstCausesNoOvercommit,
                      boost::unit_test::data::make(std::vector<std::uint64_t>{
                          31, 32}),
                      seed) {
@@ -191,8 +191,8 @@
     deployment.KillOneEndpoint();
     deployment.CollectReplies();
   }
-  BOOST_TEST(deployment.ServesEach());
-  deployment.Check();
+  BOOST_TEST(deployment.ServesEachModel());
+  deployment.CheckRecords();
 }
 
 }  // namespace
--- a/tests/once_test.cc
+++ b/tests/once_test.cc
@@ -49,30 +49,31 @@
             "{\"cabin\": 7}"};
   }
 
-  std::future<Reply> SendLater(const std::string& entry,
+  std::future<Reply> SendAsync(const std::string& entry,
                                const std::string& key) {
-    return fleet.SendLater(fleet.EntryAddress(entry), Booking(key));
+    return fleet.SendAsync(fleet.EntryAddress(entry), Booking(key));
   }
 
   Reply Send(const std::string& entry, const std::string& key) {
-    Reply reply = SendLater(entry, key).get();
+    Reply reply = SendAsync(entry, key).get();
     replies[key].push_back(reply);
     return reply;
   }
 
   /** Sends each key through every entry but `victim`, concurrently. */
-  void SendAllElsewhere(const std::string& victim,
-                        const std::map<std::string, std::future<Reply>>& keys) {
+  void SendToOtherEntries(
+      const std::string& victim,
+      const std::map<std::string, std::future<Reply>>& keys) {
     std::vector<std::pair<std::string, std::future<Reply>>> pending;
     for (const auto& [key, first] : keys) {
       for (const char* entry : kEntries) {
-        if (entry != victim) pending.emplace_back(key, SendLater(entry, key));
+        if (entry != victim) pending.emplace_back(key, SendAsync(entry, key));
       }
     }
     for (auto& [key, reply] : pending) replies[key].push_back(reply.get());
   }
 
-  int Runs(const std::string& key) {
+  int CountRuns(const std::string& key) {
     int n = 0;
     const auto record = fleet.Record("desk-1");
     for (const auto& run : record.at("runs").as_array()) {
@@ -82,18 +83,18 @@
   }
 
   bool WaitForRun(const std::string& key) {
-    return Eventually([&] { return Runs(key) > 0; });
+    return Eventually([&] { return CountRuns(key) > 0; });
   }
 
   /** Checks every reply against the service's record. */
-  void Judge() {
+  void CheckReplies() {
     for (const auto& [key, list] : replies) {
-      const int runs = Runs(key);
+      const int runs = CountRuns(key);
       BOOST_TEST_CONTEXT("key " << key) {
         BOOST_TEST(runs <= 1);
         bool all_not_run = true;
         for (const Reply& reply : list) {
-          JudgeReply(reply, runs);
+          CheckReply(reply, runs);
           if (reply.outcome() != "not_run") all_not_run = false;
         }
         if (all_not_run) BOOST_TEST(runs == 0);
@@ -101,7 +102,7 @@
     }
   }
 
-  static void JudgeReply(const Reply& reply, int runs) {
+  static void CheckReply(const Reply& reply, int runs) {
     BOOST_TEST_CONTEXT(reply.status << " " << reply.body << reply.failure) {
       if (reply.ok()) BOOST_TEST(runs == 1);
       // If the entry itself was killed, the connection is cut and there is no
@@ -120,13 +121,13 @@
 
 // One booking arrives at every entry at the same time. Without a claim that all
 // entries agree on, each would run it, three times in all.
-BOOST_FIXTURE_TEST_CASE(SameCallThroughEveryEntryAtOnce, Desk) {
+BOOST_FIXTURE_TEST_CASE(SameKeyThroughAllEntriesRunsOnce, Desk) {
   constexpr int kKeys = 12;
   std::map<std::string, std::vector<std::future<Reply>>> pending;
   for (int i = 0; i < kKeys; ++i) {
     const std::string key = fmt::format("same-{}", i);
     for (const char* entry : kEntries) {
-      pending[key].push_back(SendLater(entry, key));
+      pending[key].push_back(SendAsync(entry, key));
     }
   }
   for (auto& [key, futures] : pending) {
@@ -137,79 +138,79 @@
       bodies.insert(replies[key].back().body);
     }
     BOOST_TEST(bodies.size() == 1U);
-    BOOST_TEST(Runs(key) == 1);
+    BOOST_TEST(CountRuns(key) == 1);
   }
-  Judge();
+  CheckReplies();
 }
 
 // The service runs the request, but its answer is lost. The outcome must not be
 // reported as `not_run`, and a retry must not run the request again.
-BOOST_FIXTURE_TEST_CASE(AnswerLostAfterTheRun, Desk) {
-  fleet.Fault("desk-1", R"({"lose_answers": 1})");
+BOOST_FIXTURE_TEST_CASE(LostAnswerIsUnknownOutcome, Desk) {
+  fleet.SetFaults("desk-1", R"({"lose_answers": 1})");
   const Reply first = Send("entry-1", "lost");
   BOOST_TEST(first.outcome() == "unknown");
   for (const char* entry : kEntries) {
     BOOST_TEST(Send(entry, "lost").outcome() == "unknown");
   }
-  BOOST_TEST(Runs("lost") == 1);
-  Judge();
+  BOOST_TEST(CountRuns("lost") == 1);
+  CheckReplies();
 }
 
 // The connection breaks after half of the answer. The caller must get an error,
 // not the half answer.
-BOOST_FIXTURE_TEST_CASE(AnswerCutInTheMiddle, Desk) {
-  fleet.Fault("desk-1", R"({"cut_body": 1})");
+BOOST_FIXTURE_TEST_CASE(CutAnswerIsUnknownOutcome, Desk) {
+  fleet.SetFaults("desk-1", R"({"cut_body": 1})");
   const Reply first = Send("entry-1", "cut");
   BOOST_TEST(!first.ok());
   BOOST_TEST(first.outcome() == "unknown");
   BOOST_TEST(!Send("entry-2", "cut").ok());
-  BOOST_TEST(Runs("cut") == 1);
-  Judge();
+  BOOST_TEST(CountRuns("cut") == 1);
+  CheckReplies();
 }
 
 // A key is reused for a different request. The stored answer of the first must
 // not be returned for the second.
-BOOST_FIXTURE_TEST_CASE(SameKeyForOtherWork, Desk) {
+BOOST_FIXTURE_TEST_CASE(ReusedKeyForOtherRequestIsRefused, Desk) {
   BOOST_TEST(Send("entry-1", "reused").ok());
   http::Request other = Booking("reused");
   other.body = "{\"cabin\": 8}";
   const Reply reply = fleet.Send(fleet.EntryAddress("entry-2"), other);
   BOOST_TEST(reply.problem() == "bad_header");
-  BOOST_TEST(Runs("reused") == 1);
+  BOOST_TEST(CountRuns("reused") == 1);
 }
 
 // The key-value service is down, so that requests can't be claimed and must not
 // run. They are refused at once with Retry-After, and run after recovery.
-BOOST_FIXTURE_TEST_CASE(ServiceDownRefusesHonestly, Desk) {
-  fleet.Fault("kv", R"({"down": true})");
+BOOST_FIXTURE_TEST_CASE(KeyValueDownRefusesAsNotRun, Desk) {
+  fleet.SetFaults("kv", R"({"down": true})");
   const Reply refused = Send("entry-1", "down");
   BOOST_TEST(refused.outcome() == "not_run");
   BOOST_TEST(http::FindHeader(refused.headers, "Retry-After").has_value());
   BOOST_TEST((refused.took < kTimeout));
-  BOOST_TEST(Runs("down") == 0);
-  fleet.Fault("kv", R"({"down": false})");
+  BOOST_TEST(CountRuns("down") == 0);
+  fleet.SetFaults("kv", R"({"down": false})");
   BOOST_TEST(Eventually([&] { return Send("entry-2", "down").ok(); }));
-  BOOST_TEST(Runs("down") == 1);
+  BOOST_TEST(CountRuns("down") == 1);
 }
 
 // The claim is written, but the answer to the write is lost. Treating that as a
 // failure, or the claim as another entry's, would refuse the request forever.
-BOOST_FIXTURE_TEST_CASE(ClaimAnswerLost, Desk) {
-  fleet.Fault("kv", R"({"write_prefix": "claims/", "lose_answers": 1})");
+BOOST_FIXTURE_TEST_CASE(LostClaimAnswerStillServes, Desk) {
+  fleet.SetFaults("kv", R"({"write_prefix": "claims/", "lose_answers": 1})");
   BOOST_TEST(Send("entry-1", "claim-lost").ok());
   BOOST_TEST(Send("entry-2", "claim-lost").ok());
-  Judge();
+  CheckReplies();
 }
 
 // The claim's write times out and takes effect a second later, after the
 // request was refused or retried. The late claim must neither let it run twice
 // nor block a request that never ran.
-BOOST_FIXTURE_TEST_CASE(ClaimLandsLate, Desk) {
-  fleet.Fault("kv", R"({"write_prefix": "claims/", "late_writes_ms": 1000,
+BOOST_FIXTURE_TEST_CASE(LateClaimRunsOnce, Desk) {
+  fleet.SetFaults("kv", R"({"write_prefix": "claims/", "late_writes_ms": 1000,
                         "late_writes": 8})");
   for (int i = 0; i < 4; ++i) Send(kEntries[i % 3], "late");
   BOOST_TEST(Eventually([&] { return Send("entry-1", "late").ok(); }));
-  BOOST_TEST(Runs("late") == 1);
+  BOOST_TEST(CountRuns("late") == 1);
 }
 
 /** Enough keys that each entry is the home of some of them. */
@@ -218,37 +219,37 @@
 // An entry is killed while its requests run, and the caller retries them
 // through the other entries.
 BOOST_FIXTURE_TEST_CASE(EntryKilledWhileItRuns, Desk) {
-  fleet.Fault("desk-1", R"({"delay_ms": 700})");
+  fleet.SetFaults("desk-1", R"({"delay_ms": 700})");
   for (const char* victim : kEntries) {
     std::map<std::string, std::future<Reply>> first;
     for (int i = 0; i < kKeysPerVictim; ++i) {
       const std::string key = fmt::format("killed-{}-{}", victim, i);
-      first[key] = SendLater(victim, key);
+      first[key] = SendAsync(victim, key);
     }
     std::this_thread::sleep_for(milliseconds(200));
     fleet.entry(victim).process->Signal(SIGKILL);
     for (auto& [key, future] : first) replies[key].push_back(future.get());
-    SendAllElsewhere(victim, first);
+    SendToOtherEntries(victim, first);
     fleet.RestartEntry(victim);
     fleet.PublishVms();
     for (const auto& [key, future] : first) Send(victim, key);
   }
-  Judge();
+  CheckReplies();
 }
 
 // An entry freezes with requests in progress, past every timeout, while the
 // caller retries them elsewhere; then it resumes where it stopped.
 BOOST_FIXTURE_TEST_CASE(EntryFrozenWhileItRuns, Desk) {
-  fleet.Fault("desk-1", R"({"delay_ms": 100})");
+  fleet.SetFaults("desk-1", R"({"delay_ms": 100})");
   for (const char* victim : kEntries) {
     std::map<std::string, std::future<Reply>> first;
     for (int i = 0; i < kKeysPerVictim; ++i) {
       const std::string key = fmt::format("frozen-{}-{}", victim, i);
-      first[key] = SendLater(victim, key);
+      first[key] = SendAsync(victim, key);
     }
     std::this_thread::sleep_for(milliseconds(50));
     fleet.entry(victim).process->Signal(SIGSTOP);
-    SendAllElsewhere(victim, first);
+    SendToOtherEntries(victim, first);
     fleet.entry(victim).process->Signal(SIGCONT);
     for (auto& [key, future] : first) {
       replies[key].push_back(future.get());
@@ -256,7 +257,7 @@
       replies[key].back().took = milliseconds(0);
     }
   }
-  Judge();
+  CheckReplies();
 }
 
 // The endpoint process freezes before it has read the request, and the entries
@@ -267,14 +268,14 @@
   BOOST_TEST(!first.ok());
   fleet.endpoint("desk-1").process->Signal(SIGCONT);
   for (const char* entry : kEntries) Send(entry, "stuck");
-  Judge();
+  CheckReplies();
 }
 
 // The endpoint process is killed while the service runs a request, and loses
 // its record of started requests.
 BOOST_FIXTURE_TEST_CASE(EndpointKilledWhileItRuns, Desk) {
-  fleet.Fault("desk-1", R"({"delay_ms": 800})");
-  auto first = SendLater("entry-1", "orphan");
+  fleet.SetFaults("desk-1", R"({"delay_ms": 800})");
+  auto first = SendAsync("entry-1", "orphan");
   std::this_thread::sleep_for(milliseconds(300));
   fleet.endpoint("desk-1").process->Signal(SIGKILL);
   fleet.RestartEndpoint("desk-1");
@@ -282,7 +283,7 @@
   replies["orphan"].push_back(first.get());
   BOOST_TEST(replies["orphan"].back().outcome() != "not_run");
   Send("entry-2", "orphan");
-  Judge();
+  CheckReplies();
 }
 
 /** A fault that is switched on and off while requests are sent. */
@@ -303,7 +304,8 @@
     };
   };
   const auto fault = [](const char* stand_in, const char* json) {
-    return [stand_in, json](Desk& desk) { desk.fleet.Fault(stand_in, json); };
+    return
+        [stand_in, json](Desk& desk) { desk.fleet.SetFaults(stand_in, json); };
   };
   return {
       {"kv down", fault("kv", R"({"down": true})"),
@@ -340,7 +342,7 @@
     const auto send_all = [&](int i) {
       const std::string key = fmt::format("seed-{}-{}", seed, i);
       for (const char* entry : kEntries) {
-        pending[key].push_back(SendLater(entry, key));
+        pending[key].push_back(SendAsync(entry, key));
       }
     };
     send_all(0);
@@ -358,7 +360,7 @@
     }
     BOOST_TEST_CONTEXT("seed " << seed << ": " << one.name << ", "
                                << two.name) {
-      Judge();
+      CheckReplies();
     }
     replies.clear();
   }
--- a/tests/process.cc
+++ b/tests/process.cc
@@ -44,7 +44,7 @@
 }
 
 /** Reads "kind=address" lines; a line without "=" is of kind "". */
-std::map<std::string, std::string> ReadPorts(const std::string& path) {
+std::map<std::string, std::string> ReadAddresses(const std::string& path) {
   std::map<std::string, std::string> addresses;
   std::ifstream file(path);
   std::string line;
@@ -81,7 +81,7 @@
 std::string Process::Address(const std::string& kind) {
   const auto end = std::chrono::steady_clock::now() + kStartLimit;
   while (addresses_.empty()) {
-    addresses_ = ReadPorts(port_path_);
+    addresses_ = ReadAddresses(port_path_);
     if (!addresses_.empty()) break;
     if (WaitForExit(milliseconds(0)) ||
         std::chrono::steady_clock::now() > end) {
--- a/tests/refusal_test.cc
+++ b/tests/refusal_test.cc
@@ -63,7 +63,7 @@
     for (const char* vm : kEntries) fleet.AddEntry(vm, "zone-a");
   }
 
-  void Begin() {
+  void Configure() {
     fleet.PublishVms();
     fleet.Confirm(kIntent);
   }
@@ -78,13 +78,13 @@
     return request;
   }
 
-  std::future<Reply> SendLater(const std::string& entry,
+  std::future<Reply> SendAsync(const std::string& entry,
                                http::Request request) {
-    return fleet.SendLater(fleet.EntryAddress(entry), std::move(request));
+    return fleet.SendAsync(fleet.EntryAddress(entry), std::move(request));
   }
 
   /** @return True if an engine's record shows that it started this request. */
-  bool Began(const std::string& id) {
+  bool WasStarted(const std::string& id) {
     for (const char* vm : kEngines) {
       const auto record = fleet.Record(vm);
       for (const auto& run : record.at("requests").as_array()) {
@@ -107,17 +107,17 @@
   }
 
   /** Checks the invariants that every reply must satisfy. */
-  void Judge(const std::string& id, const Reply& reply, milliseconds timeout,
-             bool stream) {
+  void CheckReply(const std::string& id, const Reply& reply,
+                  milliseconds timeout, bool stream) {
     BOOST_TEST_CONTEXT(id << " " << reply.status << " " << reply.body
                           << reply.failure) {
       BOOST_TEST((reply.took < timeout + kSlack));
-      BOOST_TEST(OnlyOwnTokens(reply.body, id));
+      BOOST_TEST(HasOnlyOwnTokens(reply.body, id));
       if (reply.ok()) {
-        BOOST_TEST(IsWhole(reply.body, id, stream));
+        BOOST_TEST(IsComplete(reply.body, id, stream));
       } else if (reply.failure.empty()) {
         BOOST_TEST(!reply.outcome().empty());
-        if (reply.outcome() == "not_run") BOOST_TEST(!Began(id));
+        if (reply.outcome() == "not_run") BOOST_TEST(!WasStarted(id));
       } else {
         // A cut stream must not contain the end marker.
         BOOST_TEST(reply.body.find("[DONE]") == std::string::npos);
@@ -125,8 +125,8 @@
     }
   }
 
-  static bool IsWhole(const std::string& body, const std::string& id,
-                      bool stream) {
+  static bool IsComplete(const std::string& body, const std::string& id,
+                         bool stream) {
     for (int i = 0; i < kTokens; ++i) {
       if (body.find(fmt::format("{}#{}", id, i)) == std::string::npos) {
         return false;
@@ -136,7 +136,7 @@
   }
 
   /** Tokens are "ID#N": every '#' must follow this request's id. */
-  static bool OnlyOwnTokens(const std::string& body, const std::string& id) {
+  static bool HasOnlyOwnTokens(const std::string& body, const std::string& id) {
     for (std::size_t at = body.find('#'); at != std::string::npos;
          at = body.find('#', at + 1)) {
       const bool own =
@@ -148,20 +148,20 @@
 
   /** Sends streamed and other requests through both entries and checks every
    * reply. @return How many were answered. */
-  int SendAndJudge(const std::string& name, int count, milliseconds timeout,
+  int SendAndCheck(const std::string& name, int count, milliseconds timeout,
                    const std::function<void()>& meanwhile) {
     std::vector<std::future<Reply>> pending;
     pending.reserve(count);
     for (int i = 0; i < count; ++i) {
       pending.push_back(
-          SendLater(kEntries[i % 2],
+          SendAsync(kEntries[i % 2],
                     Chat("itinerary", Id(name, i), timeout, i % 3 == 0)));
     }
     meanwhile();
     int answered = 0;
     for (int i = 0; i < count; ++i) {
       const Reply reply = pending[i].get();
-      Judge(Id(name, i), reply, timeout, i % 3 == 0);
+      CheckReply(Id(name, i), reply, timeout, i % 3 == 0);
       if (reply.ok()) ++answered;
     }
     return answered;
@@ -171,7 +171,7 @@
     return fmt::format("{}-{:03}-x", name, i);
   }
 
-  std::size_t Crashes() {
+  std::size_t CountCrashes() {
     std::size_t n = 0;
     for (const char* vm : kEngines) {
       n += fleet.Record(vm).at("crashes").as_array().size();
@@ -185,21 +185,21 @@
 // Many concurrent requests have their answers interleaved on the same links.
 // Each caller must get its own complete answer.
 BOOST_FIXTURE_TEST_CASE(CrossedAnswersReachTheirOwnCallers, Cabins) {
-  Begin();
-  BOOST_TEST(SendAndJudge("crowd", 120, milliseconds(30'000), [] {}) == 120);
+  Configure();
+  BOOST_TEST(SendAndCheck("crowd", 120, milliseconds(30'000), [] {}) == 120);
 }
 
 // More requests arrive than can be served within their timeouts. Those that
 // can't be served must be refused early with Retry-After, not held until their
 // timeouts.
-BOOST_FIXTURE_TEST_CASE(OverloadIsRefusedAtOnce, Cabins) {
-  Begin();
+BOOST_FIXTURE_TEST_CASE(OverloadIsRefusedEarly, Cabins) {
+  Configure();
   constexpr int kCount = 80;
   constexpr milliseconds kTimeout{12'000};
   std::vector<std::future<Reply>> pending;
   pending.reserve(kCount);
   for (int i = 0; i < kCount; ++i) {
-    pending.push_back(SendLater(
+    pending.push_back(SendAsync(
         kEntries[i % 2],
         Chat("claims", Id("over", i), kTimeout, false, "a long claim", 100)));
   }
@@ -212,7 +212,7 @@
     BOOST_TEST((reply.took < kTimeout / 2));
     BOOST_TEST(reply.outcome() == "not_run");
     BOOST_TEST(http::FindHeader(reply.headers, "Retry-After").has_value());
-    BOOST_TEST(!Began(Id("over", i)));
+    BOOST_TEST(!WasStarted(Id("over", i)));
   }
   BOOST_TEST(refused > 0);
   BOOST_TEST(refused < kCount);
@@ -221,23 +221,23 @@
 // A request whose timeout is shorter than any load must be refused without
 // being started.
 BOOST_FIXTURE_TEST_CASE(ImpossibleDeadlineStartsNothing, Cabins) {
-  Begin();
+  Configure();
   const Reply reply =
-      SendLater("entry-1", Chat("itinerary", "hasty", milliseconds(50), false))
+      SendAsync("entry-1", Chat("itinerary", "hasty", milliseconds(50), false))
           .get();
   BOOST_TEST(reply.outcome() == "not_run");
   BOOST_TEST(http::FindHeader(reply.headers, "Retry-After").has_value());
-  BOOST_TEST(!Began("hasty"));
+  BOOST_TEST(!WasStarted("hasty"));
 }
 
 // An engine crashes under load. Its callers get a complete answer from another
 // engine or an explicit error, never half an answer marked as complete.
-BOOST_FIXTURE_TEST_CASE(EngineCrashUnderACrowd, Cabins) {
-  Begin();
-  const int answered = SendAndJudge("crash", 60, milliseconds(20'000), [this] {
+BOOST_FIXTURE_TEST_CASE(EngineCrashUnderLoad, Cabins) {
+  Configure();
+  const int answered = SendAndCheck("crash", 60, milliseconds(20'000), [this] {
     std::this_thread::sleep_for(milliseconds(500));
     for (const char* vm : {"engine-1", "engine-2"}) {
-      fleet.Fault(vm, R"({"crash_now": true})");
+      fleet.SetFaults(vm, R"({"crash_now": true})");
       std::this_thread::sleep_for(milliseconds(300));
     }
   });
@@ -247,55 +247,55 @@
 // A request crashes every engine that runs it, and its caller retries it
 // through both entries. It must be quarantined before it crashes a third
 // engine, and other requests must still be answered.
-BOOST_FIXTURE_TEST_CASE(PoisonIsNotRunAThirdTime, Cabins) {
-  Begin();
+BOOST_FIXTURE_TEST_CASE(CrashingRequestIsQuarantined, Cabins) {
+  Configure();
   for (const char* vm : kEngines) {
-    fleet.Fault(vm, R"({"crash_on": "poison"})");
+    fleet.SetFaults(vm, R"({"crash_on": "poison"})");
   }
   Reply last;
   for (int i = 0; i < 6; ++i) {
     last =
-        SendLater(kEntries[i % 2], Chat("itinerary", Id("bad", i),
+        SendAsync(kEntries[i % 2], Chat("itinerary", Id("bad", i),
                                         milliseconds(20'000), false, "poison"))
             .get();
     BOOST_TEST(!last.ok());
   }
-  BOOST_TEST(Crashes() <= 2U);
+  BOOST_TEST(CountCrashes() <= 2U);
   BOOST_TEST(last.problem() == "quarantined");
   BOOST_TEST(last.outcome() == "not_run");
-  BOOST_TEST(SendAndJudge("good", 10, milliseconds(30'000), [] {}) == 10);
+  BOOST_TEST(SendAndCheck("good", 10, milliseconds(30'000), [] {}) == 10);
 }
 
 // A caller disconnects before the answer is complete. The engine must cancel
 // the request, and a queued request must leave the queue.
-BOOST_FIXTURE_TEST_CASE(CallerWhoLeavesFreesTheEngine, Cabins) {
-  Begin();
-  BOOST_TEST(SendAndJudge("warm", 1, milliseconds(20'000), [] {}) == 1);
+BOOST_FIXTURE_TEST_CASE(DisconnectedCallerIsCancelled, Cabins) {
+  Configure();
+  BOOST_TEST(SendAndCheck("warm", 1, milliseconds(20'000), [] {}) == 1);
   for (const char* entry : kEntries) {
     const std::string id = fmt::format("left-{}", entry);
-    const Reply reply = fleet.SendAndLeave(
+    const Reply reply = fleet.SendAndDisconnect(
         fleet.EntryAddress(entry),
         Chat("itinerary", id, milliseconds(60'000), false, "long", 4000),
         milliseconds(500));
     BOOST_TEST(!reply.failure.empty());
-    BOOST_TEST(Began(id));
+    BOOST_TEST(WasStarted(id));
     BOOST_TEST(Eventually([&] { return OutcomeAtEngine(id) == "cancelled"; }));
   }
 }
 
 // The entry that is the model's home freezes. Callers of the other entry must
 // not wait for it until their timeouts.
-BOOST_FIXTURE_TEST_CASE(FrozenHomeIsPassedOver, Cabins) {
-  Begin();
+BOOST_FIXTURE_TEST_CASE(FrozenHomeIsBypassed, Cabins) {
+  Configure();
   for (const char* victim : kEntries) {
     const std::string other =
         victim == std::string_view("entry-1") ? "entry-2" : "entry-1";
     fleet.entry(victim).process->Signal(SIGSTOP);
     const std::string id = "while-frozen-" + other;
     const Reply reply =
-        SendLater(other, Chat("itinerary", id, milliseconds(20'000), false))
+        SendAsync(other, Chat("itinerary", id, milliseconds(20'000), false))
             .get();
-    Judge(id, reply, milliseconds(20'000), false);
+    CheckReply(id, reply, milliseconds(20'000), false);
     BOOST_TEST(reply.ok());
     fleet.entry(victim).process->Signal(SIGCONT);
     // After it resumes, the entry finds its links lost, and load balancers send
@@ -312,10 +312,10 @@
 // directions while answers are in progress. Callers get a complete answer from
 // another endpoint or an explicit error, and requests are served after the
 // repair.
-BOOST_FIXTURE_TEST_CASE(CutLinks, Cabins) {
+BOOST_FIXTURE_TEST_CASE(CutLinksCauseNoWrongAnswer, Cabins) {
   std::map<std::string, Relay*> relays;
   for (const char* vm : kEngines) relays[vm] = &fleet.AddRelay(vm);
-  Begin();
+  Configure();
   struct Cut {
     const char* name;
     bool to;
@@ -323,7 +323,7 @@
   };
   for (const Cut cut : {Cut{"to", true, false}, Cut{"from", false, true},
                         Cut{"both", true, true}}) {
-    const int answered = SendAndJudge(cut.name, 30, milliseconds(20'000), [&] {
+    const int answered = SendAndCheck(cut.name, 30, milliseconds(20'000), [&] {
       std::this_thread::sleep_for(milliseconds(400));
       relays["engine-1"]->Cut(cut.to, cut.from);
       relays["engine-2"]->Cut(cut.to, cut.from);
@@ -332,7 +332,7 @@
     relays["engine-1"]->Cut(false, false);
     relays["engine-2"]->Cut(false, false);
     BOOST_TEST(Eventually([&] {
-      return SendLater("entry-1",
+      return SendAsync("entry-1",
                        Chat("itinerary", "after", milliseconds(9000), false))
           .get()
           .ok();
@@ -342,19 +342,19 @@
 
 // The key-value service is down for long. Loaded models must still be served;
 // an unloaded one is refused with `not_run` and served after recovery.
-BOOST_FIXTURE_TEST_CASE(ServiceDown, Cabins) {
-  Begin();
-  BOOST_TEST(SendAndJudge("warm", 4, milliseconds(20'000), [] {}) == 4);
-  fleet.Fault("kv", R"({"down": true})");
-  BOOST_TEST(SendAndJudge("still", 8, milliseconds(20'000), [] {}) == 8);
+BOOST_FIXTURE_TEST_CASE(KeyValueDownServesLoadedModels, Cabins) {
+  Configure();
+  BOOST_TEST(SendAndCheck("warm", 4, milliseconds(20'000), [] {}) == 4);
+  fleet.SetFaults("kv", R"({"down": true})");
+  BOOST_TEST(SendAndCheck("still", 8, milliseconds(20'000), [] {}) == 8);
   const Reply asleep =
-      SendLater("entry-2", Chat("claims", "asleep", milliseconds(6000), false))
+      SendAsync("entry-2", Chat("claims", "asleep", milliseconds(6000), false))
           .get();
   BOOST_TEST(asleep.outcome() == "not_run");
   BOOST_TEST(http::FindHeader(asleep.headers, "Retry-After").has_value());
-  fleet.Fault("kv", R"({"down": false})");
+  fleet.SetFaults("kv", R"({"down": false})");
   BOOST_TEST(Eventually([&] {
-    return SendLater("entry-1",
+    return SendAsync("entry-1",
                      Chat("claims", "awake", milliseconds(9000), false))
         .get()
         .ok();
@@ -363,8 +363,8 @@
 
 // Each kind of bad input gets a typed error that names the bad field, and the
 // entry keeps serving.
-BOOST_FIXTURE_TEST_CASE(BadInputIsNamed, Cabins) {
-  Begin();
+BOOST_FIXTURE_TEST_CASE(BadInputGetsTypedError, Cabins) {
+  Configure();
   struct Row {
     http::Request request;
     int status;
@@ -399,7 +399,7 @@
        "Idempotency-Key"},
   };
   for (const Row& row : rows) {
-    const Reply reply = SendLater("entry-1", row.request).get();
+    const Reply reply = SendAsync("entry-1", row.request).get();
     BOOST_TEST_CONTEXT(row.request.body << " " << reply.body) {
       BOOST_TEST(reply.status == row.status);
       BOOST_TEST(reply.problem() == row.problem);
@@ -407,7 +407,7 @@
       BOOST_TEST(reply.body.find(row.names) != std::string::npos);
     }
   }
-  BOOST_TEST(SendAndJudge("after", 3, milliseconds(20'000), [] {}) == 3);
+  BOOST_TEST(SendAndCheck("after", 3, milliseconds(20'000), [] {}) == 3);
 }
 
 }  // namespace
--- a/tests/relay.cc
+++ b/tests/relay.cc
@@ -29,19 +29,19 @@
 using Socket = std::shared_ptr<tcp::socket>;
 
 /** Fault settings of one direction. */
-struct Treatment {
+struct DirectionFaults {
   std::atomic<bool> cut{false};
   std::atomic<std::int64_t> delay_ms{0};
 };
 
-Task<> Pump(Socket from, Socket to, std::shared_ptr<Treatment> treatment) {
+Task<> Pump(Socket from, Socket to, std::shared_ptr<DirectionFaults> faults) {
   std::array<char, 16384> buf;
   while (true) {
     const auto [ec, n] =
         co_await from->async_read_some(asio::buffer(buf), kTuple);
     if (ec) break;
-    if (treatment->cut) continue;
-    const std::chrono::milliseconds delay(treatment->delay_ms.load());
+    if (faults->cut) continue;
+    const std::chrono::milliseconds delay(faults->delay_ms.load());
     if (delay.count() > 0) {
       co_await core::SleepFor(delay);
     }
@@ -101,8 +101,10 @@
   const tcp::endpoint target;
   std::string closed_address;
   std::vector<std::weak_ptr<tcp::socket>> sockets;
-  const std::shared_ptr<Treatment> to_target = std::make_shared<Treatment>();
-  const std::shared_ptr<Treatment> from_target = std::make_shared<Treatment>();
+  const std::shared_ptr<DirectionFaults> to_target =
+      std::make_shared<DirectionFaults>();
+  const std::shared_ptr<DirectionFaults> from_target =
+      std::make_shared<DirectionFaults>();
 };
 
 Relay::Relay(asio::io_context& io, const std::string& target,
--- a/tests/replica_limit_test.cc
+++ b/tests/replica_limit_test.cc
@@ -51,20 +51,20 @@
 
 const std::vector<std::string> kModels = {"tender", "quay", "gangway"};
 
-enum class Cause {
+enum class FaultType {
   kLostLedgerAnswers,
   kLateLedgerWrites,
   kKeyValueDown,
   kEndpointKilled,
   kEndpointFrozen,
   kListLags,
-  kVmGone,
+  kVmRemoved,
   kLostOrderAnswers,
-  kNumber,
+  kCount,
 };
 
-constexpr std::array<std::string_view, static_cast<int>(Cause::kNumber)>
-    kCauseNames = {
+constexpr std::array<std::string_view, static_cast<int>(FaultType::kCount)>
+    kFaultNames = {
         "ledger answers lost", "ledger writes late", "key-value service down",
         "endpoint killed",     "endpoint frozen",    "VM list lags",
         "VM removed",          "order answers lost"};
@@ -95,61 +95,63 @@
       const std::string id = fmt::format("guest-{}", sent_++);
       const std::string entry = Pick(2) == 0 ? "entry-1" : "entry-2";
       replies_.emplace_back(
-          id, fleet_.SendLater(
+          id, fleet_.SendAsync(
                   fleet_.EntryAddress(entry),
                   ChatRequest(kModels[Pick(kModels.size())], "where do we land",
                               id, false, kTokens)));
     }
   }
 
-  void Inject(Cause cause) {
-    BOOST_TEST_MESSAGE("  " << kCauseNames[static_cast<int>(cause)]);
-    switch (cause) {
-      case Cause::kLostLedgerAnswers:
-        fleet_.Fault("kv", R"({"write_prefix":"ledger/","lose_answers":3})");
+  void InjectFault(FaultType fault) {
+    BOOST_TEST_MESSAGE("  " << kFaultNames[static_cast<int>(fault)]);
+    switch (fault) {
+      case FaultType::kLostLedgerAnswers:
+        fleet_.SetFaults("kv",
+                         R"({"write_prefix":"ledger/","lose_answers":3})");
         break;
-      case Cause::kLateLedgerWrites:
-        fleet_.Fault("kv", R"({"write_prefix":"ledger/","late_writes":3,)"
-                           R"("late_writes_ms":800})");
+      case FaultType::kLateLedgerWrites:
+        fleet_.SetFaults("kv", R"({"write_prefix":"ledger/","late_writes":3,)"
+                               R"("late_writes_ms":800})");
         break;
-      case Cause::kKeyValueDown:
-        fleet_.Fault("kv", R"({"down":true})");
+      case FaultType::kKeyValueDown:
+        fleet_.SetFaults("kv", R"({"down":true})");
         std::this_thread::sleep_for(kFrozenFor);
-        fleet_.Fault("kv", R"({"down":false})");
+        fleet_.SetFaults("kv", R"({"down":false})");
         break;
-      case Cause::kEndpointKilled:
+      case FaultType::kEndpointKilled:
         KillEndpoint();
         break;
-      case Cause::kEndpointFrozen:
+      case FaultType::kEndpointFrozen:
         FreezeEndpoint();
         break;
-      case Cause::kListLags:
-        fleet_.Fault("vms", R"({"lag_ms":2000})");
+      case FaultType::kListLags:
+        fleet_.SetFaults("vms", R"({"lag_ms":2000})");
         break;
-      case Cause::kVmGone:
-        LoseVm();
+      case FaultType::kVmRemoved:
+        ReplaceVm();
         break;
-      case Cause::kLostOrderAnswers:
+      case FaultType::kLostOrderAnswers:
         for (const std::string& vm : vms_) {
-          fleet_.Fault(vm, R"({"lose_order_answers":1})");
+          fleet_.SetFaults(vm, R"({"lose_order_answers":1})");
         }
         break;
-      case Cause::kNumber:
+      case FaultType::kCount:
         break;
     }
   }
 
-  /** @return Two different causes, chosen by the seed. */
-  std::vector<Cause> PickTwo() {
-    const int n = static_cast<int>(Cause::kNumber);
+  /** @return Two different faults, chosen by the seed. */
+  std::vector<FaultType> PickTwoFaults() {
+    const int n = static_cast<int>(FaultType::kCount);
     const int first = Pick(n);
     const int second = (first + 1 + Pick(n - 1)) % n;
-    return {static_cast<Cause>(first), static_cast<Cause>(second)};
+    return {static_cast<FaultType>(first), static_cast<FaultType>(second)};
   }
 
-  void Heal() {
-    fleet_.Fault("kv", R"({"down":false,"lose_answers":0,"late_writes":0})");
-    fleet_.Fault("vms", R"({"lag_ms":0})");
+  void ClearFaults() {
+    fleet_.SetFaults("kv",
+                     R"({"down":false,"lose_answers":0,"late_writes":0})");
+    fleet_.SetFaults("vms", R"({"lag_ms":0})");
   }
 
   /** @return How many replies are neither complete nor a typed refusal. */
@@ -157,8 +159,8 @@
     int bad = 0;
     for (auto& [id, future] : replies_) {
       const Reply reply = future.get();
-      served_ += IsOwnWholeAnswer(reply, id, kTokens) ? 1 : 0;
-      if (IsOwnWholeAnswer(reply, id, kTokens) || IsTypedRefusal(reply)) {
+      served_ += IsOwnCompleteAnswer(reply, id, kTokens) ? 1 : 0;
+      if (IsOwnCompleteAnswer(reply, id, kTokens) || IsTypedRefusal(reply)) {
         continue;
       }
       BOOST_TEST_MESSAGE("  " << id << ": " << reply.status << " " << reply.body
@@ -170,22 +172,23 @@
   }
 
   /** @return True if each model is served again before a time limit. */
-  bool ServesAgain() {
+  bool ServesEachModel() {
     return std::ranges::all_of(kModels, [this](const std::string& model) {
       return Eventually([&] {
         const std::string id = fmt::format("after-{}", sent_++);
         const Reply reply =
             fleet_.Send(fleet_.EntryAddress("entry-1"),
                         ChatRequest(model, "hello", id, false, kTokens));
-        return IsOwnWholeAnswer(reply, id, kTokens);
+        return IsOwnCompleteAnswer(reply, id, kTokens);
       });
     });
   }
 
   int Peak(const std::set<std::string>& models) {
-    std::vector<ReplicaStay> stays = StaysOf(fleet_, vms_);
-    stays.insert(stays.end(), of_gone_.begin(), of_gone_.end());
-    return PeakReplicas(stays, models);
+    std::vector<ReplicaRecord> replicas = ReplicaRecordsOf(fleet_, vms_);
+    replicas.insert(replicas.end(), removed_vm_replicas_.begin(),
+                    removed_vm_replicas_.end());
+    return PeakReplicaCount(replicas, models);
   }
 
   [[nodiscard]] int served() const { return served_; }
@@ -212,7 +215,8 @@
     Eventually(
         [&] {
           for (const std::string& vm : vms_) {
-            for (const ReplicaStay& it : StaysOf(vm, fleet_.Record(vm))) {
+            for (const ReplicaRecord& it :
+                 ReplicaRecordsOf(vm, fleet_.Record(vm))) {
               if (it.ready == 0 && it.end == "held") found = vm;
             }
           }
@@ -238,13 +242,13 @@
   }
 
   /** Removes a VM, as the platform may, and adds another. */
-  void LoseVm() {
+  void ReplaceVm() {
     const std::string vm = LoadingVm();
     EndpointVm& it = fleet_.endpoint(vm);
     it.process->Signal(SIGKILL);
-    for (ReplicaStay& stay : StaysOf(vm, fleet_.Record(vm))) {
-      stay.ended = std::min(stay.ended, WallMillis());
-      of_gone_.push_back(std::move(stay));
+    for (ReplicaRecord& replica : ReplicaRecordsOf(vm, fleet_.Record(vm))) {
+      replica.ended = std::min(replica.ended, WallMillis());
+      removed_vm_replicas_.push_back(std::move(replica));
     }
     it.engine->Signal(SIGKILL);
     it.process.reset();
@@ -256,7 +260,7 @@
   std::mt19937_64 random_;
   Fleet fleet_;
   std::vector<std::string> vms_;
-  std::vector<ReplicaStay> of_gone_;
+  std::vector<ReplicaRecord> removed_vm_replicas_;
   std::vector<std::pair<std::string, std::future<Reply>>> replies_;
   int engines_ = 0;
   int sent_ = 0;
@@ -285,16 +289,17 @@
   CheckLimits(deployment);
 }
 
-void BurstWith(Deployment& deployment, const std::vector<Cause>& causes) {
+void BurstWithFaults(Deployment& deployment,
+                     const std::vector<FaultType>& faults) {
   deployment.StartBurst();
-  for (const Cause cause : causes) {
+  for (const FaultType fault : faults) {
     deployment.Pause(150);
-    deployment.Inject(cause);
+    deployment.InjectFault(fault);
   }
   deployment.StartBurst();
   BOOST_TEST(deployment.CollectBadReplies() == 0);
-  deployment.Heal();
-  BOOST_TEST(deployment.ServesAgain());
+  deployment.ClearFaults();
+  BOOST_TEST(deployment.ServesEachModel());
   CheckLimits(deployment);
 }
 
@@ -303,20 +308,21 @@
 // VM removed, a VM list that lags. A ledger that is wrong afterwards would let
 // one replica too many be loaded.
 BOOST_DATA_TEST_CASE(
-    NoFailureLoadsOneTooMany,
-    boost::unit_test::data::xrange(static_cast<int>(Cause::kNumber)), cause) {
-  Deployment deployment(100 + cause);
-  BurstWith(deployment, {static_cast<Cause>(cause)});
+    OneFaultDoesNotExceedLimits,
+    boost::unit_test::data::xrange(static_cast<int>(FaultType::kCount)),
+    fault) {
+  Deployment deployment(100 + fault);
+  BurstWithFaults(deployment, {static_cast<FaultType>(fault)});
 }
 
 // The same with two failures in one burst, chosen by the seed.
-BOOST_DATA_TEST_CASE(NoTwoFailuresLoadOneTooMany,
+BOOST_DATA_TEST_CASE(TwoFaultsDoNotExceedLimits,
                      boost::unit_test::data::make(std::vector<std::uint64_t>{
                          11, 12, 13, 14, 15, 16, 17, 18}),
                      seed) {
   Deployment deployment(seed);
-  const std::vector<Cause> causes = deployment.PickTwo();
-  BurstWith(deployment, causes);
+  const std::vector<FaultType> faults = deployment.PickTwoFaults();
+  BurstWithFaults(deployment, faults);
 }
 
 }  // namespace
