--- a/demo/sapphire_demo_main.cc
+++ b/demo/sapphire_demo_main.cc
@@ -11,7 +11,7 @@
 #include <sstream>
 
 #include "tests/fleet_base.h"
-#include "tests/judge_func.h"
+#include "tests/verify_func.h"
 
 namespace sapphire::demo {
 
--- a/standin/engine_stand_in_test.cc
+++ b/standin/engine_stand_in_test.cc
@@ -9,7 +9,7 @@
 #include "external/test_runner_base.h"
 #include "standin/engine_stand_in_base.h"
 #include "standin/engine_wire_func.h"
-#include "standin/host_base.h"
+#include "standin/stand_in_server_base.h"
 #include "standin/weights_stand_in_base.h"
 
 namespace sapphire::standin {
--- a/standin/kv_stand_in_test.cc
+++ b/standin/kv_stand_in_test.cc
@@ -6,8 +6,8 @@
 #include "core/task_func.h"
 #include "external/external_func.h"
 #include "external/test_runner_base.h"
-#include "standin/host_base.h"
 #include "standin/kv_stand_in_base.h"
+#include "standin/stand_in_server_base.h"
 
 namespace sapphire::standin {
 namespace {
--- a/standin/sapphire_standin_main.cc
+++ b/standin/sapphire_standin_main.cc
@@ -11,9 +11,9 @@
 
 #include "core/address_func.h"
 #include "standin/engine_stand_in_base.h"
-#include "standin/host_base.h"
 #include "standin/kv_stand_in_base.h"
 #include "standin/plain_stand_in_base.h"
+#include "standin/stand_in_server_base.h"
 #include "standin/vms_stand_in_base.h"
 #include "standin/weights_stand_in_base.h"
 
--- a/standin/services_stand_in_test.cc
+++ b/standin/services_stand_in_test.cc
@@ -8,8 +8,8 @@
 #include "core/task_func.h"
 #include "external/external_func.h"
 #include "external/test_runner_base.h"
-#include "standin/host_base.h"
 #include "standin/plain_stand_in_base.h"
+#include "standin/stand_in_server_base.h"
 #include "standin/vms_stand_in_base.h"
 #include "standin/weights_stand_in_base.h"
 
--- a/standin/host.cc
+++ b/standin/stand_in_server.cc
@@ -1,10 +1,10 @@
-/** @file host.cc Runs one stand-in behind its own HTTP server. */
+/** @file stand_in_server.cc Runs one stand-in behind its own HTTP server. */
 #include <array>
 #include <boost/asio/executor_work_guard.hpp>
 #include <boost/asio/io_context.hpp>
 #include <thread>
 
-#include "standin/host_base.h"
+#include "standin/stand_in_server_base.h"
 
 namespace sapphire::standin {
 
--- a/standin/host_base.h
+++ b/standin/stand_in_server_base.h
@@ -1,6 +1,7 @@
-/** @file host_base.h Runs one stand-in behind its own HTTP server. */
-#ifndef SAPPHIRE_STANDIN_HOST_BASE_H_
-#define SAPPHIRE_STANDIN_HOST_BASE_H_
+/** @file stand_in_server_base.h Runs one stand-in behind its own HTTP server.
+ */
+#ifndef SAPPHIRE_STANDIN_STAND_IN_SERVER_BASE_H_
+#define SAPPHIRE_STANDIN_STAND_IN_SERVER_BASE_H_
 
 #include <functional>
 #include <memory>
@@ -43,4 +44,4 @@
 
 }  // namespace sapphire::standin
 
-#endif  // SAPPHIRE_STANDIN_HOST_BASE_H_
+#endif  // SAPPHIRE_STANDIN_STAND_IN_SERVER_BASE_H_
--- a/tests/leaving_test.cc
+++ b/tests/leaving_test.cc
@@ -9,7 +9,7 @@
 #include <csignal>
 #include <thread>
 
-#include "tests/judge_func.h"
+#include "tests/verify_func.h"
 
 namespace sapphire::tests {
 namespace {
--- a/tests/replica_limit_test.cc
+++ b/tests/replica_limit_test.cc
@@ -11,7 +11,7 @@
 #include <random>
 #include <thread>
 
-#include "tests/judge_func.h"
+#include "tests/verify_func.h"
 
 namespace sapphire::tests {
 namespace {
--- a/tests/judge.cc
+++ b/tests/verify.cc
@@ -1,11 +1,11 @@
-/** @file judge.cc Checks of replies and of the engines' records. */
+/** @file verify.cc Checks of replies and of the engines' records. */
 #include <fmt/format.h>
 
 #include <algorithm>
 #include <limits>
 #include <map>
 
-#include "tests/judge_func.h"
+#include "tests/verify_func.h"
 
 namespace sapphire::tests {
 
--- a/tests/judge_func.h
+++ b/tests/verify_func.h
@@ -1,6 +1,6 @@
-/** @file judge_func.h Checks of replies and of the engines' records. */
-#ifndef SAPPHIRE_TESTS_JUDGE_FUNC_H_
-#define SAPPHIRE_TESTS_JUDGE_FUNC_H_
+/** @file verify_func.h Checks of replies and of the engines' records. */
+#ifndef SAPPHIRE_TESTS_VERIFY_FUNC_H_
+#define SAPPHIRE_TESTS_VERIFY_FUNC_H_
 
 #include <boost/json.hpp>
 #include <chrono>
@@ -57,4 +57,4 @@
 
 }  // namespace sapphire::tests
 
-#endif  // SAPPHIRE_TESTS_JUDGE_FUNC_H_
+#endif  // SAPPHIRE_TESTS_VERIFY_FUNC_H_
