--- a/bench/simulation.cc
+++ b/bench/simulation.cc
@@ -47,8 +47,9 @@
     now_ = event.at;
     Handle(event);
   }
-  for (EngineState& engine : fleet_)
+  for (EngineState& engine : fleet_) {
     AddIdleTime(engine, workload_.length, result_);
+  }
   return std::move(result_);
 }
 
--- a/standin/fault.cc
+++ b/standin/fault.cc
@@ -27,8 +27,9 @@
 
 double ToNumber(std::string_view name, const json::value& value) {
   if (value.is_bool()) return value.get_bool() ? 1 : 0;
-  if (!value.is_number())
+  if (!value.is_number()) {
     ThrowSwitchError(name, "must be a number or a boolean");
+  }
   return value.to_number<double>();
 }
 
@@ -61,8 +62,9 @@
   auto changed = switches_;
   for (const auto& [name, value] : object) {
     const auto it = changed.find(std::string(name));
-    if (it == changed.end())
+    if (it == changed.end()) {
       ThrowSwitchError(name, "is no switch of this stand-in");
+    }
     if (it->second.kind == FaultKind::kText) {
       it->second.text = ToText(name, value);
     } else {
--- a/tests/fleet.cc
+++ b/tests/fleet.cc
@@ -243,8 +243,9 @@
             "/vms",
             {},
             boost::json::serialize(boost::json::object{{"vms", vms}})});
-  if (!reply.ok())
+  if (!reply.ok()) {
     throw std::runtime_error("can't set the VM list: " + reply.body);
+  }
 }
 
 boost::json::object Fleet::Admin(const std::string& entry,
--- a/tests/verify.cc
+++ b/tests/verify.cc
@@ -37,8 +37,9 @@
     replica.ready = NumberAt(object, "ready");
     replica.ended = NumberAt(object, "ended");
     replica.end = std::string(object.at("end").as_string());
-    if (replica.ended == 0)
+    if (replica.ended == 0) {
       replica.ended = std::numeric_limits<std::int64_t>::max();
+    }
   }
   return replicas;
 }
