--- a/src/contract/plan_func.h
+++ b/src/contract/plan_func.h
@@ -1,4 +1,5 @@
-/** @file plan_func.h Computes and formats plans; pure functions. */
+/** @file plan_func.h Computes and formats plans, which state what confirming an
+ * intent would change; pure functions. */
 #ifndef SAPPHIRE_CONTRACT_PLAN_FUNC_H_
 #define SAPPHIRE_CONTRACT_PLAN_FUNC_H_
 
--- a/src/core/address_func.h
+++ b/src/core/address_func.h
@@ -20,7 +20,8 @@
 void ListenOn(boost::asio::ip::tcp::acceptor& acceptor,
               const std::string& address);
 
-/** @return "ip:port" as bound. @pre `acceptor` listens. */
+/** @return The address to which `acceptor` is bound, as "ip:port". @pre
+ * `acceptor` listens. */
 std::string AddressText(const boost::asio::ip::tcp::acceptor& acceptor);
 
 /**
--- a/src/crash/quarantine_store_base.h
+++ b/src/crash/quarantine_store_base.h
@@ -1,5 +1,5 @@
-/** @file quarantine_store_base.h Shares the quarantine through the key-value
- * service. */
+/** @file quarantine_store_base.h Keeps the quarantine and its copy in the
+ * key-value service in sync, in both directions. */
 #ifndef SAPPHIRE_CRASH_QUARANTINE_STORE_BASE_H_
 #define SAPPHIRE_CRASH_QUARANTINE_STORE_BASE_H_
 
--- a/src/entry/dispatcher_base.h
+++ b/src/entry/dispatcher_base.h
@@ -18,7 +18,8 @@
 namespace sapphire::entry {
 
 /** Places and dispatches a request, and retries at other endpoints within its
- * deadline and the retry budget. */
+ * deadline and the retry budget. Unlike serving::Dispatcher, it leaves the
+ * choice of the endpoint to the placer and reaches it over a link. */
 class Dispatcher {
  public:
   /** @pre All references outlive the dispatcher. */
--- a/src/entry/scheduler_decide.cc
+++ b/src/entry/scheduler_decide.cc
@@ -40,7 +40,7 @@
 }
 
 /** @return The refusal for the caller: a recent load failure if there was one,
- * else the decision's own reason. */
+ * unless the deadline is too short; else the decision's own reason. */
 core::Error MakeRefusal(const ModelQueue& queue,
                         const policy::PlacementDecision& decision,
                         core::SteadyTime now) {
@@ -284,7 +284,7 @@
   if (!address) return DecisionOutcome::kClassWaits;
   const crash::QuarantineStatus verdict =
       quarantine->StatusOf(request.fingerprint);
-  // Failure: copies of one request are sent at once and each crashes an engine
+  // Copies of one request that are sent at once could each crash an engine
   // before the first crash is known. Until one copy has completed, copies run
   // on no more engines than the quarantine lets one request crash.
   const bool harmless =
@@ -340,8 +340,8 @@
   if (queue.loads.contains(LoadKey(decision.endpoint, adapter))) {
     return DecisionOutcome::kClassWaits;
   }
-  // Failure: endpoints fail one load after the other, and every attempt takes
-  // store bandwidth from loads that could succeed. Attempts after a failure are
+  // Endpoints may fail one load after the other, and every attempt takes store
+  // bandwidth from loads that could succeed. Attempts after a failure are
   // limited to a fraction of the requests that arrived.
   if (queue.failed_loads_in_row > 0 && !policy::TakeRetry(queue.retries)) {
     Refuse(queue, waiter,
--- a/src/fleet/engine_holders_base.h
+++ b/src/fleet/engine_holders_base.h
@@ -1,5 +1,5 @@
-/** @file engine_holders_base.h Tracks which process controls each engine, by
- * the leases in the store. */
+/** @file engine_holders_base.h Tracks the holder of each engine: the process
+ * that holds the engine's lease in the store and sends it orders. */
 #ifndef SAPPHIRE_FLEET_ENGINE_HOLDERS_BASE_H_
 #define SAPPHIRE_FLEET_ENGINE_HOLDERS_BASE_H_
 
--- a/src/fleet/engine_limits_base.h
+++ b/src/fleet/engine_limits_base.h
@@ -1,4 +1,4 @@
-/** @file engine_limits_base.h Rate limits that engines report. */
+/** @file engine_limits_base.h Keeps the rate limits that engines report. */
 #ifndef SAPPHIRE_FLEET_ENGINE_LIMITS_BASE_H_
 #define SAPPHIRE_FLEET_ENGINE_LIMITS_BASE_H_
 
--- a/src/fleet/engine_registry_base.h
+++ b/src/fleet/engine_registry_base.h
@@ -18,11 +18,13 @@
 
 struct RegistryOptions {
   /** An instance with an earlier start time than the known one is accepted
-   * after this time without an entry of the known one: engines write their
-   * entries about every second, and rewrite an entry that was overwritten. */
+   * after this time without a registration of the known one: engines write
+   * their registrations to the store about every second, and rewrite one that
+   * was overwritten. */
   std::chrono::milliseconds defer_for{2500};
   /** An instance at whose address another one has answered is ignored for this
-   * time: the entry of a stopped engine remains for three heartbeats. */
+   * time: the registration of a stopped engine remains for three
+   * heartbeats. */
   std::chrono::milliseconds replaced_for{5000};
 };
 
@@ -35,47 +37,48 @@
                  const core::Logger& log);
 
   /**
-   * Adds or updates an engine from its entry. An instance with a later start
-   * time replaces the known instance of the same engine.
+   * Adds or updates an engine from its registration. An instance with a later
+   * start time replaces the known instance of the same engine.
    *
-   * An entry with an earlier start time is deferred until the known instance
-   * has been silent for `RegistryOptions::defer_for`, as it may have arrived
-   * late. Dropping it would lock out an engine whose clock was set back.
+   * A registration with an earlier start time is deferred until the known
+   * instance has been silent for `RegistryOptions::defer_for`, as it may have
+   * arrived late. Dropping it would lock out an engine whose clock was set
+   * back.
    */
   void Put(EngineEntry entry);
   /**
-   * Removes an engine whose entry can't be parsed or was written by something
-   * else, until a valid entry replaces it.
+   * Removes an engine from use whose registration can't be parsed or was
+   * written by something else, until a valid one replaces it.
    */
   void MarkUnreadable(const EngineId& engine);
 
   /**
-   * Removes an engine whose entry was removed from the store.
+   * Removes an engine whose registration was removed from the store.
    * @param lapse_end Set if the store has just been unavailable, so that the
-   *   entry may have expired in the outage. Until then the engine remains in
-   *   use, as it may register again.
+   *   registration may have expired in the outage. Until then the engine
+   *   remains in use, as it may register again.
    */
   void Remove(const EngineId& engine,
               std::optional<core::SteadyTime> lapse_end);
 
-  /** Removes an instance after another one has answered at its address. Late
-   * entries of the removed instance are ignored. */
+  /** Removes an instance from use after another one has answered at its
+   * address. Late registrations of the removed instance are ignored. */
   void MarkReplaced(const InstanceId& instance);
 
-  /** Sets the models that the engine itself reports, for use while its entry
-   * can't be read. */
+  /** Sets the models that the engine itself reports, for use while its
+   * registration can't be read. */
   void UpdateModels(const InstanceId& instance, std::vector<LoadedModel> models,
                     CachedCheckpoints copies);
 
   /**
-   * Applies a listing of all entries.
+   * Applies a listing of all registrations.
    * @param lapse_end As for Remove, for engines that are not in the listing.
    */
   void ReplaceAll(std::vector<EngineEntry> entries,
                   std::optional<core::SteadyTime> lapse_end);
 
   /** Removes engines that have not registered again in time and accepts
-   * deferred entries that are due. Must be called regularly. */
+   * deferred registrations that are due. Must be called regularly. */
   void Expire();
 
   /** @return All engines, including draining ones, by instance. */
@@ -83,8 +86,8 @@
     return engines_;
   }
 
-  /** @return Number of engines that remain in use although they are missing
-   * from the store. */
+  /** @return Number of engines that are kept in use although their
+   * registrations are missing from the store. */
   [[nodiscard]] int held() const { return static_cast<int>(missing_.size()); }
 
   [[nodiscard]] const EngineEntry* Find(const InstanceId& instance) const;
@@ -93,14 +96,16 @@
   [[nodiscard]] std::int64_t generation() const { return generation_; }
 
  private:
-  /** A deferred entry, with an earlier start time than the known instance. */
+  /** A deferred registration, with an earlier start time than the known
+   * instance. */
   struct DeferredEntry {
     EngineEntry entry;
     core::SteadyTime since;
   };
 
   void Accept(EngineEntry entry);
-  /** Defers an entry with an earlier start time than the `known` instance. */
+  /** Defers a registration with an earlier start time than the `known`
+   * instance. */
   void Defer(EngineEntry entry, const InstanceId& known);
   /** Keeps an engine that is missing from the store in use until `gone_at`. */
   void KeepUntil(const InstanceId& instance, core::SteadyTime gone_at);
--- a/src/fleet/peer_table_base.h
+++ b/src/fleet/peer_table_base.h
@@ -78,8 +78,9 @@
    * silent for long, and unused engines that are not in `alive`. */
   void Forget(const std::set<InstanceId>& alive);
 
-  /** @return Number of entries, including this one, among which shared limits
-   * are divided. */
+  /** @return Number of entries, including this one and recently removed ones,
+   * among which the retry budget is divided, and by which this entry's demand
+   * is extrapolated to the fleet. */
   [[nodiscard]] int entries() const;
 
   /** @return Greatest expected age of another entry's record, which is the
--- a/src/link/link_type.cc
+++ b/src/link/link_type.cc
@@ -1,5 +1,5 @@
-/** @file link_type.cc Converts between errors and Refusals, and names messages.
- */
+/** @file link_type.cc Converts core::Error to gen::Refusal and back, and names
+ * the kinds of messages. */
 #include <array>
 #include <string_view>
 
--- a/src/orders/engine_controller.cc
+++ b/src/orders/engine_controller.cc
@@ -227,8 +227,8 @@
     if (now >= deadline) {
       throw Error(ErrorCode::kTimedOut, "the engine is busy with an order");
     }
-    // The order is first assumed to be a load from disk; requests are refused
-    // once it takes longer than one.
+    // The order, given by an earlier holder of the lease, is first assumed to
+    // be a load from disk; requests are refused once it takes longer than one.
     const milliseconds left =
         ForeignOrderTimeLeft(foreign_order_since_, FindEngineSpec(), now);
     if (left > kMaxQueueTime) {
@@ -396,8 +396,8 @@
 }
 
 /**
- * @return True if the engine has accepted no order of another process since
- *   this one was last allowed to give it orders.
+ * @return True if the engine has accepted no order of any other holder of its
+ *   lease since this process was last allowed to give it orders.
  */
 bool EngineController::HasNoForeignOrders() const {
   if (!options_.reports_are_current || !report_time_) return false;
@@ -418,8 +418,9 @@
 }
 
 /**
- * Tracks an order of an earlier process: the engine accepts no other until it
- * ends, and entries must not wait for it here.
+ * Tracks an order in progress that this process did not give, but an earlier
+ * holder of the engine's lease. The engine accepts no further order until it
+ * ends, and entries must not wait for that here.
  */
 void EngineController::UpdateForeignOrder() {
   if (!report_.order_in_progress || !open_orders_.empty()) {
--- a/src/orders/engine_leases.cc
+++ b/src/orders/engine_leases.cc
@@ -121,8 +121,8 @@
   const gen::EngineHolder holder =
       fleet::DecodeEngineHolder(result.current->value);
   if (holder.address == options_.self.address) {
-    // Written by an earlier process at this address, or by a write whose
-    // response was lost.
+    // Written by an earlier process at this process's address, or by this
+    // process in a write whose response was lost.
     result = co_await WriteKey(engine, result.current->revision);
     if (!result.swapped) co_return false;
     co_return co_await CompleteClaim(engine, result.revision, true);
@@ -149,8 +149,8 @@
 }
 
 /**
- * Records a key that was written as held, or deletes it if its lease is no
- * longer requested.
+ * Records a key that this process has written as held, or deletes it if the
+ * engine's lease is no longer requested here.
  * @return True if it is held.
  */
 core::Task<bool> EngineLeases::CompleteClaim(std::string engine,
@@ -165,7 +165,9 @@
 }
 
 /**
- * @param same_vm The previous holder was a process on this VM, which has ended.
+ * @param same_vm The key named this process's address: it was written by an
+ *   earlier process at that address, which has ended, or by this process in a
+ *   write whose response was lost.
  */
 void EngineLeases::RecordHeld(const std::string& engine, std::int64_t revision,
                               bool same_vm) {
--- a/src/policy/crash_func.h
+++ b/src/policy/crash_func.h
@@ -52,7 +52,8 @@
 DispatchDecision DecideDispatch(const CrashTracker& tracker,
                                 std::int64_t fingerprint);
 
-/** @return The endpoints that are running a copy of the request. */
+/** @return The endpoints that are running the request or a copy of it, that is,
+ * a request with the same fingerprint. */
 std::set<core::EndpointId> EnginesWithCopies(const CrashTracker& tracker,
                                              std::int64_t fingerprint);
 
--- a/src/policy/replica_choice.cc
+++ b/src/policy/replica_choice.cc
@@ -23,8 +23,8 @@
 constexpr milliseconds kFullEnginePenalty{1500};
 /** Penalty for a failure rate of 1: the time of a second try. */
 constexpr milliseconds kFailurePenalty{1200};
-/** Penalty for an engine that is warming up: it is slower than any busy engine
- * but better than none. */
+/** Penalty for an engine that is warming up: as much as 75 running requests, so
+ * that busy engines are preferred to it, but less than for a full engine. */
 constexpr milliseconds kWarmUpPenalty{300};
 /** An engine is suspect if a first byte takes longer than this. */
 constexpr milliseconds kMaxUsualSilence{600};
--- a/src/policy/replica_choice_func.h
+++ b/src/policy/replica_choice_func.h
@@ -1,5 +1,5 @@
 /** @file replica_choice_func.h Chooses the engine for a request among those
- * that hold the model. */
+ * that hold the model, and decides whether the model needs more replicas. */
 #ifndef SAPPHIRE_POLICY_REPLICA_CHOICE_FUNC_H_
 #define SAPPHIRE_POLICY_REPLICA_CHOICE_FUNC_H_
 
--- a/src/quota/quota_client.cc
+++ b/src/quota/quota_client.cc
@@ -17,8 +17,8 @@
 constexpr milliseconds kMaxDenialCacheTime{100};
 /** An entry is suspected for at most this time. */
 constexpr std::chrono::seconds kSuspicionTimeout{30};
-/** Retention of answers for repeated requests, and of requests that timed out
- * for late answers. */
+/** How long answers are kept in case their requests are repeated, and requests
+ * that timed out in case their answers arrive late. */
 constexpr milliseconds kAnswerRetention{2000};
 
 }  // namespace
@@ -166,7 +166,7 @@
   auto known = cached_answers_.find(key);
   if (known == cached_answers_.end()) {
     std::optional<gen::QuotaAnswer> answer = MakeAnswer(ask);
-    // The sender resends its request.
+    // No answer yet: the sender resends its request.
     if (!answer) return;
     known =
         cached_answers_.emplace(key, CachedAnswer{clock_.Now(), *answer}).first;
@@ -291,6 +291,7 @@
 void QuotaClient::HandleTimeout(std::int64_t number, PendingRequest pending) {
   if (!pending.entry.empty()) RecordUnanswered(pending);
   if (!pending.done) return;
+  // A deferred request is recorded too, although it was never sent.
   timed_out_[number] = {clock_.Now(), pending.id, pending.limit, pending.cost};
   Dispatch(std::move(pending));
 }
--- a/src/quota/quota_client_base.h
+++ b/src/quota/quota_client_base.h
@@ -65,8 +65,9 @@
   QuotaClient(QuotaClientOptions options, const fleet::PeerTable& peer_table,
               Send send, const core::Clock& clock, const core::Logger& log);
 
-  /** Takes `cost` units from the quota.
-   * @param done Called once with the decision, possibly before this returns. */
+  /** Requests `cost` units from the quota, which are taken if granted.
+   * @param done Called once with the decision: before this returns, or later
+   *   from OnAnswer or Tick. */
   void Take(const QuotaId& id, const SharedLimit& limit, double cost,
             DecisionCallback done);
 
@@ -160,7 +161,8 @@
     /** When a coordinator named by a peer was last probed. */
     core::SteadyTime hint_probed_at;
   };
-  /** A quota request that timed out; its answer may still arrive. */
+  /** A quota request that timed out; its answer may still arrive, unless it was
+   * deferred and so never sent. */
   struct TimedOutRequest {
     core::SteadyTime at;
     QuotaId id;
--- a/src/serving/dispatcher.cc
+++ b/src/serving/dispatcher.cc
@@ -20,8 +20,8 @@
 
 namespace {
 
-/** Retries after an engine's own failure leave this share of the retry budget
- * to retries after lost engines. */
+/** Share of the retry budget that is reserved for retries after lost engines:
+ * retries after an engine's own failure must not use it. */
 constexpr double kFailureReserve = 0.5;
 constexpr int kMaxRank = 9;
 constexpr milliseconds kMinRetryAfter{50};
@@ -113,6 +113,8 @@
   if (cut) throw http::ConnectionCut(refusal->detail());
 }
 
+/** Sets the request's deadline, configuration, route and service, and refuses
+ * the request if it can't be served. */
 void Dispatcher::Check(RequestWork& work) const {
   work.deadline = work.arrived + work.request.time_to_wait;
   work.table = deps_.configuration.current();
@@ -130,7 +132,8 @@
 }
 
 /** Refuses the request while the view of the store is too old: its routes and
- * engines may no longer exist. */
+ * engines may no longer exist. A request that an engine may have run is not
+ * refused. */
 void Dispatcher::CheckStoreView(const RequestWork& work) const {
   if (work.runs > 0 || !deps_.view.is_late()) return;
   throw Error(ErrorCode::kConfigurationStale, "this entry is behind the store",
@@ -237,7 +240,8 @@
                        work.charged);
 }
 
-/** Finds the service and checks that it serves the model. */
+/** Sets the service and checks that it serves the model; clears the model and
+ * adapter if the service has no engine models. */
 void Dispatcher::ResolveService(RequestWork& work) const {
   const double point =
       static_cast<double>(core::HashOf(work.request.id.value())) / kHashRange;
@@ -266,7 +270,10 @@
   }
 }
 
-/** Sends the request once. @return True if it has its final answer. */
+/** Chooses an engine and sends the request to it, at most once. @return True if
+ * the request is over: it has its final answer, or the caller has left. False
+ * if it is to be tried again, also if nothing was sent because the engine's
+ * rate limit is used up or the engine is no longer registered. */
 core::Task<bool> Dispatcher::Attempt(RequestWork& work) {
   work.engine = co_await chooser_.Choose(work);
   const bool may_send = work.caller.left || co_await deps_.rate_limiter.Acquire(
--- a/src/serving/dispatcher_base.h
+++ b/src/serving/dispatcher_base.h
@@ -79,7 +79,9 @@
   const core::Logger& log;
 };
 
-/** Serves callers' requests. Not thread-safe. */
+/** Serves callers' HTTP requests: checks, authenticates and charges them, and
+ * sends them to engines by HTTP. Unlike entry::Dispatcher, it chooses the
+ * engines itself, from this entry's view of the fleet. Not thread-safe. */
 class Dispatcher {
  public:
   Dispatcher(DispatchOptions options, DispatcherDependencies parts);
--- a/src/serving/engine_chooser.cc
+++ b/src/serving/engine_chooser.cc
@@ -30,9 +30,9 @@
 constexpr int kMinWaitersToExtrapolate = 3;
 /**
  * Nearly all streams finish within this time: 57 events of three tokens take 2
- * s on an idle engine, up to 5 s on a busy one. As the entry has 8 s to stop,
- * streams are accepted for as long as load balancers may still open new
- * connections.
+ * s on an idle engine, up to 5 s on a busy one. A stopping entry accepts new
+ * streams while it has more than this left of its 8 s, which is as long as load
+ * balancers may still open new connections.
  */
 constexpr milliseconds kUsualStreamTime{5200};
 
@@ -101,7 +101,8 @@
       loader_(loader),
       clock_(clock) {}
 
-/** Waits until an engine can take the request. */
+/** Waits until an engine can take the request. @return The engine; an empty id
+ * if the caller has left. */
 core::Task<fleet::InstanceId> EngineChooser::Choose(RequestWork& work) {
   while (true) {
     if (work.caller.left) co_return fleet::InstanceId();
@@ -126,7 +127,8 @@
   }
 }
 
-/** @return Time until the last answers are due before the process ends. */
+/** @return Time until kAnswerMargin before the end of the process, when waiting
+ * requests must be answered. */
 milliseconds EngineChooser::TimeToShutdown() const {
   if (!end_) return milliseconds::max();
   const auto left = std::chrono::duration_cast<milliseconds>(
@@ -141,9 +143,11 @@
   return std::min(unthrottled.value_or(kRecheckInterval), kRecheckInterval);
 }
 
-/** Queries the load of the best candidates if they may be busy. Peers' reports
+/** Queries the load of the best candidates before a choice. Peers' reports may
  * arrive seconds late; without the query all entries send to the engine that
- * looked idle, and its streams pause. */
+ * looked idle, and its streams pause. Skipped if the request names no model,
+ * the reports are recent, there are fewer than two candidates, or the best one
+ * is not busy. */
 core::Task<> EngineChooser::QueryBusyEngines(const RequestWork& work) {
   if (work.request.model.empty() || peer_table_.Age() <= kMaxReportAge) {
     co_return;
@@ -164,7 +168,9 @@
   co_await gauges_.Refresh(std::move(asked));
 }
 
-/** @return The best engine that can take the request now. */
+/** @return The best engine that can take the request now; nullopt if there is
+ * none. Also requests a replica if the model's engines are overloaded, and a
+ * load of the adapter if no engine that can take the request has it. */
 std::optional<fleet::InstanceId> EngineChooser::TryChoose(RequestWork& work) {
   std::vector<FoundReplica> found =
       finder_.Find(work.service->id, work.request, work.avoid);
@@ -286,8 +292,8 @@
                      policy::ReplicaNeed::kUseful);
 }
 
-/** @return Time left until a stream's idle timeout, or until the deadline of
- * any other request. */
+/** @return Time left until the idle timeout if the request is a stream, else
+ * until its deadline. */
 milliseconds EngineChooser::IdleTimeLeft(const RequestWork& work) const {
   const core::SteadyTime now = clock_.Now();
   if (work.route->kind != RequestKind::kStream) return TimeLeft(work, now);
--- a/src/serving/exchange.cc
+++ b/src/serving/exchange.cc
@@ -36,7 +36,7 @@
 
 /** Result of one read of an answer. */
 struct PartRead {
-  /** Empty if the answer is complete, or if `error` is set. */
+  /** No value if the answer is complete, or if `error` is set. */
   std::optional<std::string> bytes;
   std::string error;
   bool timed_out = false;
@@ -137,7 +137,8 @@
     return std::nullopt;
   }
 
-  /** Reads the complete body first: a truncated answer is never relayed. */
+  /** Reads the complete body first, as a truncated answer is never relayed;
+   * only then calls `first_byte`. */
   core::Task<ExchangeResult> RelayBody() {
     http::Response response;
     response.head = answer_.to_caller;
--- a/src/serving/exchange_base.h
+++ b/src/serving/exchange_base.h
@@ -68,8 +68,9 @@
 struct ExchangeLimits {
   /** Time by which the caller must have its final answer. */
   core::SteadyTime deadline;
-  /** Longest usual silence before the first byte, and between two parts of a
-   * stream; after it, another engine is tried if possible. Zero: no limit. */
+  /** Longest usual silence before the first byte of a stream or the end of any
+   * other answer, and between two parts of a stream; after it, another engine
+   * is tried if possible. Zero: no limit. */
   milliseconds first_byte_silence{0};
   milliseconds pause{0};
   /** Opens a new connection, for a request that must not run twice. */
@@ -81,7 +82,8 @@
   /** Called with the head of an answer of the engine. */
   std::function<void(const EngineAnswer& answer)> head_received =
       [](const EngineAnswer&) {};
-  /** Called once, with the first byte of the engine's answer. */
+  /** Called at most once: with the first part of a stream, or after the
+   * complete body of any other answer. */
   std::function<void()> first_byte;
   /** Called with each part of a streamed answer. */
   std::function<void()> received;
--- a/src/serving/front_metrics_base.h
+++ b/src/serving/front_metrics_base.h
@@ -64,7 +64,7 @@
   /** @param outcome "ok" or the error's name. */
   void WakeUpEnded(policy::Tier tier, std::string_view outcome,
                    std::chrono::milliseconds took);
-  /** Records work that blocked the event loop. */
+  /** Records that `work` blocked the event loop for the time `took`. */
   void Stalled(std::string_view work, std::chrono::milliseconds took);
   void StoreCall(const external::StoreCall& call);
   /** Records the age that the view of the store had when an answer renewed it.
--- a/src/serving/holder_follower_base.h
+++ b/src/serving/holder_follower_base.h
@@ -1,5 +1,5 @@
-/** @file holder_follower_base.h Keeps the table of engines' holders up to date.
- */
+/** @file holder_follower_base.h Follows in the store which process holds each
+ * engine's lease and so sends the engine its orders. */
 #ifndef SAPPHIRE_SERVING_HOLDER_FOLLOWER_BASE_H_
 #define SAPPHIRE_SERVING_HOLDER_FOLLOWER_BASE_H_
 
--- a/src/serving/model_loader.cc
+++ b/src/serving/model_loader.cc
@@ -21,8 +21,9 @@
  * times as long as a single one. */
 constexpr milliseconds kLoadLimit{20'000};
 constexpr int kLoadLimitFactor = 3;
-/** While a pending load takes longer than this, a faster one may be started on
- * another engine: a load from disk takes 2 s. */
+/** While a pending load has at least this time left, another one may be started
+ * on an engine that would be ready sooner by more than this: a load from disk
+ * takes 2 s. */
 constexpr milliseconds kSlowLoad{3000};
 /** Time after the start within which engines register and endpoints are
  * reached. */
@@ -35,8 +36,8 @@
  * extrapolated from them. A single request results in a lower rate. */
 constexpr double kMinExtrapolatedRate = 0.1;
 /** Number of concurrent loads from the weight store from which on rare models
- * wait. The store serves 4 at full speed; the others stay free for busy models.
- */
+ * wait. Chosen for a store that serves 4 at full speed: the others stay free
+ * for busy models. */
 constexpr int kMaxLoadsForRareModels = 2;
 /** A load from the weight store that takes this many times as long as a single
  * one indicates an overloaded store; less may be a slow start. */
@@ -157,8 +158,9 @@
                                      const core::ModelId& model) const {
   const int loads = finder_.CountStoreLoads(service.id);
   if (loads == 0) return false;
-  // From some unknown number on, concurrent loads slow each other down. Once
-  // loads take this much longer, one more only delays the others.
+  // The store does not report how many loads it serves at full speed, so an
+  // overload shows only in the load times. Once loads take this much longer,
+  // one more only delays the others.
   const milliseconds alone = service.engine->models.at(model).load_times.remote;
   const auto crowded = kOverloadFactor * std::chrono::duration<double>(alone);
   if (StoreLoadTime() > crowded) return true;
@@ -226,8 +228,9 @@
 }
 
 /**
- * Drops loads that are overdue, so that callers do not wait for an endpoint
- * that lost the request while other engines are idle.
+ * Forgets loads that are overdue, so that callers do not wait for an engine
+ * whose load request was lost while other engines are idle. The loads' tasks go
+ * on, but their engines count as having failed.
  */
 void ModelLoader::DropOverdue(const LoadTarget& target) {
   const core::SteadyTime now = clock_.Now();
--- a/src/serving/model_loader_base.h
+++ b/src/serving/model_loader_base.h
@@ -57,9 +57,12 @@
   }
 
   /**
-   * Requests a load of a model unless one is pending.
+   * Requests a load of a model unless one is pending. If the pending one is
+   * slow, a second one is requested from an engine that would be ready much
+   * sooner.
    * @return Time until the model is expected to serve, or until the next
-   *   attempt if no engine has room now; nullopt if none is reachable.
+   *   attempt if no load can be requested now; nullopt if no engine that could
+   *   load it is reachable.
    */
   std::optional<milliseconds> RequestLoad(const routing::Service& service,
                                           const core::ModelId& model,
@@ -74,7 +77,8 @@
 
   /**
    * Requests a load of one more replica if the need justifies its cost.
-   * @param at_once Maximum number of the model's loads that may be pending.
+   * @param at_once Number of the model's pending loads from which on no
+   *   further one is requested; only loads that are due soon count.
    */
   void AddReplica(const routing::Service& service, const core::ModelId& model,
                   policy::ReplicaNeed need, int at_once = 1);
--- a/src/serving/request_work_type.h
+++ b/src/serving/request_work_type.h
@@ -34,7 +34,9 @@
   CallerConnection caller;
   std::int64_t fingerprint = FingerprintOf(request);
   core::SteadyTime arrived;
-  /** When the caller last received a part of a stream, or sent its request. */
+  /** Start of a stream's idle timeout: when the request arrived or, if later,
+   * when a send last failed after a part of the stream had been sent to the
+   * caller. */
   core::SteadyTime received;
   core::SteadyTime deadline;
   std::shared_ptr<const routing::RoutingTable> table;
