--- a/src/serving/model_loader.cc
+++ b/src/serving/model_loader.cc
@@ -36,8 +36,8 @@
  * extrapolated from them. A single request results in a lower rate. */
 constexpr double kMinExtrapolatedRate = 0.1;
 /** Number of concurrent loads from the weight store from which on rare models
- * wait. Chosen for a store that serves 4 at full speed: the others stay free
- * for busy models. */
+ * wait. With a store that serves 4 at full speed, the others stay free for busy
+ * models. */
 constexpr int kMaxLoadsForRareModels = 2;
 /** A load from the weight store that takes this many times as long as a single
  * one indicates an overloaded store; less may be a slow start. */
